--- /dev/null
+++ b/crates/larklink/tests/decision_trace.rs
@@ -0,0 +1,368 @@
+//! Holds the decisions still: seeded random events go in, and every output is folded, as numbers, into one hash a
+//! seed. The hashes were taken before the code was reshaped; one that differs means that a decision has changed.
+use larklink::balancer::Balancer;
+use larklink::types::*;
+use rand::{RngExt, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use xxhash_rust::xxh3::Xxh3;
+
+const SECOND: Time = 10_000;
+const EVENTS: usize = 6_000;
+const SERVERS: usize = 14;
+
+/// What a server does with the sessions and health checks that reach it.
+#[derive(Clone, Copy, PartialEq)]
+enum Health {
+    Good,
+    Slow,
+    Hung,
+    Full,
+    Erring,
+    Dead,
+}
+
+struct Open {
+    handle: SessIx,
+    server: ServerIx,
+    dialling: bool,
+    established: bool,
+}
+
+struct Trace {
+    rng: ChaCha8Rng,
+    settings: Settings,
+    balancer: Balancer,
+    now: Time,
+    open: Vec<Open>,
+    health: Vec<Health>,
+    hash: Xxh3,
+    /// How often each kind of output was seen.
+    seen: [usize; 11],
+}
+
+fn settings(variant: u64) -> Settings {
+    let bit = |n: u64| variant >> n & 1 == 1;
+    let kinds = [
+        Kind::Repeatable,
+        Kind::OnceOnly,
+        Kind::Referenced { group: Group::All, window: 3 * SECOND },
+        Kind::Referenced { group: Group::Zone, window: SECOND },
+        Kind::Referenced { group: Group::Cell, window: SECOND },
+    ];
+    let listener = |(n, kind)| Listener { kind, handshake_target: SECOND / 2, utility: 1.0 + n as f64 };
+    Settings {
+        listeners: kinds.into_iter().enumerate().map(listener).collect(),
+        proxies: [0, 6, 300][(variant % 3) as usize],
+        weighted: bit(0),
+        on_request: bit(1),
+        must_ask_in: 10 * SECOND,
+        drain_grace: SECOND / 2,
+        only_drains: bit(2),
+        start_capacity: 0.2,
+        cold: 20 * SECOND,
+        fall_multiple: 4.0,
+        overload_for: SECOND,
+        retry_budget: bit(3).then_some(RetryBudget { free: 4.0, share: 0.2, over: 5 * SECOND }),
+        nines: None,
+        connect_timeout: SECOND / 5,
+        max_dials: 4,
+        max_retry_after: SECOND,
+        retry_after: !bit(5),
+        probing: !bit(4),
+        tells_load: !bit(4) && bit(1),
+        zone: bit(5).then_some(1),
+        dial_timeout: if variant == 13 { Time::MAX } else { 2 * SECOND },
+        message_target: 500,
+    }
+}
+
+fn entry(server: ServerIx, state: State, came_up: Time) -> Entry {
+    let weight = [1.0, 2.0, 0.5][server % 3];
+    let (zone, cell) = (server as u16 % 2, server as u16 % 3);
+    Entry { server, id: 77 + 1000 * server as u32, zone, cell, state, weight, came_up }
+}
+
+impl Trace {
+    fn new(variant: u64) -> Self {
+        let settings = settings(variant);
+        let mut trace = Self {
+            rng: ChaCha8Rng::seed_from_u64(1_000 + variant),
+            balancer: Balancer::new(settings.clone(), variant, 0),
+            settings,
+            now: 0,
+            open: Vec::new(),
+            health: vec![Health::Good; SERVERS],
+            hash: Xxh3::with_seed(0),
+            seen: [0; 11],
+        };
+        trace.list(Scope::Cached, SERVERS - 2);
+        trace
+    }
+
+    fn fold(&mut self, values: &[u64]) {
+        for value in values {
+            self.hash.update(&value.to_le_bytes());
+        }
+    }
+
+    fn output(&mut self, code: usize, values: &[u64]) {
+        self.seen[code] += 1;
+        self.fold(&[code as u64]);
+        self.fold(values);
+    }
+
+    fn list(&mut self, scope: Scope, servers: usize) {
+        let entries: Vec<_> = (0..servers).map(|s| entry(s, State::Ready, 0)).collect();
+        self.balancer.heard_list(self.now, scope, &entries);
+    }
+
+    fn verdict(&mut self, handle: SessIx, verdict: Verdict) {
+        match verdict {
+            Verdict::Dial { server, limit, by } => {
+                self.output(0, &[handle as u64, server as u64, limit, by]);
+                match self.open.iter_mut().find(|o| o.handle == handle) {
+                    Some(open) => (open.server, open.dialling) = (server, true),
+                    None => self.open.push(Open { handle, server, dialling: true, established: false }),
+                }
+            }
+            Verdict::Wait => {
+                self.output(1, &[handle as u64]);
+                self.open.push(Open { handle, server: 0, dialling: false, established: false });
+            }
+            Verdict::Refuse { retry_after } => {
+                self.output(2, &[handle as u64, retry_after]);
+                self.open.retain(|o| o.handle != handle);
+            }
+            Verdict::TearDown => {
+                self.output(3, &[handle as u64]);
+                self.open.retain(|o| o.handle != handle);
+            }
+        }
+    }
+
+    fn poll(&mut self) {
+        for chore in self.balancer.poll(self.now) {
+            match chore {
+                Chore::Probe(server) => self.output(4, &[server as u64]),
+                Chore::Tell(handle, verdict) => {
+                    self.output(5, &[handle as u64]);
+                    self.verdict(handle, verdict);
+                }
+                Chore::SendBy(handle, by) => self.output(6, &[handle as u64, by]),
+                Chore::Move(handle) => {
+                    self.output(7, &[handle as u64]);
+                    self.balancer.left(handle);
+                    self.open.retain(|o| o.handle != handle);
+                }
+                Chore::Subscribe => self.output(8, &[]),
+                Chore::Log(_) => self.output(9, &[]),
+            }
+        }
+        let (known, skipped) = self.balancer.census();
+        self.fold(&[self.balancer.due(), known as u64, skipped as u64]);
+    }
+
+    fn session(&mut self) -> Session {
+        let key = self.rng.random_range(1..60u64);
+        Session {
+            listener: self.rng.random_range(0..5),
+            group_key: if self.rng.random_bool(0.5) { key % 12 } else { 0 },
+            client_key: if self.rng.random_bool(0.9) { key } else { 0 },
+            patience: 2 * SECOND,
+            mid_flow: self.rng.random_bool(0.1),
+            again: self.rng.random_bool(0.2),
+            retry: self.rng.random_bool(0.1),
+        }
+    }
+
+    fn place(&mut self) {
+        let session = self.session();
+        let (handle, verdict) = self.balancer.place(self.now, session);
+        self.verdict(handle, verdict);
+    }
+
+    fn settle(&mut self, at: usize, how: Outcome, over: bool) {
+        let handle = self.open[at].handle;
+        self.open[at].dialling = false;
+        self.open[at].established = false;
+        match self.balancer.settled(self.now, handle, how, over) {
+            Some(verdict) => self.verdict(handle, verdict),
+            None => {
+                self.output(10, &[handle as u64]);
+                self.open.retain(|o| o.handle != handle);
+            }
+        }
+    }
+
+    /// Some dial that is out goes on as its server's health has it.
+    fn dial_ends(&mut self) {
+        let Some(at) = self.pick(|o| o.dialling && !o.established) else { return };
+        let odd = [Outcome::CalledOff, Outcome::Unsent, Outcome::Broken, Outcome::Accepted];
+        let odd = odd[self.rng.random_range(0..4)];
+        let strange = self.rng.random_bool(0.04);
+        let how = match self.health[self.open[at].server] {
+            _ if strange => odd,
+            Health::Good | Health::Slow => {
+                self.open[at].established = true;
+                return self.balancer.stood(self.now, self.open[at].handle);
+            }
+            Health::Hung => Outcome::Late,
+            Health::Full => Outcome::Full,
+            Health::Erring => Outcome::Error,
+            Health::Dead => Outcome::Unmade,
+        };
+        self.settle(at, how, how == Outcome::Accepted);
+    }
+
+    fn established_ends(&mut self) {
+        let Some(at) = self.pick(|o| o.established) else { return };
+        let broken = self.health[self.open[at].server] == Health::Dead || self.rng.random_bool(0.05);
+        let over = !broken || self.rng.random_bool(0.5);
+        self.settle(at, if broken { Outcome::Broken } else { Outcome::Accepted }, over);
+    }
+
+    fn note(&mut self) {
+        let Some(at) = self.pick(|o| o.established) else { return };
+        let health = self.health[self.open[at].server];
+        let note = match self.rng.random_range(0..10) {
+            0..5 => Note::Load(self.rng.random_range(0.0..900.0) * if at % 7 == 0 { 8.0 } else { 1.0 }),
+            5..9 if health == Health::Slow => Note::Delay(self.rng.random_range(200..3_000)),
+            5..9 => Note::Delay(self.rng.random_range(0..300)),
+            _ if health == Health::Hung => Note::Unanswered,
+            _ if health == Health::Slow => Note::Delay(3 * SECOND),
+            _ => Note::Delay(self.rng.random_range(0..1_000)),
+        };
+        self.balancer.noted(self.now, self.open[at].handle, note);
+    }
+
+    fn probe_answers(&mut self) {
+        let server = self.rng.random_range(0..SERVERS);
+        let (how, took) = match self.health[server] {
+            Health::Good => (Outcome::Accepted, self.rng.random_range(0..200)),
+            Health::Slow => (Outcome::Accepted, self.rng.random_range(0..900)),
+            Health::Hung => (Outcome::Late, SECOND / 5),
+            Health::Full => (Outcome::Full, 10),
+            Health::Erring => (Outcome::Error, 10),
+            Health::Dead => (Outcome::Unmade, 10),
+        };
+        let most = if self.health[server] == Health::Slow { 2.0 } else { 0.7 };
+        let (load, holds) = (self.rng.random_range(0.01..most), self.rng.random_range(0.0..90.0f64).floor());
+        self.balancer.probed(self.now, server, how, took, load, holds);
+    }
+
+    fn list_changes(&mut self) {
+        let server = self.rng.random_range(0..SERVERS);
+        match self.rng.random_range(0..12) {
+            0 => self.list(Scope::Whole, SERVERS),
+            1 => self.list(Scope::Whole, SERVERS - 3),
+            2 => self.balancer.list_failed(self.now),
+            n => {
+                let states = [State::Ready, State::Draining, State::Ready, State::Gone, State::Ready];
+                let state = states[self.rng.random_range(0..5)];
+                let came_up = if n < 6 { self.now } else { 0 };
+                self.balancer.heard_list(self.now, Scope::Changes, &[entry(server, state, came_up)]);
+            }
+        }
+    }
+
+    fn health_changes(&mut self) {
+        let all = [Health::Slow, Health::Hung, Health::Full, Health::Erring, Health::Dead];
+        let bad = all[self.rng.random_range(0..5)];
+        match self.rng.random_range(0..12) {
+            // The session store behind all servers fails or recovers.
+            0 => self.health.fill(if bad == Health::Erring { Health::Erring } else { Health::Hung }),
+            1..5 => self.health.fill(Health::Good),
+            5..8 => {
+                let server = self.rng.random_range(0..SERVERS);
+                self.health[server] = Health::Good;
+            }
+            _ => {
+                let server = self.rng.random_range(0..SERVERS);
+                self.health[server] = bad;
+            }
+        }
+    }
+
+    /// A new process of the proxy goes on with some sessions that are established.
+    fn restart(&mut self) {
+        let seed = self.rng.random();
+        self.balancer = Balancer::new(self.settings.clone(), seed, self.now);
+        self.list(Scope::Cached, SERVERS - 1);
+        self.balancer.succeeds(self.now);
+        let standing: Vec<_> = self.open.drain(..).filter(|o| o.established).collect();
+        for open in standing.into_iter().take(40) {
+            let session = self.session();
+            let handle = self.balancer.adopt(self.now, session, open.server);
+            self.fold(&[handle as u64]);
+            self.open.push(Open { handle, server: open.server, dialling: false, established: true });
+        }
+    }
+
+    fn pick(&mut self, fits: impl Fn(&Open) -> bool) -> Option<usize> {
+        let fit: Vec<_> = (0..self.open.len()).filter(|&at| fits(&self.open[at])).collect();
+        (!fit.is_empty()).then(|| fit[self.rng.random_range(0..fit.len())])
+    }
+
+    fn step(&mut self, n: usize) {
+        match self.rng.random_range(0..1_000) {
+            _ if n % 3_000 == 2_999 => self.restart(),
+            0..240 => self.place(),
+            240..500 => self.dial_ends(),
+            500..590 => self.established_ends(),
+            590..740 => self.note(),
+            740..800 => self.probe_answers(),
+            800..815 => self.list_changes(),
+            815..825 => self.health_changes(),
+            825..835 if !self.open.is_empty() => {
+                let at = self.rng.random_range(0..self.open.len());
+                let handle = self.open.remove(at).handle;
+                self.balancer.left(handle);
+            }
+            _ => {
+                let busy = n % 4_000 < 2_500;
+                self.now += self.rng.random_range(1..if busy { SECOND / 10 } else { 2 * SECOND });
+            }
+        }
+        self.poll();
+    }
+
+    fn run(variant: u64) -> (u64, [usize; 11]) {
+        let mut trace = Self::new(variant);
+        for n in 0..EVENTS {
+            trace.step(n);
+        }
+        (trace.hash.digest(), trace.seen)
+    }
+}
+
+#[rustfmt::skip]
+const HASHES: [u64; 64] = [
+    0x7475_5757_85b3_dcdb, 0x29c6_ea3b_cef0_79fa, 0x213b_4246_b815_92c5, 0xd52b_dc35_d759_1d37,
+    0xca6c_b6c4_801f_eef5, 0x1fb5_b676_3cb5_8cde, 0x0de2_ac3c_7bb2_b211, 0xd26c_4243_38e7_5dc7,
+    0x2384_fdf5_9646_1837, 0x6dd3_21bc_131d_7788, 0x4e71_e529_8a26_a3de, 0x8f8b_c07e_704d_4ede,
+    0xdd22_34a4_bc60_d331, 0x7a2a_d424_6135_52ee, 0xf5a3_bad4_37ab_6d18, 0x0974_87ec_b33f_bc35,
+    0xfe87_4df6_3d9f_b310, 0x5beb_c193_71ba_5c77, 0x2852_bc31_7b60_213a, 0xe04b_6ae8_8577_568a,
+    0xdec5_621e_f8ca_aa8a, 0x7fbc_76f4_80c6_0d0c, 0x1591_e0eb_9569_d768, 0x3965_7bf3_97fa_39b1,
+    0xa0f6_a1cc_c6cd_fbf4, 0xcf7c_efee_4e71_40b2, 0x325a_44de_eb76_6e8b, 0xd301_b095_deb9_7e0d,
+    0x6302_0a00_aef1_9dd6, 0xf3cb_feaa_ba6e_20f2, 0x08ad_e04d_d8a3_de5c, 0x3f3d_a5b4_79bc_7d77,
+    0x9bcd_2985_9408_c793, 0x9cc0_70c4_f50d_2153, 0x43c1_fc2e_03e2_aa15, 0xf8cb_553d_8abb_dd5a,
+    0x116a_1413_c6ab_3a3d, 0x4de3_9489_aa75_32dd, 0x1af5_ad43_bd64_ebc7, 0x5522_8caa_14d7_179f,
+    0x052b_850f_0c91_6e04, 0x5642_b9ff_39d9_1691, 0x9d13_2269_43aa_b6f1, 0xe921_e96d_dc13_ca09,
+    0xae4f_182b_aac8_1365, 0xb4ed_43ef_266b_3fbd, 0x1083_b60a_641e_5703, 0x6dd3_1405_61fe_4472,
+    0xc31d_9ad4_5a8e_89b5, 0x34b0_e329_185b_c5c6, 0xad12_84d0_e5f5_4077, 0xd998_d263_3629_9e99,
+    0xb99c_568c_85e4_73cc, 0xc5e1_14d0_9880_4170, 0xa012_d46b_dacd_7e03, 0x3d8e_47e2_8327_3139,
+    0xb2cb_1700_b09f_c858, 0xe85d_09ef_9cd0_018f, 0xbd71_43a2_870a_e24b, 0xb9ec_ddac_0919_0ab0,
+    0x0a21_fea0_4a47_b68e, 0x2d31_b203_df9b_2555, 0x3401_8eca_2cdc_a1d4, 0x6590_720d_414c_ee97,
+];
+
+#[test]
+fn every_decision_is_as_it_was() {
+    let runs: Vec<_> = (0..HASHES.len() as u64).map(Trace::run).collect();
+    let hashes: Vec<_> = runs.iter().map(|(hash, _)| *hash).collect();
+    let mut seen = [0; 11];
+    for (_, counts) in &runs {
+        seen.iter_mut().zip(counts).for_each(|(all, n)| *all += n);
+    }
+    assert!(seen.iter().all(|&n| n >= 50), "an output that is hardly seen: {seen:?}");
+    assert_eq!(hashes, HASHES, "{seen:?} {hashes:#x?}");
+}
