--- a/crates/larklink-adapter/src/proxy.rs
+++ b/crates/larklink-adapter/src/proxy.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeSet, HashMap};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-use larklink::types::*;
-use larklink_core::core::{Action, Core};
-use larklink_core::settings::{ProxySettings, tenths};
+use larklink_balancer::types::*;
+use larklink_engine::core::{Action, Core};
+use larklink_engine::settings::{ProxySettings, tenths};
 
 use crate::wire::{Batch, Fields, Malformed, Reply};
 
--- a/crates/larklink/tests/cold_herd.rs
+++ b/crates/larklink-balancer/tests/cold_herd.rs
@@ -3,8 +3,8 @@
 //! The killed come back one by one, and each proxy hears of the cold servers in its own moment.
 use std::collections::{BTreeMap, BTreeSet};
 
-use larklink::balancer::Balancer;
-use larklink::types::*;
+use larklink_balancer::balancer::Balancer;
+use larklink_balancer::types::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/larklink/tests/decision_trace.rs
+++ b/crates/larklink-balancer/tests/decision_trace.rs
@@ -1,7 +1,7 @@
 //! Holds the decisions still: seeded random events go in, and every output is folded, as numbers, into one hash a
 //! seed. The hashes were taken before the code was reshaped; one that differs means that a decision has changed.
-use larklink::balancer::Balancer;
-use larklink::types::*;
+use larklink_balancer::balancer::Balancer;
+use larklink_balancer::types::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use xxhash_rust::xxh3::Xxh3;
--- a/crates/larklink/tests/rules.rs
+++ b/crates/larklink-balancer/tests/rules.rs
@@ -1,8 +1,8 @@
 //! Seeded random runs that check the rules after every step, and a plain case for each failure found.
 use std::collections::BTreeMap;
 
-use larklink::balancer::Balancer;
-use larklink::types::*;
+use larklink_balancer::balancer::Balancer;
+use larklink_balancer::types::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
--- a/crates/larklink/tests/store_jam.rs
+++ b/crates/larklink-balancer/tests/store_jam.rs
@@ -3,8 +3,8 @@
 //! a bounded number of times, and new ones keep coming. Each restarted proxy knows nothing of the jam that it meets.
 use std::collections::BTreeSet;
 
-use larklink::balancer::Balancer;
-use larklink::types::*;
+use larklink_balancer::balancer::Balancer;
+use larklink_balancer::types::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/larklink-fleet/src/lease.rs
+++ b/crates/larklink-coordination/src/lease.rs
@@ -9,7 +9,7 @@
 //! on two things: a holder counts from before it asked, and a candidate from after it heard.
 use std::marker::PhantomData;
 
-use larklink::types::Time;
+use larklink_balancer::types::Time;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
--- a/crates/larklink-core/src/core.rs
+++ b/crates/larklink-engine/src/core.rs
@@ -3,8 +3,8 @@
 //! after each batch of events and when [`Core::due`] has come.
 use std::collections::HashMap;
 
-use larklink::balancer::Balancer;
-use larklink::types::*;
+use larklink_balancer::balancer::Balancer;
+use larklink_balancer::types::*;
 
 use crate::settings::ProxySettings;
 
--- a/crates/larklink-core/src/settings.rs
+++ b/crates/larklink-engine/src/settings.rs
@@ -1,5 +1,5 @@
 //! The settings object of a proxy, from JSON to the module's plain values and what its protocols need.
-use larklink::types::{Group, Kind, Listener, Nines, RetryBudget, Settings, Time};
+use larklink_balancer::types::{Group, Kind, Listener, Nines, RetryBudget, Settings, Time};
 use serde::Deserialize;
 
 /// Nanoseconds to whole tenths of a millisecond, rounded down.
--- a/crates/larklink-core/tests/core.rs
+++ b/crates/larklink-engine/tests/core.rs
@@ -1,9 +1,9 @@
 //! Seeded random runs of the core: what it asks for is in order whatever it hears.
 use std::collections::BTreeMap;
 
-use larklink::types::*;
-use larklink_core::core::{Action, Core};
-use larklink_core::settings::ProxySettings;
+use larklink_balancer::types::*;
+use larklink_engine::core::{Action, Core};
+use larklink_engine::settings::ProxySettings;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
--- a/crates/larklink-core/tests/sites.rs
+++ b/crates/larklink-engine/tests/sites.rs
@@ -2,8 +2,8 @@
 //! its site file has them.
 use std::path::{Path, PathBuf};
 
-use larklink::types::Kind;
-use larklink_core::settings::{ProxySettings, tenths};
+use larklink_balancer::types::Kind;
+use larklink_engine::settings::{ProxySettings, tenths};
 use serde_json::{Map, Value, json};
 
 fn sites() -> Vec<PathBuf> {
--- a/crates/larklink-proxy/src/clients.rs
+++ b/crates/larklink-proxy/src/clients.rs
@@ -12,7 +12,7 @@
 use async_channel::Receiver;
 use async_io::{Async, Timer};
 use futures_lite::{AsyncWriteExt, FutureExt, future};
-use larklink::types::*;
+use larklink_balancer::types::*;
 use rand_chacha::ChaCha8Rng;
 use socket2::SockRef;
 
--- a/crates/larklink-proxy/src/clock.rs
+++ b/crates/larklink-proxy/src/clock.rs
@@ -2,7 +2,7 @@
 //! moment of the start is the wall clock's. A server's start, told as wall time, then lies on the same scale.
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use larklink::types::Time;
+use larklink_balancer::types::Time;
 
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
--- a/crates/larklink-proxy/src/config.rs
+++ b/crates/larklink-proxy/src/config.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use larklink_core::settings::ProxySettings;
+use larklink_engine::settings::ProxySettings;
 use serde::{Deserialize, Deserializer, de::Error};
 use serde_json::Value;
 
--- a/crates/larklink-proxy/src/decisions.rs
+++ b/crates/larklink-proxy/src/decisions.rs
@@ -10,9 +10,9 @@
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use futures_lite::{FutureExt, future};
-use larklink::types::*;
-use larklink_core::core::{Action, Core};
-use larklink_core::settings::ProxySettings;
+use larklink_balancer::types::*;
+use larklink_engine::core::{Action, Core};
+use larklink_engine::settings::ProxySettings;
 
 use crate::clock::{Clock, tenths};
 use crate::delays::Delays;
--- a/crates/larklink-proxy/src/delays.rs
+++ b/crates/larklink-proxy/src/delays.rs
@@ -3,7 +3,7 @@
 //! once more when it is back under.
 use std::collections::HashMap;
 
-use larklink::types::Time;
+use larklink_balancer::types::Time;
 
 const SECOND: Time = 10_000;
 
--- a/crates/larklink-proxy/src/discovery.rs
+++ b/crates/larklink-proxy/src/discovery.rs
@@ -8,7 +8,7 @@
 use async_channel::Receiver;
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt, future};
-use larklink::types::{Scope, Time};
+use larklink_balancer::types::{Scope, Time};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/larklink-proxy/src/events.rs
+++ b/crates/larklink-proxy/src/events.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use async_channel::{Receiver, Sender};
-use larklink::types::{Note, Outcome, Scope, Session, Time};
+use larklink_balancer::types::{Note, Outcome, Scope, Session, Time};
 
 use crate::list::Endpoint;
 
--- a/crates/larklink-proxy/src/list.rs
+++ b/crates/larklink-proxy/src/list.rs
@@ -1,5 +1,5 @@
 //! The list of servers in discovery's form, and an entry of it in the decisions' plain values. Pure.
-use larklink::types::{Entry, State, Time};
+use larklink_balancer::types::{Entry, State, Time};
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
--- a/crates/larklink-proxy/src/pending.rs
+++ b/crates/larklink-proxy/src/pending.rs
@@ -8,7 +8,7 @@
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::{FutureExt, future};
-use larklink::types::*;
+use larklink_balancer::types::*;
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 
 use crate::clients::{Client, Front, LAST, LOOK, answer};
--- a/crates/larklink-proxy/src/probes.rs
+++ b/crates/larklink-proxy/src/probes.rs
@@ -7,8 +7,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use larklink::types::Outcome;
-use larklink_core::settings::ProxySettings;
+use larklink_balancer::types::Outcome;
+use larklink_engine::settings::ProxySettings;
 
 use crate::clock::{span, tenths};
 use crate::events::{Event, Queue};
--- a/crates/larklink-proxy/src/relay.rs
+++ b/crates/larklink-proxy/src/relay.rs
@@ -8,7 +8,7 @@
 use async_channel::Receiver;
 use async_io::{Async, Timer};
 use futures_lite::{AsyncWriteExt, FutureExt, future};
-use larklink::types::*;
+use larklink_balancer::types::*;
 use rand::RngExt;
 
 use crate::clients::{Client, Front, LINGER, LOOK, STUCK, close, reset};
--- a/crates/larklink-proxy/src/servers.rs
+++ b/crates/larklink-proxy/src/servers.rs
@@ -6,7 +6,7 @@
 
 use async_io::{Async, Timer};
 use futures_lite::FutureExt;
-use larklink::types::Outcome;
+use larklink_balancer::types::Outcome;
 
 use crate::figures::Figures;
 use crate::lines::{Inbox, Reply, word};
--- a/crates/larklink-proxy/tests/descriptors.rs
+++ b/crates/larklink-proxy/tests/descriptors.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use futures_lite::future::{self, block_on, poll_once};
-use larklink::types::Outcome;
+use larklink_balancer::types::Outcome;
 use larklink_proxy::config::Config;
 use larklink_proxy::events::{Event, queue};
 use larklink_proxy::limiter::ConnectionLimiter;
--- a/crates/larklink-proxy/tests/endings.rs
+++ b/crates/larklink-proxy/tests/endings.rs
@@ -8,7 +8,7 @@
 
 use async_executor::LocalExecutor;
 use futures_lite::future;
-use larklink::types::Session;
+use larklink_balancer::types::Session;
 use larklink_proxy::config::Config;
 use larklink_proxy::decisions::Owner;
 use larklink_proxy::events::{self, Event};
--- a/crates/larklink-proxy/tests/kit/mod.rs
+++ b/crates/larklink-proxy/tests/kit/mod.rs
@@ -1,11 +1,11 @@
 //! What the rehearsals of the program share.
 use std::path::Path;
 
-use larklink_rehearse::doors::Planted;
-use larklink_rehearse::report::Report;
-use larklink_rehearse::run::{Options, run};
-use larklink_world::audit::Broken;
-use larklink_world::scenario::Scenario;
+use larklink_simulation::audit::Broken;
+use larklink_simulation::scenario::Scenario;
+use larklink_testbed::doors::Planted;
+use larklink_testbed::report::Report;
+use larklink_testbed::run::{Options, run};
 
 /// A run for which the machine had no time counts for nothing and is made again, so often.
 const TRIES: u64 = 8;
--- a/crates/larklink-proxy/tests/lines.rs
+++ b/crates/larklink-proxy/tests/lines.rs
@@ -1,6 +1,6 @@
 //! What is read from the network, pure: heads, servers' words, the bounded buffer, discovery's answers,
 //! delays.
-use larklink::types::State;
+use larklink_balancer::types::State;
 use larklink_proxy::config::Config;
 use larklink_proxy::delays::Delays;
 use larklink_proxy::discovery::{Answer, pause};
--- a/crates/larklink-proxy/tests/rehearsals.rs
+++ b/crates/larklink-proxy/tests/rehearsals.rs
@@ -2,11 +2,11 @@
 use std::path::Path;
 use std::thread;
 
-use larklink_rehearse::doors::Planted;
-use larklink_rehearse::report::Report;
-use larklink_rehearse::run::{Options, run};
-use larklink_world::audit::Broken;
-use larklink_world::scenario::Scenario;
+use larklink_simulation::audit::Broken;
+use larklink_simulation::scenario::Scenario;
+use larklink_testbed::doors::Planted;
+use larklink_testbed::report::Report;
+use larklink_testbed::run::{Options, run};
 
 mod kit;
 use kit::{TROUBLED, clean, rehearse};
--- a/crates/larklink-proxy/tests/rolling.rs
+++ b/crates/larklink-proxy/tests/rolling.rs
@@ -7,7 +7,7 @@
 /// order. It takes 26 s. Restarted proxies kept that queue full of dials whose clients had gone, to the end of the run.
 #[test]
 fn goodput_comes_back_after_thirty_daemons_are_restarted_in_turn() {
-    let report = rehearse(include_str!("../../../rehearsals/rolling-restart.toml"), 1, None);
+    let report = rehearse(include_str!("../../../scenarios/rolling-restart.toml"), 1, None);
     println!("{:?}, late by {:?} us", report.recovery, report.kit_late_us);
     clean(&report);
     assert!(
--- a/crates/larklink-world/src/audit.rs
+++ b/crates/larklink-simulation/src/audit.rs
@@ -2,7 +2,7 @@
 //! a proxy that was killed is told apart, by name, from a loss.
 use std::collections::BTreeMap;
 
-use larklink::types::Time;
+use larklink_balancer::types::Time;
 use serde::Serialize;
 
 use crate::book::{Answer, Ask, Book, DialEnd, End, Entry, What};
--- a/crates/larklink-world/src/book.rs
+++ b/crates/larklink-simulation/src/book.rs
@@ -1,6 +1,6 @@
 //! The book of answers: clients, servers, front and list write down what they saw, in the order of time. The
 //! proxy that is judged has no hand in it.
-use larklink::types::Time;
+use larklink_balancer::types::Time;
 use serde::Serialize;
 
 /// A client's first line.
--- a/crates/larklink-world/src/clients.rs
+++ b/crates/larklink-simulation/src/clients.rs
@@ -1,7 +1,7 @@
 //! Clients: when they come, how long they wait, what they send, when they try again, and how long they stay.
 use std::collections::HashMap;
 
-use larklink::types::Time;
+use larklink_balancer::types::Time;
 use rand::{Rng, RngExt};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1};
--- a/crates/larklink-world/src/contest.rs
+++ b/crates/larklink-simulation/src/contest.rs
@@ -1,7 +1,7 @@
 //! Members that contend for one lease, over links that lose, delay and reorder what they say to the register, by clocks
 //! that run fast and slow. Each call may take effect at any moment, also long after its caller has given it up.
-use larklink::types::Time;
-use larklink_fleet::lease::{Answer, Ask, Law, Lease, Member, Record, Terms, Token};
+use larklink_balancer::types::Time;
+use larklink_coordination::lease::{Answer, Ask, Law, Lease, Member, Record, Terms, Token};
 
 use crate::explore::Model;
 use crate::register::Register;
--- a/crates/larklink-world/src/faults.rs
+++ b/crates/larklink-simulation/src/faults.rs
@@ -1,5 +1,5 @@
 //! The faults of a scenario as single events in order of time, those who are struck drawn from the seed.
-use larklink::types::Time;
+use larklink_balancer::types::Time;
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/larklink-world/src/front.rs
+++ b/crates/larklink-simulation/src/front.rs
@@ -1,6 +1,6 @@
 //! The front: deals connections out among the proxies of their zone, in turn. It takes a proxy in once that has answered,
 //! and goes on sending to one that has died for as long as it takes it to notice.
-use larklink::types::Time;
+use larklink_balancer::types::Time;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Seen {
--- a/crates/larklink-world/src/goodput.rs
+++ b/crates/larklink-simulation/src/goodput.rs
@@ -2,7 +2,7 @@
 //! offered; and how long after the last restart of a proxy it is back for good.
 use std::collections::BTreeMap;
 
-use larklink::types::Time;
+use larklink_balancer::types::Time;
 use serde::Serialize;
 
 use crate::book::{Answer, Book, What};
--- a/crates/larklink-world/src/list.rs
+++ b/crates/larklink-simulation/src/list.rs
@@ -1,5 +1,5 @@
 //! The list of servers as discovery has it: changes show after a lag, and not at all while it stands still.
-use larklink::types::Time;
+use larklink_balancer::types::Time;
 
 use crate::spans::Agenda;
 
--- a/crates/larklink-world/src/scenario.rs
+++ b/crates/larklink-simulation/src/scenario.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::ops::Range;
 
-use larklink::types::Time;
+use larklink_balancer::types::Time;
 use serde::Deserialize;
 use toml::Spanned;
 
--- a/crates/larklink-world/src/server.rs
+++ b/crates/larklink-simulation/src/server.rs
@@ -3,7 +3,7 @@
 //! drain, and drop what it has just taken.
 use std::collections::{BTreeMap, VecDeque};
 
-use larklink::types::Time;
+use larklink_balancer::types::Time;
 
 use crate::spans::{Agenda, SECOND};
 use crate::store::Store;
--- a/crates/larklink-world/src/simulate.rs
+++ b/crates/larklink-simulation/src/simulate.rs
@@ -2,9 +2,9 @@
 //! clock, the same seed the same book. Each message takes one hop.
 use std::collections::BTreeMap;
 
-use larklink::types::{Entry, Note, Outcome, Scope, Session, State, Time};
-use larklink_core::core::{Action, Core};
-use larklink_core::settings::ProxySettings;
+use larklink_balancer::types::{Entry, Note, Outcome, Scope, Session, State, Time};
+use larklink_engine::core::{Action, Core};
+use larklink_engine::settings::ProxySettings;
 
 use crate::audit::{Findings, audit};
 use crate::book::{Answer, Ask, Book, DialEnd, End, What};
--- a/crates/larklink-world/src/spans.rs
+++ b/crates/larklink-simulation/src/spans.rs
@@ -2,7 +2,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use larklink::types::Time;
+use larklink_balancer::types::Time;
 use serde::{Deserialize, Deserializer, de::Error};
 
 pub const SECOND: Time = 10_000;
--- a/crates/larklink-world/src/store.rs
+++ b/crates/larklink-simulation/src/store.rs
@@ -1,6 +1,6 @@
 //! The session store that all servers share: calls one after another, at a rate; slow spells; a bound on how
 //! long a call may wait. It goes on working at calls whose sessions have been given up.
-use larklink::types::Time;
+use larklink_balancer::types::Time;
 
 use crate::spans::SECOND;
 
--- a/crates/larklink-world/src/world.rs
+++ b/crates/larklink-simulation/src/world.rs
@@ -1,5 +1,5 @@
 //! The whole world behind one door: faults and falling due go in with the time, deeds for the carrier come out.
-use larklink::types::Time;
+use larklink_balancer::types::Time;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/larklink-world/tests/audit.rs
+++ b/crates/larklink-simulation/tests/audit.rs
@@ -1,8 +1,8 @@
 //! The audit on books written by hand: each thing that can be broken, beside the nearest thing that is sound.
-use larklink_world::audit::{Broken, Findings, audit};
-use larklink_world::book::{Answer, Ask, Book, DialEnd, End, Way, What};
-use larklink_world::scenario::Scenario;
-use larklink_world::spans::SECOND;
+use larklink_simulation::audit::{Broken, Findings, audit};
+use larklink_simulation::book::{Answer, Ask, Book, DialEnd, End, Way, What};
+use larklink_simulation::scenario::Scenario;
+use larklink_simulation::spans::SECOND;
 
 const ID: u64 = 7;
 const END: u64 = 20 * SECOND;
--- a/crates/larklink-world/tests/lease.rs
+++ b/crates/larklink-simulation/tests/lease.rs
@@ -1,9 +1,9 @@
 //! No two members act by one lease at once: every interleaving up to a depth, long drawn ones beyond, and three
 //! mistaken laws that both must find.
-use larklink::types::Time;
-use larklink_fleet::lease::{Law, Sound, Terms};
-use larklink_world::contest::{Contest, Move};
-use larklink_world::explore::{Explored, Model, explore};
+use larklink_balancer::types::Time;
+use larklink_coordination::lease::{Law, Sound, Terms};
+use larklink_simulation::contest::{Contest, Move};
+use larklink_simulation::explore::{Explored, Model, explore};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/larklink-world/tests/rolling.rs
+++ b/crates/larklink-simulation/tests/rolling.rs
@@ -1,12 +1,12 @@
 //! Goodput after a restart: its figure on books written by hand, and the shipped rolling restart in simulated time, where
 //! the session store serves its queue in order and works at what is given up all the same.
-use larklink_world::book::{Answer, Ask, Book, What};
-use larklink_world::goodput::{Recovery, recovery};
-use larklink_world::scenario::Scenario;
-use larklink_world::simulate::{Run, run};
-use larklink_world::spans::SECOND;
+use larklink_simulation::book::{Answer, Ask, Book, What};
+use larklink_simulation::goodput::{Recovery, recovery};
+use larklink_simulation::scenario::Scenario;
+use larklink_simulation::simulate::{Run, run};
+use larklink_simulation::spans::SECOND;
 
-const SHIPPED: &str = include_str!("../../../rehearsals/rolling-restart.toml");
+const SHIPPED: &str = include_str!("../../../scenarios/rolling-restart.toml");
 /// The scenario's own demand.
 const WITHIN: u64 = 5 * SECOND;
 
--- a/crates/larklink-world/tests/world.rs
+++ b/crates/larklink-simulation/tests/world.rs
@@ -1,14 +1,14 @@
 //! The world alone, in simulated time: seeded runs that check after every step, and a case for each hard thing.
 use std::ops::Range;
 
-use larklink_world::audit::Broken;
-use larklink_world::book::{DialEnd, Entry, What};
-use larklink_world::front::Front;
-use larklink_world::scenario::Scenario;
-use larklink_world::server::{Life, Out, Profile, Say, Server};
-use larklink_world::simulate::{Run, run};
-use larklink_world::spans::{SECOND, Span};
-use larklink_world::store::Store;
+use larklink_simulation::audit::Broken;
+use larklink_simulation::book::{DialEnd, Entry, What};
+use larklink_simulation::front::Front;
+use larklink_simulation::scenario::Scenario;
+use larklink_simulation::server::{Life, Out, Profile, Say, Server};
+use larklink_simulation::simulate::{Run, run};
+use larklink_simulation::spans::{SECOND, Span};
+use larklink_simulation::store::Store;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
--- a/crates/larklink-rehearse/src/clients.rs
+++ b/crates/larklink-testbed/src/clients.rs
@@ -6,7 +6,7 @@
 use async_channel::Receiver;
 use async_io::{Async, Timer};
 use futures_lite::FutureExt;
-use larklink_world::book::{Answer, Ask, End, What};
+use larklink_simulation::book::{Answer, Ask, End, What};
 
 use crate::stage::{Order, Stage};
 use crate::wire::{Lines, Next, answer, client_line, next, numbers, open_line};
--- a/crates/larklink-rehearse/src/daemons.rs
+++ b/crates/larklink-testbed/src/daemons.rs
@@ -11,8 +11,8 @@
 use async_channel::Receiver;
 use async_io::{Async, Timer};
 use futures_lite::FutureExt;
-use larklink_world::faults::Upon;
-use larklink_world::simulate;
+use larklink_simulation::faults::Upon;
+use larklink_simulation::simulate;
 use rustix::process::{Pid, Signal, kill_process, set_parent_process_death_signal};
 
 use crate::discovery::entry;
--- a/crates/larklink-rehearse/src/discovery.rs
+++ b/crates/larklink-testbed/src/discovery.rs
@@ -5,7 +5,7 @@
 
 use async_io::{Async, Timer};
 use futures_lite::{AsyncWriteExt, FutureExt};
-use larklink_world::list::Line;
+use larklink_simulation::list::Line;
 
 use crate::stage::Stage;
 use crate::wire::{Lines, listen};
--- a/crates/larklink-rehearse/src/doors.rs
+++ b/crates/larklink-testbed/src/doors.rs
@@ -7,9 +7,9 @@
 
 use async_io::{Async, Timer};
 use futures_lite::FutureExt;
-use larklink_world::book::Answer;
-use larklink_world::scenario::Kind;
-use larklink_world::server::Life;
+use larklink_simulation::book::Answer;
+use larklink_simulation::scenario::Kind;
+use larklink_simulation::server::Life;
 
 use crate::stage::Stage;
 use crate::wire::{Lines, answer, head, listen};
--- a/crates/larklink-rehearse/src/lib.rs
+++ b/crates/larklink-testbed/src/lib.rs
@@ -1,4 +1,4 @@
-//! Rehearsals: the model of `larklink-world` on loopback sockets, with real daemons between its clients and its
+//! Rehearsals: the model of `larklink-simulation` on loopback sockets, with real daemons between its clients and its
 //! servers. The book is kept by the stand-ins; the daemon that is judged has no hand in it.
 pub mod clients;
 pub mod daemons;
--- a/crates/larklink-rehearse/src/report.rs
+++ b/crates/larklink-testbed/src/report.rs
@@ -1,12 +1,12 @@
 //! What a rehearsal found, as plain values that can be printed, kept as JSON and plotted.
 use hdrhistogram::Histogram;
-use larklink::types::Time;
-use larklink_world::audit::{Answers, Breach, Findings, Shape};
-use larklink_world::book::{Answer, What};
-use larklink_world::faults::Band;
-use larklink_world::goodput::{Recovery, recovery};
-use larklink_world::scenario::Scenario;
-use larklink_world::world::World;
+use larklink_balancer::types::Time;
+use larklink_simulation::audit::{Answers, Breach, Findings, Shape};
+use larklink_simulation::book::{Answer, What};
+use larklink_simulation::faults::Band;
+use larklink_simulation::goodput::{Recovery, recovery};
+use larklink_simulation::scenario::Scenario;
+use larklink_simulation::world::World;
 use serde::Serialize;
 
 use crate::daemons::Use;
@@ -73,7 +73,7 @@
             at,
             standing: world.clients.standing,
             waiting: world.clients.waiting,
-            held: world.servers.iter().map(larklink_world::server::Server::held).collect(),
+            held: world.servers.iter().map(larklink_simulation::server::Server::held).collect(),
             service: world.clients.served_now(at),
             ..Self::default()
         };
--- a/crates/larklink-rehearse/src/run.rs
+++ b/crates/larklink-testbed/src/run.rs
@@ -12,9 +12,9 @@
 use async_signal::{Signal, Signals};
 use futures_lite::{FutureExt, StreamExt};
 use hdrhistogram::Histogram;
-use larklink_world::audit::audit;
-use larklink_world::scenario::Scenario;
-use larklink_world::world::World;
+use larklink_simulation::audit::audit;
+use larklink_simulation::scenario::Scenario;
+use larklink_simulation::world::World;
 
 use crate::daemons::{self, Slot};
 use crate::doors::{self, Planted};
--- a/crates/larklink-rehearse/src/servers.rs
+++ b/crates/larklink-testbed/src/servers.rs
@@ -5,9 +5,9 @@
 use async_channel::Receiver;
 use async_io::Async;
 use futures_lite::FutureExt;
-use larklink_world::book::DialEnd;
-use larklink_world::scenario::Listener;
-use larklink_world::server::{Conn, Say};
+use larklink_simulation::book::DialEnd;
+use larklink_simulation::scenario::Listener;
+use larklink_simulation::server::{Conn, Say};
 
 use crate::stage::{Listening, Stage};
 use crate::wire::{Lines, Next, head, listen, next, numbers, server_line};
--- a/crates/larklink-rehearse/src/stage.rs
+++ b/crates/larklink-testbed/src/stage.rs
@@ -9,12 +9,12 @@
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use hdrhistogram::Histogram;
-use larklink::types::Time;
-use larklink_world::clients::Act;
-use larklink_world::faults::Upon;
-use larklink_world::scenario::Scenario;
-use larklink_world::server::{Conn, Say};
-use larklink_world::world::{Deed, World};
+use larklink_balancer::types::Time;
+use larklink_simulation::clients::Act;
+use larklink_simulation::faults::Upon;
+use larklink_simulation::scenario::Scenario;
+use larklink_simulation::server::{Conn, Say};
+use larklink_simulation::world::{Deed, World};
 
 /// What a client's task is to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/larklink-rehearse/src/wire.rs
+++ b/crates/larklink-testbed/src/wire.rs
@@ -6,9 +6,9 @@
 use async_channel::Receiver;
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt, future};
-use larklink::types::Time;
-use larklink_world::book::{Answer, Ask};
-use larklink_world::server::{Report, Say};
+use larklink_balancer::types::Time;
+use larklink_simulation::book::{Answer, Ask};
+use larklink_simulation::server::{Report, Say};
 use socket2::{Domain, SockRef, Socket, Type};
 
 const LONGEST: usize = 4096;
--- a/crates/larkctl/src/main.rs
+++ b/crates/larklinkctl/src/main.rs
@@ -4,7 +4,7 @@
 
 use clap::{Parser, Subcommand};
 
-mod rehearse;
+mod run;
 
 #[derive(Parser)]
 #[command(version, about)]
@@ -16,11 +16,12 @@
 #[derive(Subcommand)]
 enum Command {
     /// Run daemons between stand-in servers and scripted clients, and audit every answer.
-    Rehearse(rehearse::Arguments),
+    #[command(alias = "rehearse")]
+    Run(run::Arguments),
 }
 
 fn main() -> ExitCode {
     match Arguments::parse().command {
-        Command::Rehearse(arguments) => rehearse::run(&arguments),
+        Command::Run(arguments) => run::execute(&arguments),
     }
 }
--- a/crates/larkctl/src/rehearse.rs
+++ b/crates/larklinkctl/src/run.rs
@@ -1,35 +1,35 @@
-//! `larkctl rehearse`: a scenario, its progress, its table, its report.
+//! `larklinkctl run`: a scenario, its progress, its table, its report.
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use comfy_table::{Table, presets::UTF8_HORIZONTAL_ONLY};
 use indicatif::{ProgressBar, ProgressStyle};
-use larklink_rehearse::plots;
-use larklink_rehearse::report::Report;
-use larklink_rehearse::run::{self, Options};
-use larklink_world::audit::Shape;
-use larklink_world::scenario::Scenario;
+use larklink_simulation::audit::Shape;
+use larklink_simulation::scenario::Scenario;
+use larklink_testbed::plots;
+use larklink_testbed::report::Report;
+use larklink_testbed::run::{self, Options};
 
 /// The scenarios that ship with the daemon, by name.
 const SHIPPED: [(&str, &str); 18] = [
-    ("calm", include_str!("../../../rehearsals/calm.toml")),
-    ("cold-herd", include_str!("../../../rehearsals/cold-herd.toml")),
-    ("cold-return", include_str!("../../../rehearsals/cold-return.toml")),
-    ("deaf-clients", include_str!("../../../rehearsals/deaf-clients.toml")),
-    ("killed-at-accept", include_str!("../../../rehearsals/killed-at-accept.toml")),
-    ("list-lost", include_str!("../../../rehearsals/list-lost.toml")),
-    ("list-lost-late", include_str!("../../../rehearsals/list-lost-late.toml")),
-    ("operators-call", include_str!("../../../rehearsals/operators-call.toml")),
-    ("proxy-killed", include_str!("../../../rehearsals/proxy-killed.toml")),
-    ("reload-and-stop", include_str!("../../../rehearsals/reload-and-stop.toml")),
-    ("replace-process", include_str!("../../../rehearsals/replace-process.toml")),
-    ("retry-storm", include_str!("../../../rehearsals/retry-storm.toml")),
-    ("rolling-restart", include_str!("../../../rehearsals/rolling-restart.toml")),
-    ("silent-fifth", include_str!("../../../rehearsals/silent-fifth.toml")),
-    ("slow-store", include_str!("../../../rehearsals/slow-store.toml")),
-    ("stops-in-turn", include_str!("../../../rehearsals/stops-in-turn.toml")),
-    ("term-start", include_str!("../../../rehearsals/term-start.toml")),
-    ("two-shapes", include_str!("../../../rehearsals/two-shapes.toml")),
+    ("calm", include_str!("../../../scenarios/calm.toml")),
+    ("cold-herd", include_str!("../../../scenarios/cold-herd.toml")),
+    ("cold-return", include_str!("../../../scenarios/cold-return.toml")),
+    ("deaf-clients", include_str!("../../../scenarios/deaf-clients.toml")),
+    ("killed-at-accept", include_str!("../../../scenarios/killed-at-accept.toml")),
+    ("list-lost", include_str!("../../../scenarios/list-lost.toml")),
+    ("list-lost-late", include_str!("../../../scenarios/list-lost-late.toml")),
+    ("operators-call", include_str!("../../../scenarios/operators-call.toml")),
+    ("proxy-killed", include_str!("../../../scenarios/proxy-killed.toml")),
+    ("reload-and-stop", include_str!("../../../scenarios/reload-and-stop.toml")),
+    ("replace-process", include_str!("../../../scenarios/replace-process.toml")),
+    ("retry-storm", include_str!("../../../scenarios/retry-storm.toml")),
+    ("rolling-restart", include_str!("../../../scenarios/rolling-restart.toml")),
+    ("silent-fifth", include_str!("../../../scenarios/silent-fifth.toml")),
+    ("slow-store", include_str!("../../../scenarios/slow-store.toml")),
+    ("stops-in-turn", include_str!("../../../scenarios/stops-in-turn.toml")),
+    ("term-start", include_str!("../../../scenarios/term-start.toml")),
+    ("two-shapes", include_str!("../../../scenarios/two-shapes.toml")),
 ];
 /// Breaches that the terminal shows; the JSON has them all.
 const SHOWN: usize = 20;
@@ -58,7 +58,7 @@
 
 const WRONG: u8 = 2;
 
-pub fn run(arguments: &Arguments) -> ExitCode {
+pub fn execute(arguments: &Arguments) -> ExitCode {
     if arguments.list {
         let scenarios = SHIPPED.iter().filter_map(|(name, text)| Some((name, Scenario::read(text).ok()?)));
         scenarios.for_each(|(name, s)| println!("{name:16} {:>4}  {}", s.length.to_string(), s.about));
@@ -66,13 +66,13 @@
     }
     match rehearse(arguments) {
         Ok(report) if report.strained => {
-            eprintln!("larkctl: the kit itself fell behind: this run counts for nothing");
+            eprintln!("larklinkctl: the kit itself fell behind: this run counts for nothing");
             ExitCode::from(WRONG)
         }
         Ok(report) if report.kept() => ExitCode::SUCCESS,
         Ok(_) => ExitCode::FAILURE,
         Err(wrong) => {
-            eprintln!("larkctl: {wrong}");
+            eprintln!("larklinkctl: {wrong}");
             ExitCode::from(WRONG)
         }
     }
@@ -91,7 +91,7 @@
     let bar = ProgressBar::new(scenario.length.0 / 10);
     // Without a terminal nothing is drawn.
     bar.set_style(ProgressStyle::with_template("{bar:30} {msg}").map_err(|e| e.to_string())?);
-    let (sender, samples) = async_channel::bounded::<larklink_rehearse::report::Sample>(16);
+    let (sender, samples) = async_channel::bounded::<larklink_testbed::report::Sample>(16);
     let shown = bar.clone();
     let watching = std::thread::spawn(move || {
         while let Ok(sample) = samples.recv_blocking() {
@@ -126,11 +126,11 @@
     let text = match shipped {
         Some(text) => text,
         None => std::fs::read_to_string(name)
-            .map_err(|e| format!("{name}: {e}; `larkctl rehearse --list` shows those that ship"))?,
+            .map_err(|e| format!("{name}: {e}; `larklinkctl run --list` shows those that ship"))?,
     };
     Scenario::read(&text).map_err(|wrong| {
         let lines: Vec<_> = wrong.iter().map(|w| format!("{name}:{w}")).collect();
-        lines.join("\nlarkctl: ")
+        lines.join("\nlarklinkctl: ")
     })
 }
 
--- a/crates/larkctl/tests/command.rs
+++ b/crates/larklinkctl/tests/command.rs
@@ -5,21 +5,21 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 
-fn larkctl(arguments: &[&str]) -> Command {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_larkctl"));
+fn larklinkctl(arguments: &[&str]) -> Command {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_larklinkctl"));
     command.args(arguments).stdin(Stdio::null());
     command
 }
 
 fn ran(arguments: &[&str]) -> (i32, String) {
-    let Output { status, stdout, stderr } = larkctl(arguments).output().unwrap();
+    let Output { status, stdout, stderr } = larklinkctl(arguments).output().unwrap();
     let text = String::from_utf8(stdout).unwrap() + &String::from_utf8(stderr).unwrap();
     (status.code().unwrap(), text)
 }
 
 /// A file of this test's own.
 fn file(name: &str, text: &[u8]) -> PathBuf {
-    let path = std::env::temp_dir().join(format!("larkctl-{}-{name}", std::process::id()));
+    let path = std::env::temp_dir().join(format!("larklinkctl-{}-{name}", std::process::id()));
     std::fs::write(&path, text).unwrap();
     path
 }
@@ -90,11 +90,11 @@
 /// Killed outright or by Ctrl-C, the kit leaves no daemon behind; after Ctrl-C no file either.
 #[test]
 fn a_kit_that_is_killed_leaves_no_daemon_behind() {
-    let daemon = PathBuf::from(env!("CARGO_BIN_EXE_larkctl")).with_file_name("larklink");
+    let daemon = PathBuf::from(env!("CARGO_BIN_EXE_larklinkctl")).with_file_name("larklink");
     assert!(daemon.is_file(), "build the daemon first: cargo build");
     for signal in [Signal::KILL, Signal::INT] {
         let mut kit =
-            larkctl(&["rehearse", "calm"]).stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap();
+            larklinkctl(&["rehearse", "calm"]).stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap();
         let folder = format!("larklink-rehearsal-{}-", kit.id());
         assert!(until(|| with(&folder).len() == 3), "three daemons run");
         kill_process(Pid::from_child(&kit), signal).unwrap();
@@ -110,7 +110,7 @@
 #[test]
 fn a_daemon_that_ends_by_itself_is_reported_with_its_log() {
     let mut kit =
-        larkctl(&["rehearse", "calm"]).stdout(Stdio::null()).stderr(Stdio::piped()).spawn().unwrap();
+        larklinkctl(&["rehearse", "calm"]).stdout(Stdio::null()).stderr(Stdio::piped()).spawn().unwrap();
     let folder = format!("larklink-rehearsal-{}-", kit.id());
     assert!(until(|| with(&folder).len() == 3), "three daemons run");
     let first = Pid::from_raw(with(&folder).into_iter().min().unwrap().cast_signed()).unwrap();
@@ -118,5 +118,8 @@
     let mut said = String::new();
     std::io::Read::read_to_string(&mut kit.stderr.take().unwrap(), &mut said).unwrap();
     assert_eq!(kit.wait().unwrap().code(), Some(2));
-    assert!(said.contains("larkctl: proxy 0 was killed") && said.contains("INFO server s-0 up"), "{said}");
+    assert!(
+        said.contains("larklinkctl: proxy 0 was killed") && said.contains("INFO server s-0 up"),
+        "{said}"
+    );
 }
