--- a/crates/larklink-balancer/src/balancer.rs
+++ b/crates/larklink-balancer/src/balancer.rs
@@ -12,7 +12,10 @@
 use slab::Slab;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::types::*;
+use crate::action::{Action, Decision, HealthSummary, LogEvent};
+use crate::event::{AttemptOutcome, EndpointEntry, EndpointState, ListScope, Observation, SessionRequest};
+use crate::ids::{EndpointIndex, SessionHandle, TickDuration, Timestamp};
+use crate::settings::{DeduplicationGroup, Idempotency, Listener, RetryBudgetSettings, Settings};
 
 /// Buckets of the table, alike at every proxy.
 const BUCKETS: u64 = 4096;
@@ -46,7 +49,7 @@
 /// Each move takes this share of the hope that a further one earns; a second gives half as much back.
 const HOPE: f64 = 0.1;
 /// A delay note comes once a second while messages take long, and moves sessions as often.
-const NOTE: Time = 10_000;
+const NOTE: TickDuration = 10_000;
 /// Share of a crowded server's load that is moved off it each time, for each doubling of the delay.
 const EASED: f64 = 0.08;
 /// A cap on the load of a server is never less than this: it has to grow first before a session fits, for
@@ -65,7 +68,7 @@
 const FIRST: f64 = 250.0;
 /// Who has refused so many since its last dial, so long ago, makes one all the same: it would turn away all
 /// that it gets long after the store is well. It may hurt where that bears less than these of all proxies.
-const SHUT: (u32, Time) = (12, 38_000);
+const SHUT: (u32, TickDuration) = (12, 38_000);
 /// Load notes over which the mean load of a session is taken; a listener's over its root.
 const MEMORY: f64 = 256.0;
 /// Pairs of one group and pairs in all that are supposed to have been seen before any is: a proxy of a few
@@ -81,18 +84,18 @@
 /// All that is known of one server.
 #[derive(Clone, Debug, Default)]
 struct Server {
-    entry: Entry,
+    entry: EndpointEntry,
     /// When we were told that it drains or is gone.
-    told: Option<Time>,
+    told: Option<Timestamp>,
     /// It was listed as draining, and not as ready since.
     drained: bool,
     /// When it joined our list; 0: from the first.
-    joined: Time,
+    joined: Timestamp,
     /// Sessions of ours that stand there or are being dialled, and their load in mean loads of a session.
     held: u32,
     load: f64,
     /// When the first of those that are held without a break came.
-    met: Time,
+    met: Timestamp,
     /// The posterior of its chance of success: successes and failures, the prior included.
     good: f64,
     bad: f64,
@@ -100,21 +103,21 @@
     misses: u32,
     /// A connection to it failed since then, and when one served after that: lists say it late or never.
     down: bool,
-    back: Time,
-    hung: Time,
-    heard: Time,
-    probed: Option<Time>,
+    back: Timestamp,
+    hung: Timestamp,
+    heard: Timestamp,
+    probed: Option<Timestamp>,
     /// The latest probe to it is out.
     asked: bool,
     /// Up to when it counts as crowded, and when sessions were last moved off it for that.
-    crowded: Time,
-    eased: Time,
+    crowded: Timestamp,
+    eased: Timestamp,
     /// The share of its load that is too much, by the last word on it.
     excess: f64,
     /// The most load of ours that it bears, learned when it was crowded.
     cap: f64,
     /// When a session last wanted to go there while it was cold, and what part of one was due there then.
-    wanted: (Time, f64),
+    wanted: (TickDuration, f64),
 }
 
 impl Server {
@@ -123,7 +126,7 @@
     }
 
     fn ready(&self) -> bool {
-        self.entry.state == State::Ready
+        self.entry.state == EndpointState::Ready
     }
 
     /// It is to get nothing new. Where only drains bind, one that the list has merely lost keeps what stands
@@ -133,20 +136,20 @@
     }
 
     /// The time since its last start, if that was of late, or since it came back as far as we saw ourselves.
-    fn age(&self, now: Time) -> Time {
-        let last = self.entry.came_up.max(self.back);
-        if last == 0 { Time::MAX } else { now.saturating_sub(last) }
+    fn age(&self, now: Timestamp) -> TickDuration {
+        let last = self.entry.started_at.max(self.back);
+        if last == 0 { Timestamp::MAX } else { now.saturating_sub(last) }
     }
 
     /// A sign of life: the process answers. It may take connections and drop them, so this is no success.
-    fn heard(&mut self, now: Time) {
+    fn heard(&mut self, now: Timestamp) {
         self.forget(if self.misses > 0 { 0.5 } else { 0.0 });
         self.back = if std::mem::take(&mut self.down) { now } else { self.back };
         (self.heard, self.misses) = (now, 0);
     }
 
     /// It serves a session dialled at `since`; who stood there before set-ups hung tells nothing of new ones.
-    fn served(&mut self, now: Time, since: Time) {
+    fn served(&mut self, now: Timestamp, since: Timestamp) {
         self.heard(now);
         let tells = f64::from(u8::from(since >= self.hung));
         self.good = (self.good + tells).min(TRUSTED);
@@ -159,25 +162,27 @@
     }
 
     /// What the end of a dial, a connection or a probe says of it.
-    fn ended(&mut self, now: Time, how: Outcome, probe: bool) {
+    fn ended(&mut self, now: Timestamp, how: AttemptOutcome, probe: bool) {
         match how {
-            Outcome::Accepted if !probe => return self.served(now, now),
-            Outcome::Accepted | Outcome::Full => return self.heard(now),
-            Outcome::Unmade | Outcome::Broken => (self.misses, self.down) = (self.misses + 1, true),
-            Outcome::Late if probe => self.misses += 1,
-            Outcome::Late => self.hung = now,
-            Outcome::Error if !probe => {}
+            AttemptOutcome::Succeeded if !probe => return self.served(now, now),
+            AttemptOutcome::Succeeded | AttemptOutcome::AtCapacity => return self.heard(now),
+            AttemptOutcome::ConnectFailed | AttemptOutcome::Reset => {
+                (self.misses, self.down) = (self.misses + 1, true)
+            }
+            AttemptOutcome::TimedOut if probe => self.misses += 1,
+            AttemptOutcome::TimedOut => self.hung = now,
+            AttemptOutcome::Failed if !probe => {}
             _ => return,
         }
         (self.good, self.bad) = (1.0 + (self.good - 1.0) / 2.0, (self.bad + 1.0).min(TRUSTED));
     }
 
     /// Its process has started anew: what was learned of the old one is void.
-    fn restart(&mut self, now: Time) {
+    fn restart(&mut self, now: Timestamp) {
         (self.bad, self.misses, self.heard, self.crowded, self.cap) = (1.0, 0, now, 0, f64::INFINITY);
     }
 
-    fn take(&mut self, now: Time, load: f64) {
+    fn take(&mut self, now: Timestamp, load: f64) {
         self.met = if self.held == 0 { now } else { self.met };
         (self.held, self.load) = (self.held + 1, self.load + load);
     }
@@ -194,14 +199,14 @@
 
 #[derive(Clone, Debug, Default)]
 struct Sess {
-    ask: Session,
+    ask: SessionRequest,
     bucket: u64,
     /// When the client gives up.
-    until: Time,
+    until: Timestamp,
     phase: Phase,
     /// When its latest dial was sent, and where to.
-    sent: Time,
-    server: ServerIx,
+    sent: Timestamp,
+    server: EndpointIndex,
     dials: u32,
     /// Probes that were made for it.
     probes: usize,
@@ -210,7 +215,7 @@
     /// For its turn at cold servers: the time since the session before it, and a share of 1 drawn by chance.
     turn: (f64, f64),
     /// The first dial that may have run: its server and when it was sent.
-    may_have_run: Option<(ServerIx, Time)>,
+    may_have_run: Option<(EndpointIndex, TickDuration)>,
 }
 
 /// What differs by listener.
@@ -234,7 +239,7 @@
     servers: Vec<Server>,
     sessions: Slab<Sess>,
     /// Each bucket's ranking of the ready servers, worked out when first asked for.
-    table: BTreeMap<u64, Vec<ServerIx>>,
+    table: BTreeMap<u64, Vec<EndpointIndex>>,
     /// A list has come since the last poll.
     relisted: bool,
     /// How many of our sessions are of each bucket, and how many ordered pairs of them share one.
@@ -247,37 +252,37 @@
     /// Sessions that servers told they hold, and for how much weight at full load, over the latest answers.
     bears: (f64, f64),
     /// When a session last came, or this process started: what was due earlier its forerunner has spent.
-    came: Time,
+    came: Timestamp,
     /// Dials out, and how many may be while the session store answers with errors.
     out: f64,
     window: f64,
     /// When the last dial ended, and how long the next one rests then while the window is under one.
-    rests: (Time, f64),
-    failed_at: Option<ServerIx>,
+    rests: (TickDuration, f64),
+    failed_at: Option<EndpointIndex>,
     /// Sessions refused since the last dial, and when that was.
-    shut: (u32, Time),
+    shut: (u32, TickDuration),
     /// What moving on promises: falls with each session moved, comes back with time.
     hope: f64,
     /// Within the window of the retry budget: when sessions came, and when further dials went out.
-    taken: VecDeque<Time>,
-    further: VecDeque<Time>,
+    taken: VecDeque<TickDuration>,
+    further: VecDeque<TickDuration>,
     /// Until then the free part of the retry budget may be spent by the process before this one.
-    owed: Time,
+    owed: Timestamp,
     /// Sessions that wait for the answer to a probe.
-    waiting: Vec<SessIx>,
-    next_tick: Time,
-    next_ask: Time,
+    waiting: Vec<SessionHandle>,
+    next_tick: Timestamp,
+    next_ask: Timestamp,
     /// What the next poll returns.
-    todo: Vec<Chore>,
+    todo: Vec<Action>,
 }
 
 impl Balancer {
-    pub fn new(set: Settings, seed: u64, now: Time) -> Self {
+    pub fn new(set: Settings, seed: u64, now: Timestamp) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         Self {
             rows: set.listeners.iter().map(|l| Row { listener: *l, load: 1.0 }).collect(),
-            window: FIRST / f64::from(set.proxies),
-            next_ask: if set.on_request { now } else { Time::MAX },
+            window: FIRST / f64::from(set.proxy_count),
+            next_ask: if set.polled_discovery { now } else { Timestamp::MAX },
             // Proxies that start together do not look after the servers in step.
             next_tick: now + rng.random_range(0..=set.connect_timeout),
             set,
@@ -306,43 +311,48 @@
     }
 
     /// The server list, or what changed in it.
-    pub fn heard_list(&mut self, now: Time, scope: Scope, entries: &[Entry]) {
-        if scope != Scope::Changes {
-            let listed: BTreeSet<_> = entries.iter().map(|e| e.server).collect();
-            let missing = |s: &&mut Server| s.ready() && !listed.contains(&s.entry.server);
+    pub fn update_endpoints(&mut self, now: Timestamp, scope: ListScope, entries: &[EndpointEntry]) {
+        if scope != ListScope::Changes {
+            let listed: BTreeSet<_> = entries.iter().map(|e| e.endpoint).collect();
+            let missing = |s: &&mut Server| s.ready() && !listed.contains(&s.entry.endpoint);
             for s in self.servers.iter_mut().filter(missing) {
-                (s.entry.state, s.told) = (State::Gone, Some(now));
+                (s.entry.state, s.told) = (EndpointState::Removed, Some(now));
             }
         }
         for &entry in entries {
-            let s = self.server(entry.server);
-            if entry.came_up > s.entry.came_up {
+            let s = self.server(entry.endpoint);
+            if entry.started_at > s.entry.started_at {
                 s.restart(now);
             }
-            if entry.state == State::Ready && !s.ready() {
-                s.joined = if scope == Scope::Cached { 0 } else { now };
+            if entry.state == EndpointState::Ready && !s.ready() {
+                s.joined = if scope == ListScope::Cached { 0 } else { now };
             }
             s.entry = entry;
             s.told = if s.ready() { None } else { s.told.or(Some(now)) };
-            s.drained = !s.ready() && (s.drained || entry.state == State::Draining);
+            s.drained = !s.ready() && (s.drained || entry.state == EndpointState::Draining);
         }
         self.relisted = true;
         self.table.clear();
         // Any answer shows that the subscription stands; its break will be told.
-        self.next_ask = if scope == Scope::Cached { self.next_ask } else { Time::MAX };
+        self.next_ask = if scope == ListScope::Cached { self.next_ask } else { Timestamp::MAX };
     }
 
     /// A call for the list failed, or the subscription broke: ask again, after a wait drawn by chance so that
     /// the proxies do not come back together, well before this one counts as told of what it could not hear.
-    pub fn list_failed(&mut self, now: Time) {
-        if self.set.on_request {
-            let most = self.set.must_ask_in / 8;
+    pub fn discovery_failed(&mut self, now: Timestamp) {
+        if self.set.polled_discovery {
+            let most = self.set.discovery_deadline / 8;
             self.next_ask = now + self.rng.random_range(most / 4..=most);
         }
     }
 
     /// A connection that already runs through this proxy.
-    pub fn adopt(&mut self, now: Time, ask: Session, server: ServerIx) -> SessIx {
+    pub fn adopt_established(
+        &mut self,
+        now: Timestamp,
+        ask: SessionRequest,
+        server: EndpointIndex,
+    ) -> SessionHandle {
         let ix = self.enter(now, ask);
         let sess = &mut self.sessions[ix];
         (sess.phase, sess.server, sess.dials) = (Phase::Stands, server, 1);
@@ -353,36 +363,46 @@
 
     /// Another process of this proxy has been taking its sessions until now, and may still dial for them:
     /// what is free of the retry budget counts as spent until the last of those dials has left the window.
-    pub fn succeeds(&mut self, now: Time) {
+    pub fn take_over(&mut self, now: Timestamp) {
         let Some(retry_budget) = self.set.retry_budget else { return };
-        let last = if self.set.dial_timeout == Time::MAX { retry_budget.over } else { self.set.dial_timeout };
-        self.owed = now + last + retry_budget.over;
+        let last = if self.set.max_dial_timeout == Timestamp::MAX {
+            retry_budget.window
+        } else {
+            self.set.max_dial_timeout
+        };
+        self.owed = now + last + retry_budget.window;
     }
 
     /// Where to send this one.
-    pub fn place(&mut self, now: Time, ask: Session) -> (SessIx, Verdict) {
+    pub fn place(&mut self, now: Timestamp, ask: SessionRequest) -> (SessionHandle, Decision) {
         let ix = self.enter(now, ask);
         self.taken.extend(self.set.retry_budget.map(|_| now));
         self.spare(now);
-        let gap = (now - std::mem::replace(&mut self.came, now)).min(self.set.overload_for);
+        let gap = (now - std::mem::replace(&mut self.came, now)).min(self.set.overload_window);
         self.sessions[ix].turn = (gap as f64, self.rng.random());
         (ix, self.next(now, ix))
     }
 
     /// A dial or a connection ended. Where the session is not over, says what comes next.
-    pub fn settled(&mut self, now: Time, ix: SessIx, how: Outcome, over: bool) -> Option<Verdict> {
+    pub fn attempt_ended(
+        &mut self,
+        now: Timestamp,
+        ix: SessionHandle,
+        how: AttemptOutcome,
+        over: bool,
+    ) -> Option<Decision> {
         let sess = self.sessions.get_mut(ix)?;
         let (server, load, phase) = (sess.server, sess.load, std::mem::take(&mut sess.phase));
-        let (sent, dials, patience) = (sess.sent, sess.dials, sess.ask.patience);
+        let (sent, dials, patience) = (sess.sent, sess.dials, sess.ask.dial_timeout);
         if !how.never_ran() {
             sess.may_have_run.get_or_insert((server, sess.sent));
         }
         self.let_go(server, load, phase);
-        if matches!(how, Outcome::Error | Outcome::Late) {
+        if matches!(how, AttemptOutcome::Failed | AttemptOutcome::TimedOut) {
             self.answered(now, server, how, patience, patience);
         }
         self.servers[server].ended(now, how, false);
-        if how == Outcome::Unsent && dials > 1 {
+        if how == AttemptOutcome::NotSent && dials > 1 {
             // It was none: the retry budget does not count it, but still those that others have sent since.
             let own = self.further.iter().rposition(|t| *t == sent);
             own.and_then(|at| self.further.remove(at));
@@ -394,36 +414,44 @@
     }
 
     /// The dial's connection stands.
-    pub fn stood(&mut self, now: Time, ix: SessIx) {
+    pub fn established(&mut self, now: Timestamp, ix: SessionHandle) {
         let Some(sess) = self.sessions.get_mut(ix) else { return };
         sess.phase = Phase::Stands;
         self.out -= 1.0;
-        let (server, took, patience) = (sess.server, now - sess.sent, sess.ask.patience);
+        let (server, took, patience) = (sess.server, now - sess.sent, sess.ask.dial_timeout);
         // Who goes on mid-flow asked the store for nothing: prompt, he opened windows before a jammed one.
-        let asked = !sess.ask.mid_flow || sess.dials > 1;
+        let asked = !sess.ask.established || sess.dials > 1;
         self.servers[server].heard(now);
         if asked {
-            self.answered(now, server, Outcome::Accepted, took, patience);
+            self.answered(now, server, AttemptOutcome::Succeeded, took, patience);
         }
     }
 
     /// Errors and set-ups that took long, on two servers in turn and none prompt between, point at the store
     /// behind all of them, which every further dial only loads: fewer dials at once. One server alone does
     /// not; nor time-outs where they can be probed and no proxies are told. It may hurt while two hang.
-    fn answered(&mut self, now: Time, server: ServerIx, how: Outcome, took: Time, patience: Time) {
+    fn answered(
+        &mut self,
+        now: Timestamp,
+        server: EndpointIndex,
+        how: AttemptOutcome,
+        took: TickDuration,
+        patience: TickDuration,
+    ) {
         let prompt = 1.0 - 3.0 * took as f64 / patience as f64;
-        let counts = how == Outcome::Error || !self.set.probing || self.window.is_finite();
+        let counts = how == AttemptOutcome::Failed || !self.set.health_checks || self.window.is_finite();
         if prompt > 0.0 {
             // Only one that is used opens: a crowd finds it wide after a calm. It may hurt in a short lull.
             let more = self.window.min(1.0 / self.window) * prompt;
             self.window += if self.out + 1.0 < self.window { 0.0 } else { more };
             self.failed_at = None;
         } else if counts && self.failed_at.replace(server).is_some_and(|last| last != server) {
-            let floor = FLOOR.0 / f64::from(if self.set.proxies > 0 { self.set.proxies } else { FLOOR.1 });
-            let share = if how == Outcome::Late { CUT.1 } else { CUT.0 };
+            let floor =
+                FLOOR.0 / f64::from(if self.set.proxy_count > 0 { self.set.proxy_count } else { FLOOR.1 });
+            let share = if how == AttemptOutcome::TimedOut { CUT.1 } else { CUT.0 };
             let window = (self.window.min(self.out + 1.0) * share).max(floor);
             if std::mem::replace(&mut self.window, window) >= 0.5 && window < 0.5 {
-                self.todo.push(Chore::Log("set-ups fail on several servers: dials held back".into()));
+                self.todo.push(Action::Log(LogEvent::AttemptsLimited));
             }
         }
         // Under one dial it is the share of the time in which one is out, so that hundreds of proxies slow
@@ -433,7 +461,7 @@
     }
 
     /// The client has left, or was moved: the session is over.
-    pub fn left(&mut self, ix: SessIx) {
+    pub fn client_left(&mut self, ix: SessionHandle) {
         let Some(sess) = self.remove(ix) else { return };
         if matches!(sess.phase, Phase::Dials | Phase::Stands) {
             self.let_go(sess.server, sess.load, sess.phase);
@@ -441,7 +469,7 @@
     }
 
     /// A dial or a connection of ours is no more.
-    fn let_go(&mut self, server: ServerIx, load: f64, phase: Phase) {
+    fn let_go(&mut self, server: EndpointIndex, load: f64, phase: Phase) {
         self.out -= f64::from(u8::from(phase == Phase::Dials));
         let s = &mut self.servers[server];
         s.held = s.held.saturating_sub(1);
@@ -449,29 +477,29 @@
     }
 
     /// Word on an open connection.
-    pub fn noted(&mut self, now: Time, ix: SessIx, note: Note) {
+    pub fn observe(&mut self, now: Timestamp, ix: SessionHandle, note: Observation) {
         let Some(sess) = self.sessions.get_mut(ix) else { return };
         let (s, before) = (&mut self.servers[sess.server], sess.load);
-        if note == Note::Unanswered {
+        if note == Observation::Unresponsive {
             // No failure yet, but a doubt: it is probed soon, however lately its sessions spoke of it.
             return s.misses = s.misses.max(1);
         }
-        if let Note::Load(load) = note {
+        if let Observation::Load(load) = note {
             self.unit.1 = (self.unit.1 + 1.0).min(MEMORY);
             self.unit.0 += (load - self.unit.0) / self.unit.1;
             sess.load = if self.unit.0 > 0.0 { load / self.unit.0 } else { 1.0 };
             let row = &mut self.rows[sess.ask.listener];
             row.load += (sess.load - row.load) / MEMORY.sqrt();
         }
-        let (change, half) = (sess.load - before, self.set.message_target / 2);
+        let (change, half) = (sess.load - before, self.set.message_objective / 2);
         s.load = (s.load + change).max(0.0);
-        if matches!(note, Note::Delay(delay) if delay > self.set.dial_timeout) {
+        if matches!(note, Observation::MessageLatency(delay) if delay > self.set.max_dial_timeout) {
             // No client would be accepted there in time: as silent as one that answers no probe.
             s.misses = SILENT - 1;
-            return s.ended(now, Outcome::Late, true);
+            return s.ended(now, AttemptOutcome::TimedOut, true);
         }
         s.served(now, sess.sent);
-        if let Note::Delay(delay) = note {
+        if let Observation::MessageLatency(delay) = note {
             // More for each doubling of what a message takes: what is piled up has to be worked off too.
             let slow = EASED * (delay as f64 / half as f64).log2().max(1.0);
             (s.crowded, s.excess) = if delay > half { (now + NOTE * 3 / 2, slow) } else { (0, 0.0) };
@@ -479,8 +507,17 @@
     }
 
     /// The answer to a probe; `load` is what is asked of a server over what it can do, `holds` its sessions.
-    pub fn probed(&mut self, now: Time, server: ServerIx, how: Outcome, took: Time, load: f64, holds: f64) {
-        let (target, tells, cold) = (self.set.message_target, self.set.tells_load, self.set.cold);
+    pub fn health_checked(
+        &mut self,
+        now: Timestamp,
+        server: EndpointIndex,
+        how: AttemptOutcome,
+        took: TickDuration,
+        load: f64,
+        holds: f64,
+    ) {
+        let (target, tells, cold) =
+            (self.set.message_objective, self.set.load_reports, self.set.slow_start_duration);
         if self.server(server).age(now) >= cold {
             let weight = self.weight(&self.servers[server]);
             self.bears.0 += holds - self.bears.0 / MEMORY;
@@ -488,7 +525,7 @@
         }
         let s = self.server(server);
         s.asked = false;
-        if how == Outcome::Accepted {
+        if how == AttemptOutcome::Succeeded {
             // Where the load is told, a slow answer tells of the way there only, as a first one's connection.
             if load > FULL || !tells && took > target / 2 {
                 s.crowded = s.crowded.max(now + NOTE * 3 / 2);
@@ -504,26 +541,26 @@
     }
 
     /// How many servers the list has, and how many are avoided now: they drain, are silent, or mostly failed.
-    pub fn census(&self) -> (usize, usize) {
-        let listed = self.servers.iter().filter(|s| s.entry.state != State::Gone);
+    pub fn health_summary(&self) -> HealthSummary {
+        let listed = self.servers.iter().filter(|s| s.entry.state != EndpointState::Removed);
         let avoided = |s: &&Server| !s.ready() || s.misses >= SILENT || s.bad > s.good;
-        (listed.clone().count(), listed.filter(avoided).count())
+        HealthSummary { listed: listed.clone().count(), avoided: listed.filter(avoided).count() }
     }
 
     /// When [`Balancer::poll`] wants to be called next.
-    pub fn due(&self) -> Time {
+    pub fn next_wakeup(&self) -> Timestamp {
         self.next_ask.min(self.next_tick)
     }
 
     /// Housekeeping: asks for the list, probes the quiet, moves sessions off servers.
-    pub fn poll(&mut self, now: Time) -> Vec<Chore> {
+    pub fn poll(&mut self, now: Timestamp) -> Vec<Action> {
         // Where connecting takes longer than a drain's grace, new work came after it: what is not sent goes
         // elsewhere, mid-flow sessions keep half the grace. It may hurt where all drain, as the dial counts.
         let relisted = std::mem::take(&mut self.relisted);
         for (ix, x) in self.sessions.iter().filter(|(_, x)| relisted && x.phase == Phase::Dials) {
-            if self.servers[x.server].barred(self.set.only_drains) {
-                let by = if x.ask.mid_flow && x.dials == 1 { self.permit(x, x.server) } else { now };
-                self.todo.push(Chore::SendBy(ix, by));
+            if self.servers[x.server].barred(self.set.removal_not_binding) {
+                let by = if x.ask.established && x.dials == 1 { self.permit(x, x.server) } else { now };
+                self.todo.push(Action::LimitSendDeadline(ix, by));
             }
         }
         for ix in std::mem::take(&mut self.waiting) {
@@ -536,11 +573,11 @@
                 self.sessions[ix].probes = WALK;
             }
             let verdict = self.next(now, ix);
-            self.todo.push(Chore::Tell(ix, verdict));
+            self.todo.push(Action::Decided(ix, verdict));
         }
         if self.next_ask <= now {
-            self.next_ask = now + self.set.must_ask_in / 2;
-            self.todo.push(Chore::Subscribe);
+            self.next_ask = now + self.set.discovery_deadline / 2;
+            self.todo.push(Action::PollEndpointList);
         }
         if self.next_tick <= now {
             self.next_tick = now + self.set.connect_timeout;
@@ -550,16 +587,16 @@
     }
 
     /// Looks after each server, once a connect time-out.
-    fn tick(&mut self, now: Time) {
-        let (round, probing) = (self.set.connect_timeout, self.set.probing);
+    fn tick(&mut self, now: Timestamp) {
+        let (round, probing) = (self.set.connect_timeout, self.set.health_checks);
         self.hope += (1.0 - self.hope) * HOPE / 2.0 * round as f64 / NOTE as f64;
         for ix in 0..self.servers.len() {
             let s = &mut self.servers[ix];
             s.forget(FORGET * round as f64 / NOTE as f64);
             s.cap *= 1.0 + REGROW * round as f64 / NOTE as f64;
             let (held, quiet, probed) = (u64::from(s.held.max(1)), round * QUIET, s.probed.unwrap_or(0));
-            let often = (quiet as f64 / s.load.max(held as f64)) as Time;
-            let (last, wait) = match (s.misses, self.set.tells_load) {
+            let often = (quiet as f64 / s.load.max(held as f64)) as TickDuration;
+            let (last, wait) = match (s.misses, self.set.load_reports) {
                 (0, true) => {
                     let known = probed.saturating_sub(s.met);
                     (probed, often.min(round * DOUBTED + known).max(round * DOUBTED))
@@ -572,13 +609,13 @@
                     (s.heard.max(probed), self.rng.random_range(most / 2..=most))
                 }
             };
-            let barred = s.barred(self.set.only_drains);
+            let barred = s.barred(self.set.removal_not_binding);
             if probing && !barred && (s.held > 0 || s.misses > 0) && last + wait <= now {
                 (s.probed, s.asked) = (Some(now), true);
-                self.todo.push(Chore::Probe(ix));
+                self.todo.push(Action::CheckHealth(ix));
             }
             let share = match s.told {
-                Some(told) if s.misses < SILENT && s.entry.state == State::Draining => {
+                Some(told) if s.misses < SILENT && s.entry.state == EndpointState::Draining => {
                     round as f64 / (told + self.set.drain_grace * LEAVE).saturating_sub(now).max(round) as f64
                 }
                 _ => MOVED,
@@ -587,11 +624,11 @@
                 // A silent server's sessions hang until the list notices, a draining one's break at its stop.
                 if s.misses == SILENT {
                     s.misses += 1;
-                    let text = format!("server {:08x} is silent: {held} sessions move", s.entry.id);
-                    self.todo.push(Chore::Log(text));
+                    let (endpoint_id, sessions) = (s.entry.id, s.held);
+                    self.todo.push(Action::Log(LogEvent::EndpointEjected { endpoint_id, sessions }));
                 }
                 let pace = self.paced(held as f64 * share) as usize;
-                let moves: Vec<_> = self.standing(ix).take(pace).map(|(i, _)| Chore::Move(i)).collect();
+                let moves: Vec<_> = self.standing(ix).take(pace).map(|(i, _)| Action::Migrate(i)).collect();
                 self.todo.extend(moves);
             } else if s.ready() && s.excess > 0.0 && s.crowded > now && s.eased + NOTE <= now {
                 self.ease(now, ix);
@@ -601,7 +638,7 @@
 
     /// A server where messages take long serves nobody well: moves sessions of the groups with the weakest
     /// claim to it, the same at every proxy, a few at a time: whole groups only carry the crowd on.
-    fn ease(&mut self, now: Time, ix: ServerIx) {
+    fn ease(&mut self, now: Timestamp, ix: EndpointIndex) {
         let s = &self.servers[ix];
         let ready = self.servers.iter().filter(|o| o.ready());
         let (room, none): (Vec<_>, Vec<_>) = ready.partition(|o| o.crowded <= now && o.misses == 0);
@@ -610,7 +647,7 @@
         }
         // Where no load is told, a new session is the test of a server of which its proxy knows nothing else.
         let share = room.len() as f64 / (room.len() + none.len()) as f64 / f64::from(s.held).powi(2);
-        let bounce = if self.set.tells_load { 0.0 } else { self.hope * share * self.window.min(1.0) };
+        let bounce = if self.set.load_reports { 0.0 } else { self.hope * share * self.window.min(1.0) };
         let (most, weight, id) = (s.load * s.excess.min(0.5), self.weight(s), s.entry.id);
         let order = |x: &Sess| if x.load > HEAVY { 0.0 } else { claim(x.bucket, id, weight) };
         let mut claims: Vec<_> = self.standing(ix).map(|(i, x)| (order(x), i)).collect();
@@ -626,7 +663,7 @@
             if self.paced(fits) > 0.0 {
                 moved += load;
                 self.hope *= 1.0 - HOPE;
-                self.todo.push(Chore::Move(sess));
+                self.todo.push(Action::Migrate(sess));
             }
         }
         let s = &mut self.servers[ix];
@@ -640,12 +677,12 @@
     }
 
     /// Our sessions that stand on a server.
-    fn standing(&self, ix: ServerIx) -> impl Iterator<Item = (SessIx, &Sess)> {
+    fn standing(&self, ix: EndpointIndex) -> impl Iterator<Item = (SessionHandle, &Sess)> {
         self.sessions.iter().filter(move |(_, x)| x.phase == Phase::Stands && x.server == ix)
     }
 
     /// The record of a server; one that no list has named yet counts as gone.
-    fn server(&mut self, ix: ServerIx) -> &mut Server {
+    fn server(&mut self, ix: EndpointIndex) -> &mut Server {
         if self.servers.len() <= ix {
             self.servers.resize_with(ix + 1, Server::new);
         }
@@ -656,13 +693,13 @@
         if self.set.weighted && s.entry.weight > 0.0 { s.entry.weight } else { 1.0 }
     }
 
-    fn enter(&mut self, now: Time, ask: Session) -> SessIx {
+    fn enter(&mut self, now: Timestamp, ask: SessionRequest) -> SessionHandle {
         // A session with neither key draws its bucket.
         let bucket = match (ask.group_key, ask.client_key) {
             (0, 0) => self.rng.random_range(0..BUCKETS),
             (0, key) | (key, _) => xxh3_64(&key.to_le_bytes()) % BUCKETS,
         };
-        let (until, load) = (now + ask.patience, self.rows[ask.listener].load);
+        let (until, load) = (now + ask.dial_timeout, self.rows[ask.listener].load);
         let mates = &mut self.mates[bucket as usize];
         let keep = 1.0 - 1.0 / MEMORY.powi(2);
         self.seen.0 = self.seen.0 * keep + 2.0 * self.sessions.len() as f64;
@@ -671,7 +708,7 @@
         self.sessions.insert(Sess { ask, bucket, until, load, sent: now, ..Sess::default() })
     }
 
-    fn remove(&mut self, ix: SessIx) -> Option<Sess> {
+    fn remove(&mut self, ix: SessionHandle) -> Option<Sess> {
         let sess = self.sessions.try_remove(ix)?;
         let mates = &mut self.mates[sess.bucket as usize];
         (self.pairs, *mates) = (self.pairs - 2 * u64::from(*mates - 1), *mates - 1);
@@ -687,8 +724,8 @@
     }
 
     /// Of the first servers of a ranking, the first that is near goes before the others.
-    fn near_first(&self, mut ranking: Vec<ServerIx>) -> Vec<ServerIx> {
-        let near = |ix: &ServerIx| self.set.zone == Some(self.servers[*ix].entry.zone);
+    fn near_first(&self, mut ranking: Vec<EndpointIndex>) -> Vec<EndpointIndex> {
+        let near = |ix: &EndpointIndex| self.set.local_zone == Some(self.servers[*ix].entry.zone);
         if let Some(n) = ranking.iter().take(NEAR).position(near) {
             ranking[..=n].rotate_right(1);
         }
@@ -696,17 +733,17 @@
     }
 
     /// The servers in the order of their claims on a bucket.
-    fn rank(&self, bucket: u64, keep: impl Fn(&Server) -> bool) -> Vec<ServerIx> {
+    fn rank(&self, bucket: u64, keep: impl Fn(&Server) -> bool) -> Vec<EndpointIndex> {
         let mut claims: Vec<_> = (self.servers.iter().filter(|s| keep(s)))
-            .map(|s| (claim(bucket, s.entry.id, self.weight(s)), s.entry.id, s.entry.server))
+            .map(|s| (claim(bucket, s.entry.id, self.weight(s)), s.entry.id, s.entry.endpoint))
             .collect();
         claims.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
         claims.into_iter().map(|(_, _, ix)| ix).collect()
     }
 
     /// How many first servers of a ranking have no more than so much weight together.
-    fn within(&self, ranking: &[ServerIx], mut weight: f64) -> usize {
-        let fits = |ix: &&ServerIx| {
+    fn within(&self, ranking: &[EndpointIndex], mut weight: f64) -> usize {
+        let fits = |ix: &&EndpointIndex| {
             weight -= self.weight(&self.servers[**ix]);
             weight >= 0.0
         };
@@ -714,14 +751,15 @@
     }
 
     /// Sends a session on, or gives it its final answer at once.
-    fn next(&mut self, now: Time, ix: SessIx) -> Verdict {
+    fn next(&mut self, now: Timestamp, ix: SessionHandle) -> Decision {
         let sess = self.sessions[ix].clone();
         let left = sess.until.saturating_sub(now);
-        let Listener { handshake_target: target, kind, .. } = self.rows[sess.ask.listener].listener;
+        let Listener { handshake_objective: target, idempotency: kind, .. } =
+            self.rows[sess.ask.listener].listener;
         let fits = left > 0 && (sess.dials == 0 || left > self.set.connect_timeout / 4);
-        let fits = fits && sess.dials < self.set.max_dials;
+        let fits = fits && sess.dials < self.set.max_attempts;
         // Mid-flow it goes on at its server, which asks the store for nothing.
-        let goes_on = sess.ask.mid_flow && sess.dials == 0;
+        let goes_on = sess.ask.established && sess.dials == 0;
         // The chance of the next dial grows to one while the window has it rest: hundreds keep out of step.
         let rested = (now.saturating_sub(self.rests.0) as f64 / self.rests.1).min(1.0);
         let shut = self.shut.0 >= SHUT.0 && self.shut.1 + SHUT.1 <= now;
@@ -737,9 +775,9 @@
                 let s = &mut self.servers[server];
                 if !std::mem::replace(&mut s.asked, true) {
                     s.probed = Some(now);
-                    self.todo.push(Chore::Probe(server));
+                    self.todo.push(Action::CheckHealth(server));
                 }
-                return Verdict::Wait;
+                return Decision::Wait;
             }
             // The store still works on what a dial that ran out of time had asked of it, and jams by dials
             // that are made again: only one to a server in doubt leaves room for another.
@@ -750,32 +788,34 @@
             let x = &mut self.sessions[ix];
             (x.phase, x.server, x.sent, x.dials) = (Phase::Dials, server, now, x.dials + 1);
             let by = self.permit(&sess, server).min(now + limit);
-            return Verdict::Dial { server, limit, by };
+            return Decision::Connect { endpoint: server, timeout: limit, send_deadline: by };
         }
         self.shut.0 += 1;
         self.remove(ix);
         let harmless = match (kind, sess.may_have_run) {
-            (_, None) | (Kind::Repeatable, _) => true,
+            (_, None) | (Idempotency::Idempotent, _) => true,
             // Who comes again after the longest wait has to find his reference still known, else he has
             // effect twice. It may hurt where windows are shorter than such waits: all these are torn down.
-            (Kind::Referenced { group: Group::All, window }, Some((_, sent))) => {
+            (Idempotency::WithKey { group: DeduplicationGroup::All, window }, Some((_, sent))) => {
                 now + self.set.max_retry_after < sent + window
             }
             _ => false,
         };
         if !harmless {
-            return Verdict::TearDown;
+            return Decision::Fail;
         }
         // While the store is behind, later: who comes again sooner is refused again, with fewer tries left.
         let least = if self.window < 1.0 { 0.75 } else { 0.25 };
-        let wait = (self.set.max_retry_after as f64 * self.rng.random_range(least..1.0)) as Time;
-        Verdict::Refuse { retry_after: if self.set.retry_after { wait } else { 0 } }
+        let wait = (self.set.max_retry_after as f64 * self.rng.random_range(least..1.0)) as TickDuration;
+        Decision::Reject { retry_after: if self.set.retry_after_allowed { wait } else { 0 } }
     }
 
     /// How many further dials the retry budget allows in the window that ends now, and how many went out.
     /// Times are inexact: a dial that may still lie in it counts, a session that may have left it does not.
-    fn spare(&mut self, now: Time) -> (f64, usize) {
-        let Some(RetryBudget { free, share, over }) = self.set.retry_budget else {
+    fn spare(&mut self, now: Timestamp) -> (f64, usize) {
+        let Some(RetryBudgetSettings { min_retries: free, retry_ratio: share, window: over }) =
+            self.set.retry_budget
+        else {
             return (f64::INFINITY, 0);
         };
         while self.taken.front().is_some_and(|t| t + over <= now + 1) {
@@ -791,34 +831,35 @@
     /// Whether the retry budget has a further dial to that server for this session. They are spread over the
     /// window, so that a storm leaves some for its end: who is worth most, has most time left and is likely
     /// to be served waits less long since the one before. It may hurt where failures come in bursts.
-    fn spared(&mut self, now: Time, sess: &Sess, ix: ServerIx) -> bool {
+    fn spared(&mut self, now: Timestamp, sess: &Sess, ix: EndpointIndex) -> bool {
         let (allowed, sent) = self.spare(now);
-        let Some(RetryBudget { over, .. }) = self.set.retry_budget else { return true };
-        let most = self.rows.iter().map(|r| r.listener.utility).fold(f64::MIN_POSITIVE, f64::max);
-        let left = sess.until.saturating_sub(now) as f64 / sess.ask.patience.max(1) as f64;
+        let Some(RetryBudgetSettings { window: over, .. }) = self.set.retry_budget else { return true };
+        let most = self.rows.iter().map(|r| r.listener.priority_weight).fold(f64::MIN_POSITIVE, f64::max);
+        let left = sess.until.saturating_sub(now) as f64 / sess.ask.dial_timeout.max(1) as f64;
         let s = &self.servers[ix];
-        let worth = self.rows[sess.ask.listener].listener.utility / most * left * s.good / (s.good + s.bad);
+        let worth =
+            self.rows[sess.ask.listener].listener.priority_weight / most * left * s.good / (s.good + s.bad);
         let gap = over as f64 / allowed * (1.0 - worth / 2.0);
         sent as f64 + 1.0 <= allowed && self.further.back().is_none_or(|&last| (now - last) as f64 >= gap)
     }
 
     /// With hundreds of proxies none sees by its own sessions what a server bears: it asks before its first.
-    fn unknown(&self, now: Time, sess: &Sess, ix: ServerIx) -> bool {
+    fn unknown(&self, now: Timestamp, sess: &Sess, ix: EndpointIndex) -> bool {
         let (s, wait) = (&self.servers[ix], self.set.connect_timeout);
-        let free = self.set.probing && sess.dials == 0 && !sess.ask.mid_flow && sess.probes < WALK;
+        let free = self.set.health_checks && sess.dials == 0 && !sess.ask.established && sess.probes < WALK;
         let known = !s.asked && s.misses == 0 && s.probed.is_some_and(|t| now < t + NOTE);
         free && s.held == 0 && !known && sess.until > now + wait * 2
     }
 
     /// The first server down the bucket's ranking that nothing speaks against.
-    fn choose(&mut self, now: Time, sess: &Sess) -> Option<ServerIx> {
-        if sess.ask.mid_flow && sess.dials == 0 {
+    fn choose(&mut self, now: Timestamp, sess: &Sess) -> Option<EndpointIndex> {
+        if sess.ask.established && sess.dials == 0 {
             // The earlier owner: one that joined or started of late did not hold this connection, one that
             // drains may. Where many proxies die a restarted one would get all that its bucket has elsewhere.
-            let (grace, keep) = (self.set.drain_grace / 2, self.set.cold);
+            let (grace, keep) = (self.set.drain_grace / 2, self.set.slow_start_duration);
             let earlier = |s: &Server| match s.told {
-                Some(t) if s.barred(self.set.only_drains) => {
-                    s.entry.state == State::Draining && now <= t + grace
+                Some(t) if s.barred(self.set.removal_not_binding) => {
+                    s.entry.state == EndpointState::Draining && now <= t + grace
                 }
                 Some(t) => now <= t + keep,
                 None => s.ready() && (s.joined == 0 || s.joined + keep <= now) && s.age(now) >= keep,
@@ -838,7 +879,7 @@
         let all = self.sessions.len() as f64;
         let (share, _) = self.share(sess.bucket, self.pairs as f64, all * (all - 1.0).max(1.0), SUPPOSED);
         let breadth = self.within(&ranking, share * weight);
-        if breadth > 1 && !self.set.tells_load {
+        if breadth > 1 && !self.set.load_reports {
             let all: f64 = ranking[..breadth].iter().map(|ix| self.weight(&self.servers[*ix])).sum();
             let start = self.rng.random::<f64>() * all;
             let start = self.within(&ranking[..breadth - 1], start);
@@ -860,7 +901,7 @@
                 continue;
             }
             // A client that comes again after a break or a move tells of a crowd that this proxy has not met.
-            let unmet = sess.ask.again && sess.dials == 0 && s.held == 0 && !self.set.tells_load;
+            let unmet = sess.ask.reconnecting && sess.dials == 0 && s.held == 0 && !self.set.load_reports;
             let most = CLEARLY * load / weight * self.weight(s) + 1.0;
             let over = s.crowded > now || s.load >= most || unmet && self.rng.random_bool(AGAIN * self.hope);
             // A doubtful server's work is drawn from the posterior of its chance of success.
@@ -877,53 +918,59 @@
         // All are crowded: the less so of the first two, ties by chance.
         crowded.truncate(2);
         crowded.shuffle(&mut self.rng);
-        let share = |ix: &ServerIx| self.servers[*ix].load / self.weight(&self.servers[*ix]);
+        let share = |ix: &EndpointIndex| self.servers[*ix].load / self.weight(&self.servers[*ix]);
         crowded.into_iter().min_by(|a, b| share(a).total_cmp(&share(b))).or(doubtful.filter(|_| full == 0))
     }
 
     /// Up to when a dial's first byte may go to a server: while the grace of its drain lasts, and while a
     /// session that may have run is still known there. Connecting takes time, in which either may end.
-    fn permit(&self, sess: &Sess, ix: ServerIx) -> Time {
+    fn permit(&self, sess: &Sess, ix: EndpointIndex) -> TickDuration {
         let s = &self.servers[ix];
-        let told = s.told.filter(|_| s.barred(self.set.only_drains));
-        let drains = told.map_or(Time::MAX, |t| t + self.set.drain_grace / 2);
-        match (self.rows[sess.ask.listener].listener.kind, sess.may_have_run) {
-            (Kind::Referenced { window, .. }, Some((_, sent))) => drains.min(sent + window),
+        let told = s.told.filter(|_| s.barred(self.set.removal_not_binding));
+        let drains = told.map_or(Timestamp::MAX, |t| t + self.set.drain_grace / 2);
+        match (self.rows[sess.ask.listener].listener.idempotency, sess.may_have_run) {
+            (Idempotency::WithKey { window, .. }, Some((_, sent))) => drains.min(sent + window),
             _ => drains,
         }
     }
 
     /// A session that may have run goes again only to servers that drop its repeats, while they know it.
-    fn allowed(&self, now: Time, sess: &Sess, ix: ServerIx) -> bool {
+    fn allowed(&self, now: Timestamp, sess: &Sess, ix: EndpointIndex) -> bool {
         let Some((first, sent)) = sess.may_have_run else { return true };
         let (a, b) = (&self.servers[first].entry, &self.servers[ix].entry);
-        match self.rows[sess.ask.listener].listener.kind {
-            Kind::Repeatable => true,
-            Kind::OnceOnly => false,
-            Kind::Referenced { window, .. } if now >= sent + window => false,
-            Kind::Referenced { group: Group::All, .. } => true,
-            Kind::Referenced { group: Group::Zone, .. } => a.zone == b.zone,
-            Kind::Referenced { group: Group::Cell, .. } => a.cell == b.cell,
+        match self.rows[sess.ask.listener].listener.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::OnceOnly => false,
+            Idempotency::WithKey { window, .. } if now >= sent + window => false,
+            Idempotency::WithKey { group: DeduplicationGroup::All, .. } => true,
+            Idempotency::WithKey { group: DeduplicationGroup::Zone, .. } => a.zone == b.zone,
+            Idempotency::WithKey { group: DeduplicationGroup::Cell, .. } => a.cell == b.cell,
         }
     }
 
     /// A cold server takes no more than a share of what it can do, guessed from what warm servers tell that
     /// they bear, else from what they hold of ours. All proxies share that: what is due there from each grows
     /// between those who want to go there, from a part of a session drawn by chance, until it makes one.
-    fn within_budget(&mut self, now: Time, sess: &Sess, ix: ServerIx, ready: (f64, f64, usize)) -> bool {
+    fn within_budget(
+        &mut self,
+        now: Timestamp,
+        sess: &Sess,
+        ix: EndpointIndex,
+        ready: (f64, f64, usize),
+    ) -> bool {
         let ((load, weight, full), s) = (ready, &self.servers[ix]);
-        let (cold, start, age) = (self.set.cold, self.set.start_capacity, s.age(now));
+        let (cold, start, age) = (self.set.slow_start_duration, self.set.initial_capacity, s.age(now));
         if age >= cold {
             return true;
         }
         let share = start + (1.0 - start) * age as f64 / cold as f64;
-        let told = self.bears.0 / self.bears.1 / f64::from(self.set.proxies);
+        let told = self.bears.0 / self.bears.1 / f64::from(self.set.proxy_count);
         let fill = share * self.weight(s) * if told.is_normal() { told } else { load / weight };
         // In the span in which a fall is counted all may send n, and 2 x root of n + 2 by chance. A few
         // proxies send n, in turn; each of hundreds draws, and the deviation of that over n is left free. It
         // may hurt where n is small: half of 1 is used, three quarters of 9.
-        let (all, span) = (f64::from(self.set.proxies.max(1)), self.set.overload_for.max(1) as f64);
-        let n = self.set.fall_multiple * fill * all / cold as f64 * span;
+        let (all, span) = (f64::from(self.set.proxy_count.max(1)), self.set.overload_window.max(1) as f64);
+        let n = self.set.overload_multiple * fill * all / cold as f64 * span;
         let rate = n / (1.0 + ((1.0 - n.min(SEVERAL / 5.0) / all).max(0.0) / n).sqrt()) / span / all;
         // A group comes at once and to one server, from hundreds of proxies: none takes it for smaller than
         // all that it has seen are on the mean. It may hurt where sessions share none: young processes wait.
--- a/crates/larklink-balancer/src/lib.rs
+++ b/crates/larklink-balancer/src/lib.rs
@@ -1,4 +1,14 @@
-//! The decisions of larklink, a balancer for long-lived connections.
-//! `types` holds the plain values that go in and out, `balancer` decides.
-pub mod balancer;
-pub mod types;
+//! The decisions of larklink, a balancer for long-lived connections: no I/O, no clock, no wire format.
+mod action;
+mod balancer;
+mod event;
+mod ids;
+mod settings;
+
+pub use action::{Action, Decision, HealthSummary, LogEvent};
+pub use balancer::Balancer;
+pub use event::{AttemptOutcome, EndpointEntry, EndpointState, ListScope, Observation, SessionRequest};
+pub use ids::{EndpointIndex, SessionHandle, TickDuration, Timestamp};
+pub use settings::{
+    AvailabilityNines, DeduplicationGroup, Idempotency, Listener, RetryBudgetSettings, Settings,
+};
--- a/crates/larklink-balancer/tests/cold_herd.rs
+++ b/crates/larklink-balancer/tests/cold_herd.rs
@@ -3,43 +3,51 @@
 //! The killed come back one by one, and each proxy hears of the cold servers in its own moment.
 use std::collections::{BTreeMap, BTreeSet};
 
-use larklink_balancer::balancer::Balancer;
-use larklink_balancer::types::*;
+use larklink_balancer::{
+    AttemptOutcome, Balancer, Decision, EndpointEntry, EndpointIndex, EndpointState, Idempotency, ListScope,
+    Listener, SessionHandle, SessionRequest, Settings, TickDuration,
+};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const SECOND: Time = 10_000;
-const NOW: Time = 100 * SECOND;
+const SECOND: TickDuration = 10_000;
+const NOW: TickDuration = 100 * SECOND;
 /// Sessions that a server bears when it is warm, and holds on the mean.
 const BEARS: f64 = 60.0;
 const HOLDS: usize = 25;
 
 /// What settings allow: the multiple, the span in which a fall is counted and the time until a server is warm.
-type Allowed = (f64, Time, Time);
+type Allowed = (f64, TickDuration, TickDuration);
 const USUAL: Allowed = (3.0, 2 * SECOND, 20 * SECOND);
 
-fn settings(proxies: u32, (fall_multiple, overload_for, cold): Allowed) -> Settings {
+fn settings(proxies: u32, (overload_multiple, overload_window, cold): Allowed) -> Settings {
     Settings {
-        listeners: vec![Listener { kind: Kind::Repeatable, handshake_target: SECOND / 2, utility: 1.0 }],
-        proxies,
+        listeners: vec![Listener {
+            idempotency: Idempotency::Idempotent,
+            handshake_objective: SECOND / 2,
+            priority_weight: 1.0,
+        }],
+        proxy_count: proxies,
         drain_grace: SECOND / 2,
-        start_capacity: 0.2,
-        cold,
-        fall_multiple,
-        overload_for,
+        initial_capacity: 0.2,
+        slow_start_duration: cold,
+        overload_multiple,
+        overload_window,
         connect_timeout: SECOND / 5,
-        max_dials: 3,
-        tells_load: true,
-        dial_timeout: 2 * SECOND,
-        message_target: 500,
+        max_attempts: 3,
+        load_reports: true,
+        max_dial_timeout: 2 * SECOND,
+        message_objective: 500,
         ..Settings::default()
     }
 }
 
 /// What a cold server of that age may be sent in the span of the settings before it falls over.
-fn limit(set: &Settings, age: Time) -> f64 {
-    let share = set.start_capacity + (1.0 - set.start_capacity) * age as f64 / set.cold as f64;
-    let n = set.fall_multiple * share * BEARS / set.cold as f64 * set.overload_for as f64;
+fn limit(set: &Settings, age: TickDuration) -> f64 {
+    let share =
+        set.initial_capacity + (1.0 - set.initial_capacity) * age as f64 / set.slow_start_duration as f64;
+    let n =
+        set.overload_multiple * share * BEARS / set.slow_start_duration as f64 * set.overload_window as f64;
     n + 2.0 * n.sqrt() + 2.0
 }
 
@@ -60,15 +68,22 @@
 /// sessions that came.
 fn herd(Herd { proxies, servers, group, allowed, step, budget }: Herd, seed: u64) -> (f64, usize, usize) {
     let (set, mut rng) = (settings(proxies as u32, allowed), ChaCha8Rng::seed_from_u64(seed));
-    let known = Settings { cold: if budget { set.cold } else { 0 }, ..set.clone() };
+    let known =
+        Settings { slow_start_duration: if budget { set.slow_start_duration } else { 0 }, ..set.clone() };
     let entries: Vec<_> = (0..servers)
         .map(|s| {
-            let age = (s as u64 / 2 * 7 % 16) * set.cold / 40 + set.cold / 40;
-            let came_up = if s % 2 == 0 { NOW - age } else { 0 };
-            Entry { server: s, id: 77 + 1000 * s as u32, state: State::Ready, came_up, ..Entry::default() }
+            let age = (s as u64 / 2 * 7 % 16) * set.slow_start_duration / 40 + set.slow_start_duration / 40;
+            let started_at = if s % 2 == 0 { NOW - age } else { 0 };
+            EndpointEntry {
+                endpoint: s,
+                id: 77 + 1000 * s as u32,
+                state: EndpointState::Ready,
+                started_at,
+                ..EndpointEntry::default()
+            }
         })
         .collect();
-    let warm: Vec<_> = entries.iter().filter(|e| e.came_up == 0).copied().collect();
+    let warm: Vec<_> = entries.iter().filter(|e| e.started_at == 0).copied().collect();
     // Three in ten proxies live on, with what they hold: it stands on warm servers.
     let lives = proxies.div_ceil(3);
     // When each starts, and when it hears of the cold servers: one that lives on may hear late.
@@ -82,27 +97,27 @@
         .map(|n| {
             let (started, hears) = times[n];
             let mut b = Balancer::new(known.clone(), seed * 1000 + n as u64, started);
-            b.heard_list(started, Scope::Cached, if hears == 0 { &entries } else { &warm });
-            b.probed(started.max(NOW - SECOND), 1, Outcome::Accepted, 10, 0.5, BEARS / 2.0);
+            b.update_endpoints(started, ListScope::Cached, if hears == 0 { &entries } else { &warm });
+            b.health_checked(started.max(NOW - SECOND), 1, AttemptOutcome::Succeeded, 10, 0.5, BEARS / 2.0);
             b
         })
         .collect();
     let sessions = servers * HOLDS;
-    let ask = |n: usize, again| Session {
+    let ask = |n: usize, again| SessionRequest {
         listener: 0,
         group_key: 1 + (seed * 100_000) + (n / group) as u64,
         client_key: 1 + n as u64,
-        patience: 2 * SECOND,
-        again,
-        ..Session::default()
+        dial_timeout: 2 * SECOND,
+        reconnecting: again,
+        ..SessionRequest::default()
     };
     for n in 0..sessions * 3 / 10 {
         let b = &mut fleet[rng.random_range(0..lives)];
-        b.adopt(NOW - SECOND, ask(n, false), 1 + 2 * (n % (servers / 2)));
+        b.adopt_established(NOW - SECOND, ask(n, false), 1 + 2 * (n % (servers / 2)));
     }
     let come = (sessions * 3 / 10..sessions).map(|n| (NOW + rng.random_range(0..SECOND), n, 0));
     let mut queue: BTreeSet<_> = come.collect();
-    let (mut sent, came): (BTreeMap<_, Vec<Time>>, _) = (BTreeMap::new(), queue.len());
+    let (mut sent, came): (BTreeMap<_, Vec<TickDuration>>, _) = (BTreeMap::new(), queue.len());
     let mut heard = BTreeSet::new();
     while let Some((now, n, tries)) = queue.pop_first() {
         let proxy = rng.random_range(0..proxies);
@@ -113,19 +128,19 @@
             continue;
         }
         if now >= hears && heard.insert(proxy) {
-            fleet[proxy].heard_list(now, Scope::Changes, &entries);
+            fleet[proxy].update_endpoints(now, ListScope::Changes, &entries);
         }
         // Every other one was reset and comes again; the rest are redirected and look new.
         let (ix, verdict) = fleet[proxy].place(now, ask(n, n % 2 == 0));
         match verdict {
-            Verdict::Dial { server, .. } => {
+            Decision::Connect { endpoint: server, .. } => {
                 // Set-ups are prompt: what holds a cold server back is its budget.
-                fleet[proxy].stood(now, ix);
+                fleet[proxy].established(now, ix);
                 if server % 2 == 0 {
                     sent.entry(server).or_default().push(now);
                 }
             }
-            Verdict::Refuse { .. } if tries < 3 => drop(queue.insert((now + SECOND / 3, n, tries + 1))),
+            Decision::Reject { .. } if tries < 3 => drop(queue.insert((now + SECOND / 3, n, tries + 1))),
             _ => {}
         }
     }
@@ -133,15 +148,21 @@
 }
 
 /// The most that a cold server was sent, over its limit.
-fn worst(set: &Settings, entries: &[Entry], sent: &BTreeMap<ServerIx, Vec<Time>>) -> f64 {
-    let over = |(server, times): (&usize, &Vec<Time>)| {
+fn worst(
+    set: &Settings,
+    entries: &[EndpointEntry],
+    sent: &BTreeMap<EndpointIndex, Vec<TickDuration>>,
+) -> f64 {
+    let over = |(server, times): (&usize, &Vec<TickDuration>)| {
         // By what the settings allow on the mean of the window, as a server warms up within it: by its first moment alone
         // the model is harsher than the rule. And as long as the server is cold: a short warm-up is over before the
         // last have come.
-        let age = |t: Time| t - entries[*server].came_up;
-        let cold: Vec<_> = times.iter().copied().filter(|t| age(*t) < set.cold).collect();
-        let sent = |t: Time| cold.iter().filter(|u| (t..t + set.overload_for).contains(*u)).count() as f64;
-        cold.iter().map(|t| sent(*t) / limit(set, age(*t + set.overload_for / 2))).fold(0.0, f64::max)
+        let age = |t: TickDuration| t - entries[*server].started_at;
+        let cold: Vec<_> = times.iter().copied().filter(|t| age(*t) < set.slow_start_duration).collect();
+        let sent = |t: TickDuration| {
+            cold.iter().filter(|u| (t..t + set.overload_window).contains(*u)).count() as f64
+        };
+        cold.iter().map(|t| sent(*t) / limit(set, age(*t + set.overload_window / 2))).fold(0.0, f64::max)
     };
     sent.iter().map(over).fold(0.0, f64::max)
 }
@@ -151,32 +172,41 @@
 /// room at the cold servers is never what holds them back.
 fn throng(Herd { proxies, servers, group, allowed, budget, .. }: Herd, seed: u64) -> (f64, usize, usize) {
     let (set, mut rng) = (settings(proxies as u32, allowed), ChaCha8Rng::seed_from_u64(seed));
-    let known = Settings { cold: if budget { set.cold } else { 0 }, ..set.clone() };
+    let known =
+        Settings { slow_start_duration: if budget { set.slow_start_duration } else { 0 }, ..set.clone() };
     let entries: Vec<_> = (0..servers)
         .map(|s| {
-            let came_up = if s % 2 == 0 { NOW - SECOND + (s as u64 * 7 % 16) * SECOND / 4 } else { 0 };
-            Entry { server: s, id: 77 + 1000 * s as u32, state: State::Ready, came_up, ..Entry::default() }
+            let started_at = if s % 2 == 0 { NOW - SECOND + (s as u64 * 7 % 16) * SECOND / 4 } else { 0 };
+            EndpointEntry {
+                endpoint: s,
+                id: 77 + 1000 * s as u32,
+                state: EndpointState::Ready,
+                started_at,
+                ..EndpointEntry::default()
+            }
         })
         .collect();
-    let warm: Vec<_> = entries.iter().filter(|e| e.came_up == 0).copied().collect();
+    let warm: Vec<_> = entries.iter().filter(|e| e.started_at == 0).copied().collect();
     let mut fleet: Vec<_> = (0..proxies)
         .map(|n| {
             let mut b = Balancer::new(known.clone(), seed * 1000 + n as u64, 0);
-            b.heard_list(0, Scope::Cached, &warm);
-            b.probed(NOW - 6 * SECOND, 1, Outcome::Accepted, 10, 0.5, BEARS / 2.0);
+            b.update_endpoints(0, ListScope::Cached, &warm);
+            b.health_checked(NOW - 6 * SECOND, 1, AttemptOutcome::Succeeded, 10, 0.5, BEARS / 2.0);
             b
         })
         .collect();
     // What happens when: a list is heard, a session comes, or ends.
     #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
     enum Event {
-        Hears(usize, ServerIx),
+        Hears(usize, EndpointIndex),
         Comes(usize, u32),
-        Ends(usize, SessIx),
+        Ends(usize, SessionHandle),
     }
     let mut queue = BTreeSet::new();
-    for (s, e) in entries.iter().enumerate().filter(|(_, e)| e.came_up > 0) {
-        queue.extend((0..proxies).map(|p| (e.came_up + rng.random_range(0..SECOND / 5), Event::Hears(p, s))));
+    for (s, e) in entries.iter().enumerate().filter(|(_, e)| e.started_at > 0) {
+        queue.extend(
+            (0..proxies).map(|p| (e.started_at + rng.random_range(0..SECOND / 5), Event::Hears(p, s))),
+        );
     }
     let mut n = 0;
     for (begin, length, came) in [(NOW - 5 * SECOND, 5, HOLDS), (NOW, 4, 3 * HOLDS)] {
@@ -189,29 +219,29 @@
             }
         }
     }
-    let mut sent: BTreeMap<_, Vec<Time>> = BTreeMap::new();
+    let mut sent: BTreeMap<_, Vec<TickDuration>> = BTreeMap::new();
     while let Some((now, event)) = queue.pop_first() {
         match event {
-            Event::Hears(p, s) => fleet[p].heard_list(now, Scope::Changes, &entries[s..=s]),
-            Event::Ends(p, ix) => fleet[p].left(ix),
+            Event::Hears(p, s) => fleet[p].update_endpoints(now, ListScope::Changes, &entries[s..=s]),
+            Event::Ends(p, ix) => fleet[p].client_left(ix),
             Event::Comes(n, tries) => {
                 let p = rng.random_range(0..proxies);
-                let ask = Session {
+                let ask = SessionRequest {
                     listener: 0,
                     group_key: 1 + seed * 100_000 + ((n - 1) / group) as u64,
                     client_key: 1 + n as u64,
-                    patience: 2 * SECOND,
-                    again: n % 2 == 0,
-                    ..Session::default()
+                    dial_timeout: 2 * SECOND,
+                    reconnecting: n % 2 == 0,
+                    ..SessionRequest::default()
                 };
                 match fleet[p].place(now, ask) {
-                    (ix, Verdict::Dial { server, .. }) => {
+                    (ix, Decision::Connect { endpoint: server, .. }) => {
                         if server % 2 == 0 {
                             sent.entry(server).or_default().push(now);
                         }
                         queue.insert((now + SECOND / 2, Event::Ends(p, ix)));
                     }
-                    (_, Verdict::Refuse { .. }) if tries < 3 => {
+                    (_, Decision::Reject { .. }) if tries < 3 => {
                         queue.insert((now + SECOND / 3, Event::Comes(n, tries + 1)));
                     }
                     _ => {}
--- a/crates/larklink-balancer/tests/decision_trace.rs
+++ b/crates/larklink-balancer/tests/decision_trace.rs
@@ -1,12 +1,15 @@
 //! Holds the decisions still: seeded random events go in, and every output is folded, as numbers, into one hash a
 //! seed. The hashes were taken before the code was reshaped; one that differs means that a decision has changed.
-use larklink_balancer::balancer::Balancer;
-use larklink_balancer::types::*;
+use larklink_balancer::{
+    Action, AttemptOutcome, Balancer, Decision, DeduplicationGroup, EndpointEntry, EndpointIndex,
+    EndpointState, HealthSummary, Idempotency, ListScope, Listener, Observation, RetryBudgetSettings,
+    SessionHandle, SessionRequest, Settings, TickDuration, Timestamp,
+};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use xxhash_rust::xxh3::Xxh3;
 
-const SECOND: Time = 10_000;
+const SECOND: TickDuration = 10_000;
 const EVENTS: usize = 6_000;
 const SERVERS: usize = 14;
 
@@ -22,8 +25,8 @@
 }
 
 struct Open {
-    handle: SessIx,
-    server: ServerIx,
+    handle: SessionHandle,
+    server: EndpointIndex,
     dialling: bool,
     established: bool,
 }
@@ -32,7 +35,7 @@
     rng: ChaCha8Rng,
     settings: Settings,
     balancer: Balancer,
-    now: Time,
+    now: Timestamp,
     open: Vec<Open>,
     health: Vec<Health>,
     hash: Xxh3,
@@ -43,43 +46,51 @@
 fn settings(variant: u64) -> Settings {
     let bit = |n: u64| variant >> n & 1 == 1;
     let kinds = [
-        Kind::Repeatable,
-        Kind::OnceOnly,
-        Kind::Referenced { group: Group::All, window: 3 * SECOND },
-        Kind::Referenced { group: Group::Zone, window: SECOND },
-        Kind::Referenced { group: Group::Cell, window: SECOND },
+        Idempotency::Idempotent,
+        Idempotency::OnceOnly,
+        Idempotency::WithKey { group: DeduplicationGroup::All, window: 3 * SECOND },
+        Idempotency::WithKey { group: DeduplicationGroup::Zone, window: SECOND },
+        Idempotency::WithKey { group: DeduplicationGroup::Cell, window: SECOND },
     ];
-    let listener = |(n, kind)| Listener { kind, handshake_target: SECOND / 2, utility: 1.0 + n as f64 };
+    let listener = |(n, kind)| Listener {
+        idempotency: kind,
+        handshake_objective: SECOND / 2,
+        priority_weight: 1.0 + n as f64,
+    };
     Settings {
         listeners: kinds.into_iter().enumerate().map(listener).collect(),
-        proxies: [0, 6, 300][(variant % 3) as usize],
+        proxy_count: [0, 6, 300][(variant % 3) as usize],
         weighted: bit(0),
-        on_request: bit(1),
-        must_ask_in: 10 * SECOND,
+        polled_discovery: bit(1),
+        discovery_deadline: 10 * SECOND,
         drain_grace: SECOND / 2,
-        only_drains: bit(2),
-        start_capacity: 0.2,
-        cold: 20 * SECOND,
-        fall_multiple: 4.0,
-        overload_for: SECOND,
-        retry_budget: bit(3).then_some(RetryBudget { free: 4.0, share: 0.2, over: 5 * SECOND }),
-        nines: None,
+        removal_not_binding: bit(2),
+        initial_capacity: 0.2,
+        slow_start_duration: 20 * SECOND,
+        overload_multiple: 4.0,
+        overload_window: SECOND,
+        retry_budget: bit(3).then_some(RetryBudgetSettings {
+            min_retries: 4.0,
+            retry_ratio: 0.2,
+            window: 5 * SECOND,
+        }),
+        availability_nines: None,
         connect_timeout: SECOND / 5,
-        max_dials: 4,
+        max_attempts: 4,
         max_retry_after: SECOND,
-        retry_after: !bit(5),
-        probing: !bit(4),
-        tells_load: !bit(4) && bit(1),
-        zone: bit(5).then_some(1),
-        dial_timeout: if variant == 13 { Time::MAX } else { 2 * SECOND },
-        message_target: 500,
+        retry_after_allowed: !bit(5),
+        health_checks: !bit(4),
+        load_reports: !bit(4) && bit(1),
+        local_zone: bit(5).then_some(1),
+        max_dial_timeout: if variant == 13 { Timestamp::MAX } else { 2 * SECOND },
+        message_objective: 500,
     }
 }
 
-fn entry(server: ServerIx, state: State, came_up: Time) -> Entry {
+fn entry(server: EndpointIndex, state: EndpointState, started_at: TickDuration) -> EndpointEntry {
     let weight = [1.0, 2.0, 0.5][server % 3];
     let (zone, cell) = (server as u16 % 2, server as u16 % 3);
-    Entry { server, id: 77 + 1000 * server as u32, zone, cell, state, weight, came_up }
+    EndpointEntry { endpoint: server, id: 77 + 1000 * server as u32, zone, cell, state, weight, started_at }
 }
 
 impl Trace {
@@ -95,7 +106,7 @@
             hash: Xxh3::with_seed(0),
             seen: [0; 11],
         };
-        trace.list(Scope::Cached, SERVERS - 2);
+        trace.list(ListScope::Cached, SERVERS - 2);
         trace
     }
 
@@ -111,29 +122,29 @@
         self.fold(values);
     }
 
-    fn list(&mut self, scope: Scope, servers: usize) {
-        let entries: Vec<_> = (0..servers).map(|s| entry(s, State::Ready, 0)).collect();
-        self.balancer.heard_list(self.now, scope, &entries);
+    fn list(&mut self, scope: ListScope, servers: usize) {
+        let entries: Vec<_> = (0..servers).map(|s| entry(s, EndpointState::Ready, 0)).collect();
+        self.balancer.update_endpoints(self.now, scope, &entries);
     }
 
-    fn verdict(&mut self, handle: SessIx, verdict: Verdict) {
+    fn verdict(&mut self, handle: SessionHandle, verdict: Decision) {
         match verdict {
-            Verdict::Dial { server, limit, by } => {
+            Decision::Connect { endpoint: server, timeout: limit, send_deadline: by } => {
                 self.output(0, &[handle as u64, server as u64, limit, by]);
                 match self.open.iter_mut().find(|o| o.handle == handle) {
                     Some(open) => (open.server, open.dialling) = (server, true),
                     None => self.open.push(Open { handle, server, dialling: true, established: false }),
                 }
             }
-            Verdict::Wait => {
+            Decision::Wait => {
                 self.output(1, &[handle as u64]);
                 self.open.push(Open { handle, server: 0, dialling: false, established: false });
             }
-            Verdict::Refuse { retry_after } => {
+            Decision::Reject { retry_after } => {
                 self.output(2, &[handle as u64, retry_after]);
                 self.open.retain(|o| o.handle != handle);
             }
-            Verdict::TearDown => {
+            Decision::Fail => {
                 self.output(3, &[handle as u64]);
                 self.open.retain(|o| o.handle != handle);
             }
@@ -143,35 +154,35 @@
     fn poll(&mut self) {
         for chore in self.balancer.poll(self.now) {
             match chore {
-                Chore::Probe(server) => self.output(4, &[server as u64]),
-                Chore::Tell(handle, verdict) => {
+                Action::CheckHealth(server) => self.output(4, &[server as u64]),
+                Action::Decided(handle, verdict) => {
                     self.output(5, &[handle as u64]);
                     self.verdict(handle, verdict);
                 }
-                Chore::SendBy(handle, by) => self.output(6, &[handle as u64, by]),
-                Chore::Move(handle) => {
+                Action::LimitSendDeadline(handle, by) => self.output(6, &[handle as u64, by]),
+                Action::Migrate(handle) => {
                     self.output(7, &[handle as u64]);
-                    self.balancer.left(handle);
+                    self.balancer.client_left(handle);
                     self.open.retain(|o| o.handle != handle);
                 }
-                Chore::Subscribe => self.output(8, &[]),
-                Chore::Log(_) => self.output(9, &[]),
+                Action::PollEndpointList => self.output(8, &[]),
+                Action::Log(_) => self.output(9, &[]),
             }
         }
-        let (known, skipped) = self.balancer.census();
-        self.fold(&[self.balancer.due(), known as u64, skipped as u64]);
+        let HealthSummary { listed: known, avoided: skipped } = self.balancer.health_summary();
+        self.fold(&[self.balancer.next_wakeup(), known as u64, skipped as u64]);
     }
 
-    fn session(&mut self) -> Session {
+    fn session(&mut self) -> SessionRequest {
         let key = self.rng.random_range(1..60u64);
-        Session {
+        SessionRequest {
             listener: self.rng.random_range(0..5),
             group_key: if self.rng.random_bool(0.5) { key % 12 } else { 0 },
             client_key: if self.rng.random_bool(0.9) { key } else { 0 },
-            patience: 2 * SECOND,
-            mid_flow: self.rng.random_bool(0.1),
-            again: self.rng.random_bool(0.2),
-            retry: self.rng.random_bool(0.1),
+            dial_timeout: 2 * SECOND,
+            established: self.rng.random_bool(0.1),
+            reconnecting: self.rng.random_bool(0.2),
+            client_retry: self.rng.random_bool(0.1),
         }
     }
 
@@ -181,11 +192,11 @@
         self.verdict(handle, verdict);
     }
 
-    fn settle(&mut self, at: usize, how: Outcome, over: bool) {
+    fn settle(&mut self, at: usize, how: AttemptOutcome, over: bool) {
         let handle = self.open[at].handle;
         self.open[at].dialling = false;
         self.open[at].established = false;
-        match self.balancer.settled(self.now, handle, how, over) {
+        match self.balancer.attempt_ended(self.now, handle, how, over) {
             Some(verdict) => self.verdict(handle, verdict),
             None => {
                 self.output(10, &[handle as u64]);
@@ -197,70 +208,87 @@
     /// Some dial that is out goes on as its server's health has it.
     fn dial_ends(&mut self) {
         let Some(at) = self.pick(|o| o.dialling && !o.established) else { return };
-        let odd = [Outcome::CalledOff, Outcome::Unsent, Outcome::Broken, Outcome::Accepted];
+        let odd = [
+            AttemptOutcome::Cancelled,
+            AttemptOutcome::NotSent,
+            AttemptOutcome::Reset,
+            AttemptOutcome::Succeeded,
+        ];
         let odd = odd[self.rng.random_range(0..4)];
         let strange = self.rng.random_bool(0.04);
         let how = match self.health[self.open[at].server] {
             _ if strange => odd,
             Health::Good | Health::Slow => {
                 self.open[at].established = true;
-                return self.balancer.stood(self.now, self.open[at].handle);
+                return self.balancer.established(self.now, self.open[at].handle);
             }
-            Health::Hung => Outcome::Late,
-            Health::Full => Outcome::Full,
-            Health::Erring => Outcome::Error,
-            Health::Dead => Outcome::Unmade,
+            Health::Hung => AttemptOutcome::TimedOut,
+            Health::Full => AttemptOutcome::AtCapacity,
+            Health::Erring => AttemptOutcome::Failed,
+            Health::Dead => AttemptOutcome::ConnectFailed,
         };
-        self.settle(at, how, how == Outcome::Accepted);
+        self.settle(at, how, how == AttemptOutcome::Succeeded);
     }
 
     fn established_ends(&mut self) {
         let Some(at) = self.pick(|o| o.established) else { return };
         let broken = self.health[self.open[at].server] == Health::Dead || self.rng.random_bool(0.05);
         let over = !broken || self.rng.random_bool(0.5);
-        self.settle(at, if broken { Outcome::Broken } else { Outcome::Accepted }, over);
+        self.settle(at, if broken { AttemptOutcome::Reset } else { AttemptOutcome::Succeeded }, over);
     }
 
     fn note(&mut self) {
         let Some(at) = self.pick(|o| o.established) else { return };
         let health = self.health[self.open[at].server];
         let note = match self.rng.random_range(0..10) {
-            0..5 => Note::Load(self.rng.random_range(0.0..900.0) * if at % 7 == 0 { 8.0 } else { 1.0 }),
-            5..9 if health == Health::Slow => Note::Delay(self.rng.random_range(200..3_000)),
-            5..9 => Note::Delay(self.rng.random_range(0..300)),
-            _ if health == Health::Hung => Note::Unanswered,
-            _ if health == Health::Slow => Note::Delay(3 * SECOND),
-            _ => Note::Delay(self.rng.random_range(0..1_000)),
+            0..5 => {
+                Observation::Load(self.rng.random_range(0.0..900.0) * if at % 7 == 0 { 8.0 } else { 1.0 })
+            }
+            5..9 if health == Health::Slow => Observation::MessageLatency(self.rng.random_range(200..3_000)),
+            5..9 => Observation::MessageLatency(self.rng.random_range(0..300)),
+            _ if health == Health::Hung => Observation::Unresponsive,
+            _ if health == Health::Slow => Observation::MessageLatency(3 * SECOND),
+            _ => Observation::MessageLatency(self.rng.random_range(0..1_000)),
         };
-        self.balancer.noted(self.now, self.open[at].handle, note);
+        self.balancer.observe(self.now, self.open[at].handle, note);
     }
 
     fn probe_answers(&mut self) {
         let server = self.rng.random_range(0..SERVERS);
         let (how, took) = match self.health[server] {
-            Health::Good => (Outcome::Accepted, self.rng.random_range(0..200)),
-            Health::Slow => (Outcome::Accepted, self.rng.random_range(0..900)),
-            Health::Hung => (Outcome::Late, SECOND / 5),
-            Health::Full => (Outcome::Full, 10),
-            Health::Erring => (Outcome::Error, 10),
-            Health::Dead => (Outcome::Unmade, 10),
+            Health::Good => (AttemptOutcome::Succeeded, self.rng.random_range(0..200)),
+            Health::Slow => (AttemptOutcome::Succeeded, self.rng.random_range(0..900)),
+            Health::Hung => (AttemptOutcome::TimedOut, SECOND / 5),
+            Health::Full => (AttemptOutcome::AtCapacity, 10),
+            Health::Erring => (AttemptOutcome::Failed, 10),
+            Health::Dead => (AttemptOutcome::ConnectFailed, 10),
         };
         let most = if self.health[server] == Health::Slow { 2.0 } else { 0.7 };
         let (load, holds) = (self.rng.random_range(0.01..most), self.rng.random_range(0.0..90.0f64).floor());
-        self.balancer.probed(self.now, server, how, took, load, holds);
+        self.balancer.health_checked(self.now, server, how, took, load, holds);
     }
 
     fn list_changes(&mut self) {
         let server = self.rng.random_range(0..SERVERS);
         match self.rng.random_range(0..12) {
-            0 => self.list(Scope::Whole, SERVERS),
-            1 => self.list(Scope::Whole, SERVERS - 3),
-            2 => self.balancer.list_failed(self.now),
+            0 => self.list(ListScope::Complete, SERVERS),
+            1 => self.list(ListScope::Complete, SERVERS - 3),
+            2 => self.balancer.discovery_failed(self.now),
             n => {
-                let states = [State::Ready, State::Draining, State::Ready, State::Gone, State::Ready];
+                let states = [
+                    EndpointState::Ready,
+                    EndpointState::Draining,
+                    EndpointState::Ready,
+                    EndpointState::Removed,
+                    EndpointState::Ready,
+                ];
                 let state = states[self.rng.random_range(0..5)];
-                let came_up = if n < 6 { self.now } else { 0 };
-                self.balancer.heard_list(self.now, Scope::Changes, &[entry(server, state, came_up)]);
+                let started_at = if n < 6 { self.now } else { 0 };
+                self.balancer.update_endpoints(
+                    self.now,
+                    ListScope::Changes,
+                    &[entry(server, state, started_at)],
+                );
             }
         }
     }
@@ -287,12 +315,12 @@
     fn restart(&mut self) {
         let seed = self.rng.random();
         self.balancer = Balancer::new(self.settings.clone(), seed, self.now);
-        self.list(Scope::Cached, SERVERS - 1);
-        self.balancer.succeeds(self.now);
+        self.list(ListScope::Cached, SERVERS - 1);
+        self.balancer.take_over(self.now);
         let standing: Vec<_> = self.open.drain(..).filter(|o| o.established).collect();
         for open in standing.into_iter().take(40) {
             let session = self.session();
-            let handle = self.balancer.adopt(self.now, session, open.server);
+            let handle = self.balancer.adopt_established(self.now, session, open.server);
             self.fold(&[handle as u64]);
             self.open.push(Open { handle, server: open.server, dialling: false, established: true });
         }
@@ -316,7 +344,7 @@
             825..835 if !self.open.is_empty() => {
                 let at = self.rng.random_range(0..self.open.len());
                 let handle = self.open.remove(at).handle;
-                self.balancer.left(handle);
+                self.balancer.client_left(handle);
             }
             _ => {
                 let busy = n % 4_000 < 2_500;
--- a/crates/larklink-balancer/tests/store_jam.rs
+++ b/crates/larklink-balancer/tests/store_jam.rs
@@ -3,12 +3,14 @@
 //! a bounded number of times, and new ones keep coming. Each restarted proxy knows nothing of the jam that it meets.
 use std::collections::BTreeSet;
 
-use larklink_balancer::balancer::Balancer;
-use larklink_balancer::types::*;
+use larklink_balancer::{
+    Action, AttemptOutcome, Balancer, Decision, EndpointEntry, EndpointIndex, EndpointState, Idempotency,
+    ListScope, Listener, SessionHandle, SessionRequest, Settings, TickDuration, Timestamp,
+};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const SECOND: Time = 10_000;
+const SECOND: TickDuration = 10_000;
 /// Set-ups a second that the store bears, at 30 proxies and at 300. Below some 0.4 a second for each of hundreds what
 /// none may go without, a dial in four seconds, is most of what it bears: at 120 before 300 it came back to 0.6.
 const BEARS: [(usize, u64); 2] = [(30, 120), (300, 240)];
@@ -21,31 +23,31 @@
 /// A client that is refused or late comes again so often.
 const TRIES: u32 = 10;
 /// A tenth of the proxies is stopped each step, which reaches all in ten.
-const STEP: Time = 16 * SECOND / 10;
-const BEGIN: Time = 20 * SECOND;
-const LAST: Time = BEGIN + 9 * STEP;
-const END: Time = LAST + 15 * SECOND;
+const STEP: TickDuration = 16 * SECOND / 10;
+const BEGIN: TickDuration = 20 * SECOND;
+const LAST: TickDuration = BEGIN + 9 * STEP;
+const END: TickDuration = LAST + 15 * SECOND;
 
-fn settings(proxies: usize, dial_timeout: Time) -> Settings {
+fn settings(proxies: usize, dial_timeout: TickDuration) -> Settings {
     Settings {
         listeners: vec![Listener {
-            kind: Kind::Repeatable,
-            handshake_target: dial_timeout / 3,
-            utility: 1.0,
+            idempotency: Idempotency::Idempotent,
+            handshake_objective: dial_timeout / 3,
+            priority_weight: 1.0,
         }],
-        proxies: proxies as u32,
+        proxy_count: proxies as u32,
         drain_grace: SECOND / 7,
-        start_capacity: 0.3,
-        cold: 8 * SECOND,
-        fall_multiple: 2.0,
-        overload_for: SECOND * 7 / 10,
+        initial_capacity: 0.3,
+        slow_start_duration: 8 * SECOND,
+        overload_multiple: 2.0,
+        overload_window: SECOND * 7 / 10,
         connect_timeout: SECOND / 5,
-        max_dials: 5,
+        max_attempts: 5,
         max_retry_after: SECOND * 6 / 10,
-        retry_after: true,
-        probing: true,
-        dial_timeout,
-        message_target: 600,
+        retry_after_allowed: true,
+        health_checks: true,
+        max_dial_timeout: dial_timeout,
+        message_objective: 600,
         ..Settings::default()
     }
 }
@@ -58,19 +60,19 @@
     Through {
         proxy: usize,
         life: u32,
-        ix: SessIx,
+        ix: SessionHandle,
         dial: u32,
     },
     Over {
         proxy: usize,
         life: u32,
-        ix: SessIx,
+        ix: SessionHandle,
         dial: u32,
     },
     Probed {
         proxy: usize,
         life: u32,
-        server: ServerIx,
+        server: EndpointIndex,
     },
     Round(usize),
     Restart(usize),
@@ -80,33 +82,33 @@
     b: Balancer,
     life: u32,
     /// Sessions by their handle: tries of the client before this one, and the number of their latest dial.
-    sessions: std::collections::BTreeMap<SessIx, (u32, u32)>,
+    sessions: std::collections::BTreeMap<SessionHandle, (u32, u32)>,
 }
 
 struct Day {
     set: Settings,
     rng: ChaCha8Rng,
-    entries: Vec<Entry>,
+    entries: Vec<EndpointEntry>,
     fleet: Vec<Proxy>,
-    events: BTreeSet<(Time, u64, Event)>,
+    events: BTreeSet<(TickDuration, u64, Event)>,
     count: u64,
     bears: u64,
     /// When each proxy turned a session away first since its last dial, and how many since then; and who has turned away
     /// all that it got, fifteen or more, for four seconds on end.
-    turned: Vec<(Time, u32)>,
+    turned: Vec<(TickDuration, u32)>,
     shut: BTreeSet<usize>,
     /// When the store is through with all that it was asked.
-    free: Time,
-    served: Vec<Time>,
+    free: TickDuration,
+    served: Vec<TickDuration>,
 }
 
 impl Day {
-    fn at(&mut self, time: Time, event: Event) {
+    fn at(&mut self, time: TickDuration, event: Event) {
         self.count += 1;
         self.events.insert((time, self.count, event));
     }
 
-    fn again(&mut self, now: Time, tries: u32, wait: Time) {
+    fn again(&mut self, now: Timestamp, tries: u32, wait: TickDuration) {
         if tries + 1 < TRIES {
             let own = self.rng.random_range(SECOND / 50..SECOND * 15 / 100);
             // Seven in ten do as they are told.
@@ -115,10 +117,10 @@
         }
     }
 
-    fn does(&mut self, now: Time, p: usize, ix: SessIx, verdict: Verdict) {
+    fn does(&mut self, now: Timestamp, p: usize, ix: SessionHandle, verdict: Decision) {
         let life = self.fleet[p].life;
         match verdict {
-            Verdict::Dial { limit, server, .. } => {
+            Decision::Connect { timeout: limit, endpoint: server, .. } => {
                 self.turned[p].1 = 0;
                 let x = self.fleet[p].sessions.get_mut(&ix).expect("a session of ours");
                 x.1 += 1;
@@ -133,8 +135,8 @@
                     self.at(now + limit, Event::Over { proxy: p, life, ix, dial });
                 }
             }
-            Verdict::Wait => {}
-            Verdict::Refuse { retry_after } => {
+            Decision::Wait => {}
+            Decision::Reject { retry_after } => {
                 let (since, n) = &mut self.turned[p];
                 *since = if *n == 0 { now } else { *since };
                 *n += 1;
@@ -144,23 +146,23 @@
                 let (tries, _) = self.fleet[p].sessions.remove(&ix).expect("a session of ours");
                 self.again(now, tries, retry_after);
             }
-            Verdict::TearDown => {
+            Decision::Fail => {
                 let (tries, _) = self.fleet[p].sessions.remove(&ix).expect("a session of ours");
                 self.again(now, tries, 0);
             }
         }
     }
 
-    fn poll(&mut self, now: Time, p: usize) {
+    fn poll(&mut self, now: Timestamp, p: usize) {
         let life = self.fleet[p].life;
         for chore in self.fleet[p].b.poll(now) {
             match chore {
-                Chore::Probe(server) => self.at(now + 20, Event::Probed { proxy: p, life, server }),
-                Chore::Tell(ix, verdict) => self.does(now, p, ix, verdict),
+                Action::CheckHealth(server) => self.at(now + 20, Event::Probed { proxy: p, life, server }),
+                Action::Decided(ix, verdict) => self.does(now, p, ix, verdict),
                 // Standing sessions that are moved are dialled anew by their clients.
-                Chore::Move(ix) => {
+                Action::Migrate(ix) => {
                     if let Some((_, _)) = self.fleet[p].sessions.remove(&ix) {
-                        self.fleet[p].b.left(ix);
+                        self.fleet[p].b.client_left(ix);
                         self.again(now, 0, 0);
                     }
                 }
@@ -169,19 +171,19 @@
         }
     }
 
-    fn restarted(&mut self, now: Time, p: usize) -> Proxy {
+    fn restarted(&mut self, now: Timestamp, p: usize) -> Proxy {
         let mut b = Balancer::new(self.set.clone(), self.rng.random(), now);
-        b.heard_list(now, Scope::Cached, &self.entries);
+        b.update_endpoints(now, ListScope::Cached, &self.entries);
         let life = self.fleet.get(p).map_or(0, |old| old.life + 1);
         Proxy { b, life, sessions: Default::default() }
     }
 
-    fn ask(&mut self, again: bool) -> Session {
-        let (client_key, patience) = (self.rng.random(), self.set.dial_timeout);
-        Session { client_key, patience, again, ..Session::default() }
+    fn ask(&mut self, reconnecting: bool) -> SessionRequest {
+        let (client_key, dial_timeout) = (self.rng.random(), self.set.max_dial_timeout);
+        SessionRequest { client_key, dial_timeout, reconnecting, ..SessionRequest::default() }
     }
 
-    fn event(&mut self, now: Time, event: Event) {
+    fn event(&mut self, now: Timestamp, event: Event) {
         match event {
             Event::Comes(tries) => {
                 let (p, ask) = (self.rng.random_range(0..self.fleet.len()), self.ask(false));
@@ -196,19 +198,23 @@
                     return;
                 }
                 if matches!(event, Event::Through { .. }) {
-                    x.b.stood(now, ix);
+                    x.b.established(now, ix);
                     self.served.push(now);
                 } else {
                     let (tries, _) = x.sessions.remove(&ix).expect("just seen");
-                    x.b.settled(now, ix, Outcome::Late, true);
+                    x.b.attempt_ended(now, ix, AttemptOutcome::TimedOut, true);
                     self.again(now, tries, 0);
                 }
                 self.poll(now, proxy);
             }
             Event::Probed { proxy, life, server } => {
                 if self.fleet[proxy].life == life {
-                    let how = if server % HANGS == 0 { Outcome::Late } else { Outcome::Accepted };
-                    self.fleet[proxy].b.probed(now, server, how, 20, 0.3, 30.0);
+                    let how = if server % HANGS == 0 {
+                        AttemptOutcome::TimedOut
+                    } else {
+                        AttemptOutcome::Succeeded
+                    };
+                    self.fleet[proxy].b.health_checked(now, server, how, 20, 0.3, 30.0);
                     self.poll(now, proxy);
                 }
             }
@@ -231,9 +237,14 @@
 }
 
 /// Set-ups that were served in each second of a day, as shares of what the store bears, and how many proxies served nobody.
-fn day(proxies: usize, bears: u64, dial_timeout: Time, seed: u64) -> (Vec<f64>, usize) {
+fn day(proxies: usize, bears: u64, dial_timeout: TickDuration, seed: u64) -> (Vec<f64>, usize) {
     let (set, rng) = (settings(proxies, dial_timeout), ChaCha8Rng::seed_from_u64(seed));
-    let entry = |s| Entry { server: s, id: 77 + 1000 * s as u32, state: State::Ready, ..Entry::default() };
+    let entry = |s| EndpointEntry {
+        endpoint: s,
+        id: 77 + 1000 * s as u32,
+        state: EndpointState::Ready,
+        ..EndpointEntry::default()
+    };
     let entries = (0..SERVERS).map(entry).collect();
     let (fleet, events, served) = (Vec::new(), BTreeSet::new(), Vec::new());
     let (turned, shut) = (vec![(0, 0); proxies], BTreeSet::new());
@@ -242,21 +253,22 @@
         let new = d.restarted(0, p);
         d.fleet.push(new);
         d.at(d.count % 200 * 10, Event::Round(p));
-        d.at(BEGIN + (p * 10 / proxies) as Time * STEP, Event::Restart(p));
+        d.at(BEGIN + (p * 10 / proxies) as TickDuration * STEP, Event::Restart(p));
     }
     for n in 0..STAND {
         let ask = d.ask(false);
         let x = &mut d.fleet[n % proxies];
-        let ix = x.b.adopt(0, ask, n * 7 % SERVERS);
+        let ix = x.b.adopt_established(0, ask, n * 7 % SERVERS);
         x.sessions.insert(ix, (0, 0));
     }
-    let gap = (SECOND as f64 / (bears as f64 * COME)) as Time;
+    let gap = (SECOND as f64 / (bears as f64 * COME)) as TickDuration;
     (0..BEGIN / gap / 2).for_each(|n| d.at(n * gap * 2, Event::Comes(0)));
     (BEGIN / gap..END / gap).for_each(|n| d.at(n * gap, Event::Comes(0)));
     while let Some((now, _, event)) = d.events.pop_first().filter(|e| e.0 < END) {
         d.event(now, event);
     }
-    let share = |from: Time| d.served.iter().filter(|t| (from..from + SECOND).contains(*t)).count() as f64;
+    let share =
+        |from: Timestamp| d.served.iter().filter(|t| (from..from + SECOND).contains(*t)).count() as f64;
     ((0..END / SECOND).map(|s| share(s * SECOND) / bears as f64).collect(), d.shut.len())
 }
 
@@ -264,7 +276,7 @@
 /// what they sent kept its queue full until the day's end, ten seconds after the last restart.
 #[test]
 fn a_jam_that_restarts_begin_ends_with_them() {
-    let seconds = |from: Time, to: Time| (from / SECOND) as usize..(to / SECOND) as usize;
+    let seconds = |from: Timestamp, to: TickDuration| (from / SECOND) as usize..(to / SECOND) as usize;
     for ((proxies, bears), dial_timeout) in BEARS.iter().flat_map(|b| [(*b, 9), (*b, 32)]) {
         for seed in 1..=20 {
             let (served, shut) = day(proxies, bears, dial_timeout * SECOND / 10, seed);
--- a/crates/larklink-coordination/src/lease.rs
+++ b/crates/larklink-coordination/src/lease.rs
@@ -9,22 +9,22 @@
 //! on two things: a holder counts from before it asked, and a candidate from after it heard.
 use std::marker::PhantomData;
 
-use larklink_balancer::types::Time;
+use larklink_balancer::{TickDuration, Timestamp};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 
 /// Millionths, in which drift is told.
-const MILLION: Time = 1_000_000;
+const MILLION: TickDuration = 1_000_000;
 /// A holder renews after this part of its span: two renewals may fail before it must stop.
-const RENEW: Time = 3;
+const RENEW: TickDuration = 3;
 /// After a call without an answer the next is made within this part of the span, drawn from its upper half, so that
 /// hundreds of candidates do not call in step.
-const AGAIN: Time = 10;
+const AGAIN: TickDuration = 10;
 /// The least that a span is over the bound on a call: renewals need room to fail and be made again.
-pub const SPAN_OVER_CALL: Time = 10;
+pub const SPAN_OVER_CALL: TickDuration = 10;
 /// The longest span, a day: a lost holder costs as much.
-const LONGEST: Time = 24 * 3_600 * 10_000;
+const LONGEST: TickDuration = 24 * 3_600 * 10_000;
 
 /// One process: a name started again is another member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -43,20 +43,20 @@
     /// Grows by one with each change of holder.
     pub term: u64,
     /// The holder's span.
-    pub span: Time,
+    pub span: TickDuration,
 }
 
 /// What all candidates of a lease agree on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Terms {
     /// How long a renewal holds.
-    pub span: Time,
+    pub span: TickDuration,
     /// By how many millionths a clock may run fast or slow.
     pub drift: u32,
     /// The bound of one act: none begins later than this before the end.
-    pub act: Time,
+    pub act: TickDuration,
     /// The bound on a call of the register, after which it counts as unanswered.
-    pub call: Time,
+    pub call: TickDuration,
 }
 
 impl Terms {
@@ -93,7 +93,7 @@
 pub enum Ask {
     /// What it holds now, by a consistent read; answered once that is newer than an index, if one is told, or after a
     /// wait.
-    Read { newer: Option<u64>, wait: Time },
+    Read { newer: Option<u64>, wait: TickDuration },
     /// Writes if the index is still this one; 0: if there is nothing.
     Write { cas: u64, record: Record },
 }
@@ -116,20 +116,21 @@
 /// The inequalities that the lease rests on, apart so that its proof can be run against mistaken ones.
 pub trait Law {
     /// Until when a holder may act by a write asked for at one time and answered at another.
-    fn holds_until(asked: Time, _answered: Time, terms: &Terms) -> Time {
-        let drift = Time::from(terms.drift);
+    fn holds_until(asked: Timestamp, _answered: TickDuration, terms: &Terms) -> TickDuration {
+        let drift = TickDuration::from(terms.drift);
         (asked + terms.span * (MILLION - drift) / MILLION).saturating_sub(terms.act)
     }
 
     /// From when on a record first heard of then, and unchanged since, may be overtaken.
-    fn overtakes_at(heard: Time, span: Time, drift: u32) -> Time {
+    fn overtakes_at(heard: Timestamp, span: TickDuration, drift: u32) -> TickDuration {
         // The span stands in a record that others wrote.
-        let longer = (u128::from(span) * u128::from(MILLION + Time::from(drift))).div_ceil(MILLION.into());
-        heard.saturating_add(Time::try_from(longer).unwrap_or(Time::MAX))
+        let longer =
+            (u128::from(span) * u128::from(MILLION + TickDuration::from(drift))).div_ceil(MILLION.into());
+        heard.saturating_add(TickDuration::try_from(longer).unwrap_or(Timestamp::MAX))
     }
 
     /// From when on a write counts that is made again after one without an answer, which may have taken effect.
-    fn made_again(first: Time, again: Time) -> Time {
+    fn made_again(first: Timestamp, again: TickDuration) -> TickDuration {
         first.min(again)
     }
 }
@@ -146,23 +147,23 @@
     index: u64,
     record: Option<Record>,
     /// When this index was first heard of.
-    first: Time,
+    first: Timestamp,
 }
 
 /// The index that writes of unknown outcome named, and the earliest time at which one of them was asked for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Doubt {
     cas: u64,
-    asked: Time,
+    asked: Timestamp,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Held {
-    until: Time,
+    until: Timestamp,
     token: Token,
     term: u64,
     /// When the latest renewal that was confirmed was asked for.
-    asked: Time,
+    asked: Timestamp,
 }
 
 /// Why a lease was lost or taken, for one log line.
@@ -188,13 +189,13 @@
     doubt: Option<Doubt>,
     held: Option<Held>,
     /// The call that is out and when it was asked.
-    out: Option<(Ask, Time)>,
+    out: Option<(Ask, TickDuration)>,
     /// What was heard is not enough: it reads before anything else.
     reads: bool,
     resigns: bool,
     /// Not to call before; not to take before, as what was held may have been lost with the register's state.
-    rests: Time,
-    takes: Time,
+    rests: TickDuration,
+    takes: TickDuration,
     change: Option<Change>,
     law: PhantomData<L>,
 }
@@ -221,12 +222,12 @@
 
     /// The token to act with now. Every act looks here right before it, and once more after it: an act that a pause
     /// carried over the end is late, and only the far side can refuse it.
-    pub fn may_act(&self, now: Time) -> Option<Token> {
+    pub fn may_act(&self, now: Timestamp) -> Option<Token> {
         self.held.as_ref().filter(|held| now < held.until && !self.resigns).map(|held| held.token)
     }
 
     /// Until when this process may act, and in which term; none where it may not by now.
-    pub fn until(&self, now: Time) -> Option<(Time, u64)> {
+    pub fn until(&self, now: Timestamp) -> Option<(TickDuration, u64)> {
         self.may_act(now)?;
         self.held.as_ref().map(|held| (held.until, held.term))
     }
@@ -260,10 +261,10 @@
         self.resigns && self.out.is_none() && !self.reads && !self.is_mine()
     }
 
-    /// When [`Lease::next`] wants to be called next; [`Time::MAX`] while a call is out.
-    pub fn due(&self) -> Time {
+    /// When [`Lease::next`] wants to be called next; [`Timestamp::MAX`] while a call is out.
+    pub fn due(&self) -> Timestamp {
         if self.out.is_some() || self.is_over() {
-            return Time::MAX;
+            return Timestamp::MAX;
         }
         let wants = match (&self.held, self.is_mine()) {
             _ if self.reads || self.resigns => 0,
@@ -275,7 +276,7 @@
     }
 
     /// What to ask of the register now; nothing while a call is out or before it is due.
-    pub fn next(&mut self, now: Time) -> Option<Ask> {
+    pub fn next(&mut self, now: Timestamp) -> Option<Ask> {
         if now < self.due() {
             return None;
         }
@@ -289,7 +290,7 @@
         Some(ask)
     }
 
-    fn wants(&self, now: Time) -> Option<Ask> {
+    fn wants(&self, now: Timestamp) -> Option<Ask> {
         let Some(heard) = self.heard.as_ref().filter(|_| !self.reads) else {
             return Some(Ask::Read { newer: None, wait: 0 });
         };
@@ -323,7 +324,7 @@
     }
 
     /// The call that is out was answered.
-    pub fn answered(&mut self, now: Time, answer: Answer) {
+    pub fn answered(&mut self, now: Timestamp, answer: Answer) {
         let Some((ask, asked)) = self.out.take() else { return };
         self.rests = 0;
         match (ask, answer) {
@@ -344,7 +345,7 @@
     }
 
     /// The call that is out brought no answer in time: it may have taken effect, or may yet.
-    pub fn unanswered(&mut self, now: Time) {
+    pub fn unanswered(&mut self, now: Timestamp) {
         let Some((ask, _)) = self.out.take() else { return };
         if matches!(ask, Ask::Write { .. }) {
             self.reads = true;
@@ -354,7 +355,7 @@
         self.rests = now + pause;
     }
 
-    fn wrote(&mut self, now: Time, asked: Time, index: u64, record: Record) {
+    fn wrote(&mut self, now: Timestamp, asked: Timestamp, index: u64, record: Record) {
         let (mine, term) = (record.holder.is_some(), record.term);
         self.heard = Some(Heard { index, record: Some(record), first: now });
         self.reads = false;
@@ -380,7 +381,7 @@
         }
     }
 
-    fn read(&mut self, now: Time, holds: Option<(u64, Record)>) {
+    fn read(&mut self, now: Timestamp, holds: Option<(u64, Record)>) {
         let (index, record) = holds.map_or((0, None), |(index, record)| (index, Some(record)));
         self.reads = false;
         let known = self.heard.as_ref().map_or(0, |heard| heard.index);
--- a/crates/larklink-engine/src/settings.rs
+++ b/crates/larklink-engine/src/settings.rs
@@ -1,9 +1,12 @@
 //! The settings object of a proxy, from JSON to the module's plain values and what its protocols need.
-use larklink_balancer::types::{Group, Kind, Listener, Nines, RetryBudget, Settings, Time};
+use larklink_balancer::{
+    AvailabilityNines, DeduplicationGroup, Idempotency, Listener, RetryBudgetSettings, Settings,
+    TickDuration, Timestamp,
+};
 use serde::Deserialize;
 
 /// Nanoseconds to whole tenths of a millisecond, rounded down.
-pub fn tenths(ns: i64) -> Time {
+pub fn tenths(ns: i64) -> TickDuration {
     u64::try_from(ns).unwrap_or(0) / 100_000
 }
 
@@ -153,11 +156,11 @@
     /// The names of the values that a load report holds.
     pub report: Vec<String>,
     /// Where a report holds the load asked of a server over what it can do.
-    pub load_at: Option<usize>,
+    pub load_position: Option<usize>,
     /// Where it holds the sessions in the server's hands.
-    pub holds_at: Option<usize>,
+    pub in_flight_position: Option<usize>,
     /// The longest dial timeout of any listener.
-    pub longest: Time,
+    pub longest: TickDuration,
     /// Packets pass through: connections outlive the proxy.
     pub passes: bool,
     pub tells_delay: bool,
@@ -174,7 +177,7 @@
     ///
     /// # Errors
     /// A part of it is told without the rest, or is no retry budget.
-    fn retry_budget(&self) -> Result<Option<RetryBudget>, String> {
+    fn retry_budget(&self) -> Result<Option<RetryBudgetSettings>, String> {
         let lacks = |name| {
             Err(format!("safety.{name}: missing, though other parts of the budget of dials are there"))
         };
@@ -192,14 +195,14 @@
         if tenths(over) == 0 {
             return Err(format!("safety.counted_over_ns: {over} is no period; it must be 100000 or more"));
         }
-        Ok(Some(RetryBudget { free, share, over: tenths(over) }))
+        Ok(Some(RetryBudgetSettings { min_retries: free, retry_ratio: share, window: tenths(over) }))
     }
 }
 
 impl Mix {
     /// # Errors
     /// A figure is no weight, or no number of steps.
-    fn nines(&self) -> Result<Option<Nines>, String> {
+    fn nines(&self) -> Result<Option<AvailabilityNines>, String> {
         let told = [("nines_part", self.nines_part), ("top_nines", self.top_nines)];
         for (name, x) in told {
             if let Some(x) = x.filter(|x| no_amount(*x)) {
@@ -208,7 +211,9 @@
         }
         let part = self.nines_part.unwrap_or(0.0);
         match self.top_nines {
-            Some(top) if top > 0.0 => Ok((part > 0.0).then_some(Nines { part, top })),
+            Some(top) if top > 0.0 => {
+                Ok((part > 0.0).then_some(AvailabilityNines { weight: part, max_nines: top }))
+            }
             _ if part > 0.0 => Err("result_mix.top_nines: must be above 0 where nines_part is".into()),
             _ => Ok(None),
         }
@@ -255,53 +260,53 @@
         }
         let (retry_budget, nines) = (info.safety.retry_budget()?, info.result_mix.nines()?);
         let listeners = info.grades.iter().map(|g| Listener {
-            kind: match (g.idempotency.as_str(), g.group.as_str()) {
-                ("idempotent", _) => Kind::Repeatable,
-                ("deduplicated", group) => Kind::Referenced {
+            idempotency: match (g.idempotency.as_str(), g.group.as_str()) {
+                ("idempotent", _) => Idempotency::Idempotent,
+                ("deduplicated", group) => Idempotency::WithKey {
                     group: match group {
-                        "all" => Group::All,
-                        "zone" => Group::Zone,
-                        _ => Group::Cell,
+                        "all" => DeduplicationGroup::All,
+                        "zone" => DeduplicationGroup::Zone,
+                        _ => DeduplicationGroup::Cell,
                     },
                     window: tenths(g.window_ns),
                 },
                 // A kind of listener that we do not know is treated with the most care.
-                _ => Kind::OnceOnly,
+                _ => Idempotency::OnceOnly,
             },
-            handshake_target: tenths(g.aim_ns),
-            utility: g.gain,
+            handshake_objective: tenths(g.aim_ns),
+            priority_weight: g.gain,
         });
         let (limits, safety) = (&info.policy_limits, &info.safety);
         let at = |name| info.feedback.names.iter().position(|n| n == name);
-        let (load_at, holds_at) = (at("x0"), at("inflight"));
+        let (load_position, in_flight_position) = (at("x0"), at("inflight"));
         let longest = info.grades.iter().map(|g| tenths(g.deadline_ns)).max().unwrap_or(0);
         // A group that is split over zones costs servers in each: only where crossings cost no less than moves.
         let (crossing, moves) = (info.fees.cross_zone, info.fees.moves);
         let near = info.zones.len() > 1 && crossing > 0.0 && crossing >= moves;
         let settings = Settings {
             listeners: listeners.collect(),
-            proxies: info.group_size,
+            proxy_count: info.group_size,
             weighted: matches!(info.weights.as_str(), "nominal" | "rough"),
-            on_request: info.discovery == "on_request",
-            must_ask_in: tenths(safety.must_ask_in_ns),
+            polled_discovery: info.discovery == "on_request",
+            discovery_deadline: tenths(safety.must_ask_in_ns),
             drain_grace: tenths(safety.drain_grace_ns),
-            only_drains: safety.removal_not_binding,
-            start_capacity: safety.start_capacity,
-            cold: tenths(safety.cold_ns),
-            fall_multiple: safety.fall_multiple,
-            overload_for: tenths(safety.overload_for_ns),
+            removal_not_binding: safety.removal_not_binding,
+            initial_capacity: safety.start_capacity,
+            slow_start_duration: tenths(safety.cold_ns),
+            overload_multiple: safety.fall_multiple,
+            overload_window: tenths(safety.overload_for_ns),
             retry_budget,
-            nines,
+            availability_nines: nines,
             connect_timeout: tenths(limits.dial_timeout_ns).max(1),
             // Dials are numbered in a byte; nobody waits for as many.
-            max_dials: limits.send_cap.min(u8::MAX.into()),
+            max_attempts: limits.send_cap.min(u8::MAX.into()),
             max_retry_after: tenths(limits.max_retry_after_ns),
-            retry_after: limits.retry_after,
-            probing: limits.probing,
-            tells_load: limits.probing && load_at.is_some(),
-            zone: near.then_some(info.zone),
-            dial_timeout: if longest > 0 { longest } else { Time::MAX },
-            message_target: info.domain.message_aim_ns.iter().map(|&ns| tenths(ns)).min().unwrap_or(0),
+            retry_after_allowed: limits.retry_after,
+            health_checks: limits.probing,
+            load_reports: limits.probing && load_position.is_some(),
+            local_zone: near.then_some(info.zone),
+            max_dial_timeout: if longest > 0 { longest } else { Timestamp::MAX },
+            message_objective: info.domain.message_aim_ns.iter().map(|&ns| tenths(ns)).min().unwrap_or(0),
         };
         Ok(Self {
             settings,
@@ -309,8 +314,8 @@
             listeners: info.grades.into_iter().map(|g| g.name).collect(),
             zones: info.zones,
             report: info.feedback.names,
-            load_at,
-            holds_at,
+            load_position,
+            in_flight_position,
             passes: info.domain.mode == "pass",
             tells_delay: info.domain.tells_delay,
         })
--- a/crates/larklink-engine/tests/core.rs
+++ b/crates/larklink-engine/tests/engine.rs
@@ -1,8 +1,11 @@
-//! Seeded random runs of the core: what it asks for is in order whatever it hears.
+//! Seeded random runs of the engine: what it asks for is in order whatever it hears.
 use std::collections::BTreeMap;
 
-use larklink_balancer::types::*;
-use larklink_engine::core::{Action, Core};
+use larklink_balancer::{
+    AttemptOutcome, AvailabilityNines, EndpointEntry, EndpointState, Idempotency, ListScope, Observation,
+    RetryBudgetSettings, SessionRequest, TickDuration, Timestamp,
+};
+use larklink_engine::engine::{Engine, ProxyAction};
 use larklink_engine::settings::ProxySettings;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -24,19 +27,40 @@
     Open(usize, u64),
     Adopt(u32),
     Stood(usize, u8),
-    Settled(usize, u8, Outcome, bool),
+    Settled(usize, u8, AttemptOutcome, bool),
     Left(usize),
-    Noted(usize, u8, Note),
-    Probed(u32, Outcome, Vec<f64>),
-    List(u32, State),
-    Wait(Time),
+    Noted(usize, u8, Observation),
+    Probed(u32, AttemptOutcome, Vec<f64>),
+    List(u32, EndpointState),
+    Wait(TickDuration),
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    use Outcome::*;
-    let how = || prop::sample::select(vec![Accepted, Error, Full, Late, Unmade, Broken, CalledOff, Unsent]);
-    let notes = vec![Note::Load(900.0), Note::Load(9000.0), Note::Delay(400), Note::Unanswered];
-    let state = prop::sample::select(vec![State::Ready, State::Ready, State::Draining, State::Gone]);
+    use AttemptOutcome::*;
+    let how = || {
+        prop::sample::select(vec![
+            Succeeded,
+            Failed,
+            AtCapacity,
+            TimedOut,
+            ConnectFailed,
+            Reset,
+            Cancelled,
+            NotSent,
+        ])
+    };
+    let notes = vec![
+        Observation::Load(900.0),
+        Observation::Load(9000.0),
+        Observation::MessageLatency(400),
+        Observation::Unresponsive,
+    ];
+    let state = prop::sample::select(vec![
+        EndpointState::Ready,
+        EndpointState::Ready,
+        EndpointState::Draining,
+        EndpointState::Removed,
+    ]);
     let (n, old) = (any::<usize>, || 0..2u8);
     prop_oneof![
         5 => (0..2usize, 1..30u64).prop_map(|(listener, key)| Step::Open(listener, key)),
@@ -61,17 +85,23 @@
 }
 
 struct Watch {
-    core: Core,
-    now: Time,
+    engine: Engine,
+    now: Timestamp,
     next: u32,
     open: BTreeMap<u32, Seen>,
     named: Vec<u32>,
 }
 
 impl Watch {
-    fn check(&mut self, action: Action) {
+    fn check(&mut self, action: ProxyAction) {
         match action {
-            Action::Dial { session, dial, server, limit, by } => {
+            ProxyAction::Connect {
+                session,
+                attempt: dial,
+                endpoint: server,
+                timeout: limit,
+                send_deadline: by,
+            } => {
                 let seen = self.open.get_mut(&session).expect("a dial for a session that is over");
                 assert!(!seen.out && !seen.stands, "two dials out at once");
                 assert_eq!(dial, seen.dials, "dials are counted from 0");
@@ -82,21 +112,21 @@
                 assert!(limit > 0 && self.named.contains(&server), "a dial to a server of no list");
                 (seen.dials, seen.out) = (dial + 1, true);
             }
-            Action::Refuse { session, .. } | Action::TearDown { session } => {
+            ProxyAction::Reject { session, .. } | ProxyAction::Fail { session } => {
                 let seen = self.open.remove(&session).expect("an answer for a session that is over");
                 assert!(!seen.out && !seen.stands, "answered with a dial out");
             }
-            Action::Move { session } => {
+            ProxyAction::Migrate { session } => {
                 let seen = self.open.remove(&session).expect("a move of a session that is over");
                 assert!(seen.stands, "moved before it stood");
             }
-            Action::Probe { server } => assert!(self.named.contains(&server)),
-            Action::SendBy { session, dial, by } => {
+            ProxyAction::CheckHealth { endpoint: server } => assert!(self.named.contains(&server)),
+            ProxyAction::LimitSendDeadline { session, attempt: dial, send_deadline: by } => {
                 let seen = &self.open[&session];
                 assert!(seen.out && dial + 1 == seen.dials, "word on a dial that is not out");
                 assert!(by <= self.now + 10_000, "no permit ends later than a grace from now");
             }
-            Action::Subscribe | Action::Log(_) => {}
+            ProxyAction::PollEndpointList | ProxyAction::Log(_) => {}
         }
     }
 
@@ -104,43 +134,47 @@
         self.open.keys().nth(n.checked_rem(self.open.len())?).copied()
     }
 
-    fn list(&mut self, id: u32, state: State) {
+    fn list(&mut self, id: u32, state: EndpointState) {
         self.named.push(id);
-        let entry = Entry { id, state, weight: 1.0, ..Entry::default() };
-        self.core.heard_list(self.now, Scope::Changes, vec![entry]);
+        let entry = EndpointEntry { id, state, weight: 1.0, ..EndpointEntry::default() };
+        self.engine.update_endpoints(self.now, ListScope::Changes, vec![entry]);
     }
 
-    /// What the core asks for in answer.
-    fn hear(&mut self, step: Step) -> Option<Action> {
-        let ask =
-            |listener, client_key| Session { listener, client_key, patience: 20_000, ..Session::default() };
+    /// What the engine asks for in answer.
+    fn hear(&mut self, step: Step) -> Option<ProxyAction> {
+        let ask = |listener, client_key| SessionRequest {
+            listener,
+            client_key,
+            dial_timeout: 20_000,
+            ..SessionRequest::default()
+        };
         let now = self.now;
         match step {
             Step::Open(listener, key) => {
                 self.next += 1;
                 self.open.insert(self.next, Seen::default());
-                return self.core.open(now, self.next, ask(listener, key));
+                return self.engine.open_session(now, self.next, ask(listener, key));
             }
             Step::Adopt(server) => {
                 self.next += 1;
                 self.open.insert(self.next, Seen { dials: 1, out: false, stands: true });
-                self.core.adopt(now, self.next, ask(0, 1), server);
+                self.engine.adopt_established(now, self.next, ask(0, 1), server);
             }
             Step::Stood(n, old) => {
                 let id = self.pick(n)?;
                 let seen = self.open.get_mut(&id)?;
                 if old > 0 {
-                    self.core.stood(now, id, seen.dials + old);
+                    self.engine.established(now, id, seen.dials + old);
                 } else if seen.out {
                     (seen.out, seen.stands) = (false, true);
-                    self.core.stood(now, id, seen.dials - 1);
+                    self.engine.established(now, id, seen.dials - 1);
                 }
             }
             Step::Settled(n, old, how, over) => {
                 let id = self.pick(n)?;
                 let seen = self.open.get_mut(&id)?;
                 if old > 0 || !(seen.out || seen.stands) {
-                    let action = self.core.settled(now, id, seen.dials + old, how, over);
+                    let action = self.engine.attempt_ended(now, id, seen.dials + old, how, over);
                     assert_eq!(action, None, "word on a dial that is not the latest");
                     return None;
                 }
@@ -149,21 +183,21 @@
                 if over {
                     self.open.remove(&id);
                 }
-                return self.core.settled(now, id, dial, how, over);
+                return self.engine.attempt_ended(now, id, dial, how, over);
             }
             Step::Left(n) => {
                 let id = self.pick(n)?;
                 self.open.remove(&id);
-                self.core.left(id);
+                self.engine.client_left(id);
             }
             Step::Noted(n, old, note) => {
                 let id = self.pick(n)?;
                 let seen = &self.open[&id];
                 if seen.stands {
-                    self.core.noted(now, id, seen.dials - 1 + old, note);
+                    self.engine.observe(now, id, seen.dials - 1 + old, note);
                 }
             }
-            Step::Probed(server, how, report) => self.core.probed(now, server, how, 10, &report),
+            Step::Probed(server, how, report) => self.engine.health_checked(now, server, how, 10, &report),
             Step::List(server, state) => self.list(server, state),
             Step::Wait(span) => self.now += span,
         }
@@ -173,10 +207,10 @@
     fn step(&mut self, step: Step) {
         let action = self.hear(step);
         action.into_iter().for_each(|a| self.check(a));
-        for action in self.core.poll(self.now) {
+        for action in self.engine.poll(self.now) {
             self.check(action);
         }
-        assert!(self.core.due() > self.now, "it would be asked again at once");
+        assert!(self.engine.next_wakeup() > self.now, "it would be asked again at once");
     }
 }
 
@@ -191,9 +225,9 @@
     #[test]
     fn each_action_is_for_a_session_that_may_have_it(steps in prop::collection::vec(step(), 1..200)) {
         let facts = ProxySettings::read(SETTINGS.as_bytes()).unwrap();
-        let core = Core::new(&facts, 5, 0);
-        let mut watch = Watch { core, now: 0, next: 0, open: BTreeMap::new(), named: Vec::new() };
-        (0..6).for_each(|id| watch.list(id, State::Ready));
+        let engine = Engine::new(&facts, 5, 0);
+        let mut watch = Watch { engine, now: 0, next: 0, open: BTreeMap::new(), named: Vec::new() };
+        (0..6).for_each(|id| watch.list(id, EndpointState::Ready));
         steps.into_iter().for_each(|step| watch.step(step));
     }
 }
@@ -203,17 +237,17 @@
     let facts = ProxySettings::read(SETTINGS.as_bytes()).unwrap();
     let set = &facts.settings;
     assert_eq!((facts.listeners.len(), facts.longest, facts.passes), (2, 30_000, true));
-    assert_eq!((facts.load_at, set.tells_load), (Some(1), true));
-    assert_eq!((set.connect_timeout, set.message_target, set.drain_grace), (2_500, 500, 5_000));
-    assert_eq!(set.listeners[1].kind, Kind::OnceOnly);
+    assert_eq!((facts.load_position, set.load_reports), (Some(1), true));
+    assert_eq!((set.connect_timeout, set.message_objective, set.drain_grace), (2_500, 500, 5_000));
+    assert_eq!(set.listeners[1].idempotency, Idempotency::OnceOnly);
     assert!(
         ProxySettings::read(b"{}").is_ok_and(|f| f.listeners.is_empty()),
         "what is missing has a cautious value"
     );
     // At 0 each told delay would have made its server silent.
     assert_eq!(
-        (set.dial_timeout, ProxySettings::read(b"{}").unwrap().settings.dial_timeout),
-        (30_000, Time::MAX)
+        (set.max_dial_timeout, ProxySettings::read(b"{}").unwrap().settings.max_dial_timeout),
+        (30_000, Timestamp::MAX)
     );
     assert!(ProxySettings::read(b"[").is_err());
 }
@@ -223,9 +257,12 @@
     let set = |text: &str| ProxySettings::read(text.as_bytes()).unwrap().settings;
     let all = set(r#"{"safety":{"budget_free":3,"extra_per_request":0.05,"counted_over_ns":5000000000},
             "result_mix":{"nines_part":0.3,"top_nines":3}}"#);
-    assert_eq!(all.retry_budget, Some(RetryBudget { free: 3.0, share: 0.05, over: 50_000 }));
-    assert_eq!(all.nines, Some(Nines { part: 0.3, top: 3.0 }));
-    assert_eq!((set("{}").retry_budget, set("{}").nines), (None, None));
+    assert_eq!(
+        all.retry_budget,
+        Some(RetryBudgetSettings { min_retries: 3.0, retry_ratio: 0.05, window: 50_000 })
+    );
+    assert_eq!(all.availability_nines, Some(AvailabilityNines { weight: 0.3, max_nines: 3.0 }));
+    assert_eq!((set("{}").retry_budget, set("{}").availability_nines), (None, None));
 }
 
 #[test]
@@ -234,7 +271,7 @@
         ProxySettings::read(format!(r#"{{"zone":1,"zones":["a","b"]{more}}}"#).as_bytes())
             .unwrap()
             .settings
-            .zone
+            .local_zone
     };
     assert_eq!(zone(""), None, "what is not priced is as before");
     assert_eq!(zone(r#","fees":{"cross_zone":0.03,"moves":0.038}"#), None);
@@ -245,21 +282,26 @@
 #[test]
 fn a_session_with_hundreds_of_dials_ends_before_their_numbers_do() {
     let text = SETTINGS.replace(r#""send_cap": 3"#, r#""send_cap": 1000"#);
-    let mut core = Core::new(&ProxySettings::read(text.as_bytes()).unwrap(), 7, 0);
-    let entry = |id| Entry { id, state: State::Ready, weight: 1.0, ..Entry::default() };
-    core.heard_list(0, Scope::Cached, vec![entry(1), entry(2)]);
-    let ask = Session { client_key: 5, patience: 1_000_000, ..Session::default() };
-    let (mut now, mut dials, mut action) = (0, Vec::new(), core.open(0, 9, ask));
+    let mut engine = Engine::new(&ProxySettings::read(text.as_bytes()).unwrap(), 7, 0);
+    let entry =
+        |id| EndpointEntry { id, state: EndpointState::Ready, weight: 1.0, ..EndpointEntry::default() };
+    engine.update_endpoints(0, ListScope::Cached, vec![entry(1), entry(2)]);
+    let ask = SessionRequest { client_key: 5, dial_timeout: 1_000_000, ..SessionRequest::default() };
+    let (mut now, mut dials, mut action) = (0, Vec::new(), engine.open_session(0, 9, ask));
     loop {
         now += 1;
-        let waits = |a: Action| matches!(a, Action::Dial { .. } | Action::Refuse { .. }).then_some(a);
-        match action.take().or_else(|| core.poll(now).into_iter().find_map(waits)) {
-            Some(Action::Dial { dial, .. }) => {
+        let waits = |a: ProxyAction| {
+            matches!(a, ProxyAction::Connect { .. } | ProxyAction::Reject { .. }).then_some(a)
+        };
+        match action.take().or_else(|| engine.poll(now).into_iter().find_map(waits)) {
+            Some(ProxyAction::Connect { attempt: dial, .. }) => {
                 dials.push(dial);
-                action = core.settled(now, 9, dial, Outcome::Full, false);
+                action = engine.attempt_ended(now, 9, dial, AttemptOutcome::AtCapacity, false);
             }
             Some(_) => break,
-            None => [1, 2].into_iter().for_each(|id| core.probed(now, id, Outcome::Accepted, 1, &[])),
+            None => [1, 2]
+                .into_iter()
+                .for_each(|id| engine.health_checked(now, id, AttemptOutcome::Succeeded, 1, &[])),
         }
     }
     assert!(
--- a/crates/larklink-engine/tests/sites.rs
+++ b/crates/larklink-engine/tests/sites.rs
@@ -2,7 +2,7 @@
 //! its site file has them.
 use std::path::{Path, PathBuf};
 
-use larklink_balancer::types::Kind;
+use larklink_balancer::Idempotency;
 use larklink_engine::settings::{ProxySettings, tenths};
 use serde_json::{Map, Value, json};
 
@@ -80,17 +80,15 @@
         let set = &facts.settings;
         let names: Vec<_> = classes.iter().map(|c| c["name"].as_str().unwrap()).collect();
         assert_eq!(facts.listeners, names);
-        assert!(
-            set.listeners
-                .iter()
-                .all(|l| l.kind == Kind::Repeatable && l.utility > 0.0 && l.handshake_target > 0)
-        );
+        assert!(set.listeners.iter().all(|l| l.idempotency == Idempotency::Idempotent
+            && l.priority_weight > 0.0
+            && l.handshake_objective > 0));
         assert_eq!(json!(facts.zones), site["net"]["zones"]);
-        assert_eq!(json!(set.fall_multiple), json!(rules["fall_multiple"].as_f64().unwrap()));
+        assert_eq!(json!(set.overload_multiple), json!(rules["fall_multiple"].as_f64().unwrap()));
         assert_eq!(set.drain_grace, tenths(ns(&rules["drain_grace_ms"])));
-        assert_eq!(set.overload_for, tenths(ns(&rules["fall_ms"])));
+        assert_eq!(set.overload_window, tenths(ns(&rules["fall_ms"])));
         assert_eq!(set.connect_timeout, tenths(ns(&tier["conn"]["connect_timeout_ms"])));
-        assert_eq!(json!(set.max_dials), site["allow"]["max_attempts"]);
-        assert!(set.probing && set.tells_load && facts.longest > 0, "{name}: load is told by probes");
+        assert_eq!(json!(set.max_attempts), site["allow"]["max_attempts"]);
+        assert!(set.health_checks && set.load_reports && facts.longest > 0, "{name}: load is told by probes");
     }
 }
--- a/crates/larklink-proxy/src/console.rs
+++ b/crates/larklink-proxy/src/admin.rs
@@ -12,8 +12,8 @@
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 
-use crate::figures::Figures;
-use crate::servers::within;
+use crate::metrics::Metrics;
+use crate::upstream::within;
 
 /// Callers that are heard at once. One more pushes out the oldest, which has had the longest to say something;
 /// so callers that connect and finish no call keep nobody out, as long as fewer come within the time of a call.
@@ -32,7 +32,7 @@
 ///
 /// # Errors
 /// The address is bad or taken, or there is no thread to be had.
-pub fn open(at: SocketAddr, figures: Arc<Figures>) -> Result<SocketAddr> {
+pub fn open(at: SocketAddr, figures: Arc<Metrics>) -> Result<SocketAddr> {
     let listener = Async::<TcpListener>::bind(at)?;
     let address = listener.get_ref().local_addr()?;
     let thread = std::thread::Builder::new().name("console".into());
@@ -45,7 +45,7 @@
 
 async fn listen(
     listener: &Async<TcpListener>,
-    figures: &Arc<Figures>,
+    figures: &Arc<Metrics>,
     executor: &Rc<LocalExecutor<'static>>,
 ) {
     // The ends of channels whose other ends the callers hold: those that are closed have gone by themselves.
@@ -70,7 +70,7 @@
 }
 
 /// One call; it ends early when `pushed` closes, to make room for another.
-async fn serve(stream: Async<TcpStream>, pushed: Receiver<()>, figures: Arc<Figures>) {
+async fn serve(stream: Async<TcpStream>, pushed: Receiver<()>, figures: Arc<Metrics>) {
     let call = async {
         let mut from = &stream;
         let (mut bytes, mut chunk) = (Vec::new(), [0; 1024]);
@@ -100,7 +100,7 @@
 }
 
 /// The answer to a call of which so much has come; nothing while its head is not whole. Pure but for the figures.
-pub fn answer(bytes: &[u8], figures: &Figures) -> Option<String> {
+pub fn answer(bytes: &[u8], figures: &Metrics) -> Option<String> {
     let mut headers = [httparse::EMPTY_HEADER; HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     match head.parse(bytes) {
--- a/crates/larklink-proxy/src/clients.rs
+++ b/crates/larklink-proxy/src/clients.rs
@@ -12,20 +12,20 @@
 use async_channel::Receiver;
 use async_io::{Async, Timer};
 use futures_lite::{AsyncWriteExt, FutureExt, future};
-use larklink_balancer::types::*;
+use larklink_balancer::Observation;
 use rand_chacha::ChaCha8Rng;
 use socket2::SockRef;
 
-use crate::events::{Event, Queue};
-use crate::figures::{Answer, Figures, InProgress};
-use crate::handover::wire::Standing;
+use crate::events::{DecisionEvent, DecisionQueue};
+use crate::handover::wire::EstablishedSession;
 use crate::handover::{HandedOver, Successor};
 use crate::limiter::{ConnectionLimiter, ConnectionPermit};
-use crate::lines::{Head, Inbox, head};
-use crate::log::Reason;
+use crate::log::EndReason;
+use crate::metrics::{FinalAnswer, InProgress, Metrics};
 use crate::pending::asks;
+use crate::protocol::{LineBuffer, OpenLine, head};
 use crate::relay::Stands;
-use crate::servers::{Link, within};
+use crate::upstream::{Connection, within};
 
 /// How long a client may take over its first line, or over the next after a probe. Who sends none is owed an
 /// end within 3 s.
@@ -46,9 +46,9 @@
 pub(crate) const LOOK: Duration = Duration::from_millis(20);
 
 /// What all clients' tasks share.
-pub struct Front {
-    pub queue: Queue,
-    pub figures: Arc<Figures>,
+pub struct SessionContext {
+    pub queue: DecisionQueue,
+    pub figures: Arc<Metrics>,
     pub listeners: Vec<String>,
     pub connect_timeout: Duration,
     pub passes: bool,
@@ -67,14 +67,14 @@
 }
 
 pub(crate) struct Client {
-    pub link: Link,
+    pub link: Connection,
     pub place: ConnectionPermit,
     /// When it came, or its first line was whole.
     pub came: Instant,
 }
 
 /// A session's id while it is open.
-struct Named<'a>(&'a Front, u64);
+struct Named<'a>(&'a SessionContext, u64);
 
 impl Drop for Named<'_> {
     fn drop(&mut self) {
@@ -83,19 +83,19 @@
 }
 
 /// Serves one connection; its end leaves one line in the log.
-pub async fn serve(front: Rc<Front>, stream: Async<TcpStream>, place: ConnectionPermit) {
+pub async fn serve(front: Rc<SessionContext>, stream: Async<TcpStream>, place: ConnectionPermit) {
     let started = Instant::now();
-    let mut client = Client { link: Link::new(stream), place, came: started };
+    let mut client = Client { link: Connection::new(stream), place, came: started };
     let (session, reason) = front.serve(&mut client).await;
     log_end(session, reason, started);
 }
 
 /// Goes on with a session that stands, given by the process before this one.
-pub async fn inherit(front: Rc<Front>, (mut was, client, server): HandedOver) {
+pub async fn inherit(front: Rc<SessionContext>, (mut was, client, server): HandedOver) {
     let started = Instant::now();
     let link = |stream, bytes: &mut Vec<u8>| {
-        let inbox = Inbox::holding(std::mem::take(bytes))?;
-        Some(Link { inbox, stream: Async::new(stream).ok()? })
+        let inbox = LineBuffer::holding(std::mem::take(bytes))?;
+        Some(Connection { inbox, stream: Async::new(stream).ok()? })
     };
     let (Some(client), Some(link)) = (link(client, &mut was.to_server), link(server, &mut was.to_client))
     else {
@@ -109,7 +109,7 @@
 /// Refuses a connection for which there is no descriptor. Nobody's dial has run: trying again is harmless.
 pub fn turn_away(stream: &Async<TcpStream>) {
     busy_at_once(stream);
-    log_end(None, Reason::NoRoom, Instant::now());
+    log_end(None, EndReason::NoRoom, Instant::now());
 }
 
 fn busy_at_once(stream: &Async<TcpStream>) {
@@ -123,12 +123,12 @@
     }
 }
 
-fn log_end(session: Option<u32>, reason: Reason, started: Instant) {
+fn log_end(session: Option<u32>, reason: EndReason, started: Instant) {
     let session = session.map(|s| s.to_string()).unwrap_or_default();
     tracing::info!(session, reason = %reason, ms = started.elapsed().as_millis() as u64, "end");
 }
 
-impl Front {
+impl SessionContext {
     /// When the proxy ends that is to stop; counted from the first who asks.
     pub fn until(&self) -> Instant {
         let stopped = self.stopped.get().unwrap_or_else(Instant::now);
@@ -136,26 +136,28 @@
         stopped + self.last
     }
 
-    async fn serve(&self, client: &mut Client) -> (Option<u32>, Reason) {
+    async fn serve(&self, client: &mut Client) -> (Option<u32>, EndReason) {
         let give_way = |place: &ConnectionPermit| {
             let must_go = place.must_go();
             async move {
                 must_go.await;
-                Err(Reason::NoRoom)
+                Err(EndReason::NoRoom)
             }
         };
         let way = give_way(&client.place);
         let closed = async {
             let _ = self.closed.recv().await;
             Timer::after(LAST).await;
-            Err(Reason::Stopped)
+            Err(EndReason::Stopped)
         };
         let mut line = first_line(client).or(way).or(closed).await;
         // A line that has come by now is answered like any other: nobody is there to send it again. So is one of which a
         // stop finds a part, as long as it may still come.
-        let late =
-            matches!(line, Err(Reason::Stopped | Reason::Pinged | Reason::HeadStalled | Reason::NoRoom));
-        let said = client.link.has_line() || line == Err(Reason::Stopped) && client.link.has_some();
+        let late = matches!(
+            line,
+            Err(EndReason::Stopped | EndReason::Pinged | EndReason::HeadStalled | EndReason::NoRoom)
+        );
+        let said = client.link.has_line() || line == Err(EndReason::Stopped) && client.link.has_some();
         if late && said && client.place.stays() {
             let way = give_way(&client.place);
             line = first_line(client).or(way).or(self.last_call()).await;
@@ -164,10 +166,10 @@
             Ok(line) => line,
             Err(reason) => {
                 match reason {
-                    Reason::NoRoom => busy_at_once(&client.link.stream),
+                    EndReason::NoRoom => busy_at_once(&client.link.stream),
                     // The rest of its line may be on its way.
-                    Reason::Stopped if client.link.has_some() => answer(client, "BUSY\r\n").await,
-                    Reason::BadLine | Reason::HeadStalled => answer(client, "ERR\r\n").await,
+                    EndReason::Stopped if client.link.has_some() => answer(client, "BUSY\r\n").await,
+                    EndReason::BadLine | EndReason::HeadStalled => answer(client, "ERR\r\n").await,
                     // In good order: what comes in this instant must not be met by a reset.
                     _ => close(&client.link).or(client.place.must_go()).await,
                 }
@@ -184,10 +186,10 @@
         });
         match head {
             Ok((_, listener)) if !client.place.stays() || !client.place.seat() => {
-                self.figures.answered(listener, Answer::Refused);
-                self.figures.refused_undialled(Reason::NoRoom, Instant::now());
+                self.figures.answered(listener, FinalAnswer::Rejected);
+                self.figures.refused_undialled(EndReason::NoRoom, Instant::now());
                 busy_at_once(&client.link.stream);
-                (None, Reason::NoRoom)
+                (None, EndReason::NoRoom)
             }
             Ok((head, listener)) => {
                 let (session, _open) = self.enter(&head);
@@ -196,51 +198,58 @@
             Err(wrong) => {
                 tracing::warn!("a first line with {wrong}");
                 answer(client, "ERR\r\n").await;
-                (None, Reason::BadLine)
+                (None, EndReason::BadLine)
             }
         }
     }
 
-    async fn inherit(&self, was: &Standing, client: &mut Client, link: Link) -> (Option<u32>, Reason) {
+    async fn inherit(
+        &self,
+        was: &EstablishedSession,
+        client: &mut Client,
+        link: Connection,
+    ) -> (Option<u32>, EndReason) {
         let line = was.head.as_bytes();
         let Some((head, listener)) = head(line).ok().and_then(|h| self.listener(&h).map(|l| (h, l))) else {
             tracing::warn!("a session without a first line was given");
-            return (None, Reason::BadLine);
+            return (None, EndReason::BadLine);
         };
         let ask = asks(&head, listener);
         let (session, _open) = self.enter(&head);
         let (sender, orders) = async_channel::bounded(4);
         let server = was.server;
-        self.queue.send(Event::Stands { session, server, orders: sender }).await;
-        self.queue.send(Event::Adopt { session, ask, server }).await;
+        self.queue.send(DecisionEvent::FindEndpoint { session, endpoint: server, commands: sender }).await;
+        self.queue.send(DecisionEvent::AdoptEstablished { session, request: ask, endpoint: server }).await;
         if let Some(load) = was.load {
-            self.queue.send(Event::Noted { session, dial: 0, note: Note::Load(load) }).await;
+            self.queue
+                .send(DecisionEvent::Observed { session, attempt: 0, observation: Observation::Load(load) })
+                .await;
         }
         let at = Stands { session, dial: 0, server, head: line, unanswered: was.unanswered, load: was.load };
         (Some(session), self.standing(at, client, link, &orders).await)
     }
 
     /// The number of a session that comes in; it is open, and in progress, while the other is held.
-    fn enter(&self, head: &Head<'_>) -> (u32, (Named<'_>, InProgress)) {
+    fn enter(&self, head: &OpenLine<'_>) -> (u32, (Named<'_>, InProgress)) {
         self.open.borrow_mut().insert(head.id, head.key);
         let session = self.next.replace(self.next.get().wrapping_add(1));
         (session, (Named(self, head.id), self.figures.taken()))
     }
 
     /// Resolves when there is no more time for an answer: who still waits then has the last one.
-    pub(crate) async fn last_call<T>(&self) -> Result<T, Reason> {
+    pub(crate) async fn last_call<T>(&self) -> Result<T, EndReason> {
         let _ = self.stop.recv().await;
         Timer::at(self.until() - LAST).await;
-        Err(Reason::Stopped)
+        Err(EndReason::Stopped)
     }
 
-    fn listener(&self, head: &Head<'_>) -> Option<usize> {
+    fn listener(&self, head: &OpenLine<'_>) -> Option<usize> {
         self.listeners.iter().position(|l| l == head.listener)
     }
 }
 
 /// Answers probes until there is another line; or says how it ended.
-async fn first_line(client: &mut Client) -> Result<Vec<u8>, Reason> {
+async fn first_line(client: &mut Client) -> Result<Vec<u8>, EndReason> {
     let mut pinged = false;
     loop {
         let step = async {
@@ -264,10 +273,10 @@
             }
             Err(e) => {
                 return Err(match e.kind() {
-                    ErrorKind::InvalidData => Reason::BadLine,
-                    _ if pinged && client.link.inbox.bytes().is_empty() => Reason::Pinged,
-                    ErrorKind::TimedOut => Reason::HeadStalled,
-                    _ => Reason::ClientLeft,
+                    ErrorKind::InvalidData => EndReason::BadLine,
+                    _ if pinged && client.link.inbox.bytes().is_empty() => EndReason::Pinged,
+                    ErrorKind::TimedOut => EndReason::HeadStalled,
+                    _ => EndReason::ClientLeft,
                 });
             }
         }
@@ -287,7 +296,7 @@
 }
 
 /// Ends a connection in good order: no more from us, then what the other side has on its way.
-pub(crate) async fn close(link: &Link) {
+pub(crate) async fn close(link: &Connection) {
     if link.stream.get_ref().shutdown(Shutdown::Write).is_err() {
         return;
     }
--- a/crates/larklink-proxy/src/clock.rs
+++ b/crates/larklink-proxy/src/clock.rs
@@ -2,12 +2,12 @@
 //! moment of the start is the wall clock's. A server's start, told as wall time, then lies on the same scale.
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use larklink_balancer::types::Time;
+use larklink_balancer::{TickDuration, Timestamp};
 
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Instant,
-    wall: Time,
+    wall: TickDuration,
 }
 
 impl Clock {
@@ -17,20 +17,20 @@
         Self { started: Instant::now(), wall: tenths(wall) }
     }
 
-    pub fn now(&self) -> Time {
+    pub fn now(&self) -> Timestamp {
         self.wall + tenths(self.started.elapsed())
     }
 
     /// When the decisions' time will be `at`.
-    pub fn instant(&self, at: Time) -> Instant {
+    pub fn instant(&self, at: Timestamp) -> Instant {
         self.started + span(at.saturating_sub(self.wall))
     }
 }
 
-pub fn tenths(d: Duration) -> Time {
-    (d.as_micros() / 100) as Time
+pub fn tenths(d: Duration) -> TickDuration {
+    (d.as_micros() / 100) as TickDuration
 }
 
-pub fn span(t: Time) -> Duration {
+pub fn span(t: TickDuration) -> Duration {
     Duration::from_micros(t.saturating_mul(100))
 }
--- a/crates/larklink-proxy/src/config.rs
+++ b/crates/larklink-proxy/src/config.rs
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Deserializer, de::Error};
 use serde_json::Value;
 
-use crate::lines;
-use crate::list::Endpoint;
+use crate::endpoint_list::Endpoint;
+use crate::protocol;
 
 #[derive(Clone, Debug, Deserialize)]
 pub struct Config {
@@ -70,7 +70,7 @@
 
 fn hex<'de, D: Deserializer<'de>>(d: D) -> Result<u64, D::Error> {
     let text = String::deserialize(d)?;
-    lines::hex(&text).ok_or_else(|| D::Error::custom(format!("seed {text:?} is not a hex number")))
+    protocol::hex(&text).ok_or_else(|| D::Error::custom(format!("seed {text:?} is not a hex number")))
 }
 
 impl Config {
--- a/crates/larklink-proxy/src/discovery.rs
+++ b/crates/larklink-proxy/src/discovery.rs
@@ -8,14 +8,14 @@
 use async_channel::Receiver;
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt, future};
-use larklink_balancer::types::{Scope, Time};
+use larklink_balancer::{ListScope, TickDuration};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
 use crate::clock::span;
-use crate::events::{Event, Queue};
-use crate::list::List;
-use crate::servers::within;
+use crate::endpoint_list::List;
+use crate::events::{DecisionEvent, DecisionQueue};
+use crate::upstream::within;
 
 /// What discovery has counts as told so long after it had it and could be reached, whatever became of our calls: the
 /// operators' term (STANDING, T1). [`Paces::heard_in`] stays under it.
@@ -57,7 +57,7 @@
     mut agent: SocketAddr,
     moved: Receiver<SocketAddr>,
     paces: Paces,
-    queue: Queue,
+    queue: DecisionQueue,
     mut chance: ChaCha8Rng,
 ) {
     // What a new address has counts as told four seconds after SIGHUP: its first call is waited for like one after a
@@ -92,7 +92,7 @@
 impl Paces {
     /// From the settings: after how long who has not asked counts as told and how long a server that drains may still
     /// be sent something, both in tenths of a millisecond, and whether lists are asked for of a shared service.
-    pub fn new(must_ask_in: Time, drain_grace: Time, on_request: bool) -> Self {
+    pub fn new(must_ask_in: TickDuration, drain_grace: TickDuration, on_request: bool) -> Self {
         let wait = (span(must_ask_in) / WAIT).clamp(LEAST_WAIT, LONGEST_WAIT);
         let grace = if drain_grace == 0 { FIRST_PAUSE * OF_GRACE } else { span(drain_grace) };
         let soon = (grace / OF_GRACE).min(wait / 2).clamp(LEAST_SOON, FIRST_PAUSE);
@@ -156,7 +156,7 @@
     agent: SocketAddr,
     mut failed: u32,
     paces: &Paces,
-    queue: &Queue,
+    queue: &DecisionQueue,
     chance: &mut ChaCha8Rng,
 ) -> Infallible {
     let (mut link, mut index, mut lost): (Option<Kept>, _, _) = (None, None, false);
@@ -197,9 +197,9 @@
                 }
                 if list.snapshot || index.is_some_and(|last| list.index >= last) {
                     (index, failed, refusals, unanswered) = (Some(list.index), 0, 0, 0);
-                    let scope = if list.snapshot { Scope::Whole } else { Scope::Changes };
+                    let scope = if list.snapshot { ListScope::Complete } else { ListScope::Changes };
                     if list.snapshot || !list.endpoints.is_empty() {
-                        queue.send(Event::List(scope, list.endpoints)).await;
+                        queue.send(DecisionEvent::EndpointList(scope, list.endpoints)).await;
                     }
                     // An agent that does not wait is not to be asked without end; the watch goes on.
                     if index == last && asked.elapsed() < EARLY {
@@ -218,7 +218,7 @@
                 if !std::mem::replace(&mut lost, true) {
                     tracing::warn!("discovery: {e}");
                 }
-                queue.send(Event::ListFailed).await;
+                queue.send(DecisionEvent::DiscoveryFailed).await;
                 let late = call.connected.get() && e.kind() == ErrorKind::TimedOut;
                 (failed, unanswered) = (failed + 1, unanswered + u32::from(late));
                 let refused = e.kind() == ErrorKind::InvalidData;
--- a/crates/larklink-proxy/src/list.rs
+++ b/crates/larklink-proxy/src/endpoint_list.rs
@@ -1,5 +1,5 @@
 //! The list of servers in discovery's form, and an entry of it in the decisions' plain values. Pure.
-use larklink_balancer::types::{Entry, State, Time};
+use larklink_balancer::{EndpointEntry, EndpointState, TickDuration};
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -34,20 +34,20 @@
 }
 
 impl Endpoint {
-    pub fn entry(&self, zones: &[String]) -> Entry {
-        Entry {
-            server: 0,
+    pub fn entry(&self, zones: &[String]) -> EndpointEntry {
+        EndpointEntry {
+            endpoint: 0,
             id: server_id(&self.name),
             zone: zones.iter().position(|z| *z == self.zone).unwrap_or(zones.len()) as u16,
             cell: self.group,
             state: match self.status.as_str() {
-                "up" => State::Ready,
-                "removed" => State::Gone,
+                "up" => EndpointState::Ready,
+                "removed" => EndpointState::Removed,
                 // A state that we do not know is treated with care.
-                _ => State::Draining,
+                _ => EndpointState::Draining,
             },
             weight: self.weight,
-            came_up: (self.since_ms * 10.0).round() as Time,
+            started_at: (self.since_ms * 10.0).round() as TickDuration,
         }
     }
 }
--- a/crates/larklink-proxy/src/events.rs
+++ b/crates/larklink-proxy/src/events.rs
@@ -1,109 +1,160 @@
-//! What passes between the sockets and the owner of the decisions: events one way, orders the other.
+//! What passes between the socket tasks and the decision task: events one way, commands the other.
 use std::net::SocketAddr;
 use std::time::Instant;
 
 use async_channel::{Receiver, Sender};
-use larklink_balancer::types::{Note, Outcome, Scope, Session, Time};
+use larklink_balancer::{AttemptOutcome, ListScope, Observation, SessionRequest, TickDuration};
+use larklink_engine::engine::{AttemptNumber, EndpointId, SessionId};
 
-use crate::list::Endpoint;
+use crate::endpoint_list::Endpoint;
 
-/// Events that may wait before those who send them have to.
-pub const WAITING: usize = 1024;
+/// The most events that wait in the queue; whoever sends a further one waits until there is space.
+pub const QUEUE_CAPACITY: usize = 1024;
 
+/// What a socket task tells the decision task.
 #[derive(Debug)]
-pub enum Event {
-    Open {
-        session: u32,
-        /// When its line had come: its client's time runs from there, however long the queue.
-        came: Instant,
-        ask: Session,
-        orders: Sender<Order>,
+pub enum DecisionEvent {
+    /// A session has come in.
+    OpenSession {
+        /// The id given to it.
+        session: SessionId,
+        /// When its first line was complete: its dial timeout counts from there, however long the queue is.
+        received_at: Instant,
+        /// What its first line says.
+        request: SessionRequest,
+        /// Where its commands go.
+        commands: Sender<SessionCommand>,
     },
-    /// Asks for the address of the server that a standing connection was at.
-    Stands {
-        session: u32,
-        server: u32,
-        orders: Sender<Order>,
+    /// Asks for the address of the endpoint at which a session is established; the answer is a command to connect.
+    FindEndpoint {
+        /// The session.
+        session: SessionId,
+        /// Its endpoint.
+        endpoint: EndpointId,
+        /// Where its commands go.
+        commands: Sender<SessionCommand>,
     },
-    /// It stands there again.
-    Adopt {
-        session: u32,
-        ask: Session,
-        server: u32,
+    /// A session that was established through another process goes on in this one.
+    AdoptEstablished {
+        /// The session.
+        session: SessionId,
+        /// What its first line says.
+        request: SessionRequest,
+        /// Its endpoint.
+        endpoint: EndpointId,
     },
-    Stood {
-        session: u32,
-        dial: u8,
+    /// An endpoint accepted an attempt.
+    Established {
+        /// The session.
+        session: SessionId,
+        /// The attempt that was accepted.
+        attempt: AttemptNumber,
     },
-    Settled {
-        session: u32,
-        dial: u8,
-        how: Outcome,
-        over: bool,
+    /// An attempt or its connection ended.
+    AttemptEnded {
+        /// The session.
+        session: SessionId,
+        /// The attempt that ended.
+        attempt: AttemptNumber,
+        /// How it ended.
+        outcome: AttemptOutcome,
+        /// Whether the session is over with it.
+        session_over: bool,
     },
-    Left {
-        session: u32,
+    /// The client has left.
+    ClientLeft {
+        /// Its session.
+        session: SessionId,
     },
-    Noted {
-        session: u32,
-        dial: u8,
-        note: Note,
+    /// Something was observed of an established session.
+    Observed {
+        /// The session.
+        session: SessionId,
+        /// Its accepted attempt.
+        attempt: AttemptNumber,
+        /// What was observed.
+        observation: Observation,
     },
-    /// A client's line went to the server and one came back.
-    Echo {
-        session: u32,
-        dial: u8,
-        server: u32,
-        took: Time,
+    /// A client's message went to the endpoint and its answer came back.
+    MessageAnswered {
+        /// The session.
+        session: SessionId,
+        /// Its accepted attempt.
+        attempt: AttemptNumber,
+        /// Its endpoint.
+        endpoint: EndpointId,
+        /// The time from sending the message to its answer.
+        took: TickDuration,
     },
-    Probed {
-        server: u32,
-        how: Outcome,
-        took: Time,
-        report: Vec<f64>,
+    /// A health check ended.
+    HealthChecked {
+        /// The endpoint that was checked.
+        endpoint: EndpointId,
+        /// How it ended.
+        outcome: AttemptOutcome,
+        /// How long it took.
+        took: TickDuration,
+        /// The values of the load report in its answer; empty if there were none.
+        load_report: Vec<f64>,
     },
-    List(Scope, Vec<Endpoint>),
-    ListFailed,
-    /// This process takes connections in the place of another one of the proxy, which may still dial.
-    Succeeds,
-    /// Asks for the list as it stands.
-    Listed(Sender<Vec<Endpoint>>),
+    /// The endpoint list, or what changed in it.
+    EndpointList(ListScope, Vec<Endpoint>),
+    /// A poll of the endpoint list failed, or its subscription broke.
+    DiscoveryFailed,
+    /// This process takes connections in the place of another one of the proxy, which may still make attempts.
+    TakeOver,
+    /// Asks for the endpoint list as it is now.
+    CurrentEndpoints(Sender<Vec<Endpoint>>),
 }
 
-/// What a session's task is to do.
+/// What the decision task tells the task of a session.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Order {
-    /// Its first byte may go out up to `by`, and it is given up at `until`.
-    Dial {
-        dial: u8,
-        server: u32,
+pub enum SessionCommand {
+    /// Connect to an endpoint and send the session to it.
+    Connect {
+        /// The number of this attempt.
+        attempt: AttemptNumber,
+        /// The endpoint to connect to.
+        endpoint: EndpointId,
+        /// Its address; none if it is not known.
         address: Option<SocketAddr>,
-        until: Instant,
-        by: Instant,
+        /// When the attempt counts as timed out.
+        deadline: Instant,
+        /// The latest time at which its first byte may be sent.
+        send_deadline: Instant,
     },
-    /// The first byte of that dial may go out up to here only.
-    SendBy {
-        dial: u8,
-        by: Instant,
+    /// The first byte of an attempt may be sent only up to an earlier time.
+    LimitSendDeadline {
+        /// The attempt in flight.
+        attempt: AttemptNumber,
+        /// The latest time at which its first byte may be sent.
+        send_deadline: Instant,
     },
-    Refuse {
-        retry_after: Time,
+    /// Reject the session.
+    Reject {
+        /// How long its client should wait before it retries; 0 if nothing is to be said.
+        retry_after: TickDuration,
     },
-    TearDown,
-    Move,
+    /// Fail the session: it may have run and cannot be retried.
+    Fail,
+    /// Tell the client to reconnect; the session is over.
+    Migrate,
 }
 
+/// The queue of events to the decision task.
 #[derive(Clone)]
-pub struct Queue(Sender<Event>);
+pub struct DecisionQueue(Sender<DecisionEvent>);
 
-impl Queue {
-    pub async fn send(&self, event: Event) {
+impl DecisionQueue {
+    /// Waits until there is space in the queue.
+    pub async fn send(&self, event: DecisionEvent) {
         // It only fails when the proxy is about to exit.
         let _ = self.0.send(event).await;
     }
 }
 
-pub fn queue() -> (Queue, Receiver<Event>) {
-    let (sender, receiver) = async_channel::bounded(WAITING);
-    (Queue(sender), receiver)
+/// A new queue and the end that the decision task reads.
+pub fn queue() -> (DecisionQueue, Receiver<DecisionEvent>) {
+    let (sender, receiver) = async_channel::bounded(QUEUE_CAPACITY);
+    (DecisionQueue(sender), receiver)
 }
--- a/crates/larklink-proxy/src/handover/mod.rs
+++ b/crates/larklink-proxy/src/handover/mod.rs
@@ -22,11 +22,11 @@
 use futures_lite::{FutureExt, future};
 
 use crate::config::Config;
-use crate::events::{Event, Queue};
+use crate::endpoint_list::Endpoint;
+use crate::events::{DecisionEvent, DecisionQueue};
 use crate::limiter::ConnectionLimiter;
-use crate::list::Endpoint;
-use crate::servers::within;
-use wire::{Ear, Mouth, OWED, Reply, Standing, VERSION, bad, talk};
+use crate::upstream::within;
+use wire::{EstablishedSession, HandoverMessage, MessageReader, MessageWriter, OWED, VERSION, bad, talk};
 
 /// How often an old process looks at what it still holds.
 const LOOK: Duration = Duration::from_millis(50);
@@ -43,9 +43,9 @@
 }
 
 /// The process that serves already, and the list of servers as it has it.
-pub struct Old {
-    ear: Ear,
-    mouth: Rc<Mouth>,
+pub struct Predecessor {
+    ear: MessageReader,
+    mouth: Rc<MessageWriter>,
     pub list: Vec<Endpoint>,
 }
 
@@ -53,21 +53,23 @@
 ///
 /// # Errors
 /// There is somebody, who does not speak as one should in time.
-pub async fn meet(at: &Path) -> Result<Option<(TcpListener, Old)>> {
+pub async fn meet(at: &Path) -> Result<Option<(TcpListener, Predecessor)>> {
     let Ok(stream) = UnixStream::connect(at) else { return Ok(None) };
     let (mut ear, mouth) = talk(Async::new(stream)?);
     match within(OWED, ear.hear()).await? {
-        Reply::Offer { list, .. } => Ok(Some((ear.beside()?.into(), Old { ear, mouth, list }))),
+        HandoverMessage::Offer { list, .. } => {
+            Ok(Some((ear.beside()?.into(), Predecessor { ear, mouth, list })))
+        }
         other => Err(bad(format!("no offer but {other:?}"))),
     }
 }
 
 /// A session that an old process gave, with its client's connection and its server's.
-pub type HandedOver = (Standing, TcpStream, TcpStream);
+pub type HandedOver = (EstablishedSession, TcpStream, TcpStream);
 
 /// The new process to which the sessions go that stand, once this one is asked to stop.
 #[derive(Default)]
-pub struct Successor(RefCell<Option<Rc<Mouth>>>);
+pub struct Successor(RefCell<Option<Rc<MessageWriter>>>);
 
 impl Successor {
     pub fn is_there(&self) -> bool {
@@ -75,9 +77,9 @@
     }
 
     /// Gives a session away: whether it has another owner now.
-    pub async fn give(&self, session: Standing, client: &TcpStream, server: &TcpStream) -> bool {
+    pub async fn give(&self, session: EstablishedSession, client: &TcpStream, server: &TcpStream) -> bool {
         let Some(mouth) = self.0.borrow().clone() else { return false };
-        mouth.say(&Reply::Session(session), &[client.as_fd(), server.as_fd()]).await.is_ok()
+        mouth.say(&HandoverMessage::Session(session), &[client.as_fd(), server.as_fd()]).await.is_ok()
     }
 }
 
@@ -85,7 +87,7 @@
 pub struct Handover {
     pub place: PathBuf,
     pub limiter: Rc<ConnectionLimiter>,
-    pub queue: Queue,
+    pub queue: DecisionQueue,
     /// Whether this process takes connections; each change is told here.
     pub taking: Sender<bool>,
     /// Closes when this process is to stop.
@@ -101,7 +103,7 @@
 
 impl Handover {
     /// Takes over from an old process once `fresh` resolves, or when that one stops or goes before.
-    pub async fn take(&self, mut old: Old, fresh: impl Future<Output = ()>) -> Old {
+    pub async fn take(&self, mut old: Predecessor, fresh: impl Future<Output = ()>) -> Predecessor {
         let goes = async {
             // It owes no word yet but that it stops.
             let _ = old.ear.hear().await;
@@ -126,20 +128,20 @@
                 }
             }
         }
-        self.queue.send(Event::Succeeds).await;
+        self.queue.send(DecisionEvent::TakeOver).await;
         let _ = self.taking.send(true).await;
         tracing::info!("takes the connections over");
         old
     }
 
     /// Whether it was given what it asks for.
-    async fn ask(&self, old: &mut Old) -> Result<bool> {
-        old.mouth.say(&Reply::Take, &[]).await?;
+    async fn ask(&self, old: &mut Predecessor) -> Result<bool> {
+        old.mouth.say(&HandoverMessage::Take, &[]).await?;
         let answer = async {
             loop {
                 match old.ear.hear().await? {
-                    Reply::Yours { held } => break Ok(Some(held)),
-                    Reply::Taken => break Ok(None),
+                    HandoverMessage::Yours { held } => break Ok(Some(held)),
+                    HandoverMessage::Taken => break Ok(None),
                     _ => {}
                 }
             }
@@ -150,12 +152,12 @@
     }
 
     /// Goes by what an old process says that it holds, and takes the sessions that it gives, until that has ended.
-    pub async fn follow(&self, mut old: Old) {
+    pub async fn follow(&self, mut old: Predecessor) {
         let mut sessions = 0;
         let ended = loop {
             match old.ear.hear().await {
-                Ok(Reply::Held { held }) => self.limiter.leave_to(held),
-                Ok(Reply::Session(session)) => match (old.ear.beside(), old.ear.beside()) {
+                Ok(HandoverMessage::Held { held }) => self.limiter.leave_to(held),
+                Ok(HandoverMessage::Session(session)) => match (old.ear.beside(), old.ear.beside()) {
                     (Ok(client), Ok(server)) => {
                         sessions += 1;
                         let _ = self.handed_over.send((session, client.into(), server.into())).await;
@@ -225,24 +227,24 @@
         if mine && !self.stop.is_closed() {
             tracing::warn!("a process that had taken over is gone: takes connections again");
             let _ = self.lost.0.try_send(());
-            self.queue.send(Event::Succeeds).await;
+            self.queue.send(DecisionEvent::TakeOver).await;
             let _ = self.taking.send(true).await;
         }
     }
 
-    async fn converse(&self, ear: &mut Ear, mouth: &Rc<Mouth>) -> Result<()> {
+    async fn converse(&self, ear: &mut MessageReader, mouth: &Rc<MessageWriter>) -> Result<()> {
         enum Step {
-            Heard(Reply),
+            Heard(HandoverMessage),
             Look,
             Stop,
         }
         let (list, asked) = async_channel::bounded(1);
-        self.queue.send(Event::Listed(list)).await;
+        self.queue.send(DecisionEvent::CurrentEndpoints(list)).await;
         let list = asked.recv().await.unwrap_or_default();
         {
             let listener = self.listener.borrow().as_ref().map(TcpListener::try_clone).transpose()?;
             let listener = listener.ok_or_else(|| bad("no more connections are taken"))?;
-            mouth.say(&Reply::Offer { version: VERSION, list }, &[listener.as_fd()]).await?;
+            mouth.say(&HandoverMessage::Offer { version: VERSION, list }, &[listener.as_fd()]).await?;
         }
         let (mut last, mut mine, mut stops) = (0, false, false);
         loop {
@@ -260,24 +262,24 @@
             };
             let held = || self.limiter.in_use();
             match heard.or(stop).or(look).await? {
-                Step::Heard(Reply::Take) if self.successor.is_there() => {
-                    return mouth.say(&Reply::Taken, &[]).await;
+                Step::Heard(HandoverMessage::Take) if self.successor.is_there() => {
+                    return mouth.say(&HandoverMessage::Taken, &[]).await;
                 }
-                Step::Heard(Reply::Take) => {
+                Step::Heard(HandoverMessage::Take) => {
                     tracing::info!("gives the connections to a new process");
                     let _ = self.taking.send(false).await;
                     (mine, last) = (true, held());
                     self.successor.0.replace(Some(Rc::clone(mouth)));
-                    mouth.say(&Reply::Yours { held: last }, &[]).await?;
+                    mouth.say(&HandoverMessage::Yours { held: last }, &[]).await?;
                 }
                 Step::Heard(other) => return Err(bad(format!("{other:?} was not asked for"))),
                 Step::Stop => {
                     stops = true;
-                    mouth.say(&Reply::Stops, &[]).await?;
+                    mouth.say(&HandoverMessage::Stops, &[]).await?;
                 }
                 Step::Look if mine && held() != last => {
                     last = held();
-                    mouth.say(&Reply::Held { held: last }, &[]).await?;
+                    mouth.say(&HandoverMessage::Held { held: last }, &[]).await?;
                 }
                 Step::Look => {}
             }
--- a/crates/larklink-proxy/src/handover/wire.rs
+++ b/crates/larklink-proxy/src/handover/wire.rs
@@ -17,8 +17,8 @@
 };
 use serde::{Deserialize, Serialize};
 
-use crate::list::Endpoint;
-use crate::servers::within;
+use crate::endpoint_list::Endpoint;
+use crate::upstream::within;
 
 /// Changes when the words do: processes of two versions share the address and nothing else.
 pub const VERSION: u32 = 1;
@@ -31,7 +31,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Reply {
+pub enum HandoverMessage {
     /// From the process that serves: the list of servers as it has it, and beside it the listening socket.
     Offer {
         version: u32,
@@ -51,12 +51,12 @@
     /// The old process was asked to stop.
     Stops,
     /// A session that stands, and beside it its client's connection and its server's.
-    Session(Standing),
+    Session(EstablishedSession),
 }
 
 /// What a process must know of a session that stands to go on with it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Standing {
+pub struct EstablishedSession {
     /// Its first line.
     pub head: String,
     pub server: u32,
@@ -77,9 +77,9 @@
 ///
 /// # Errors
 /// It is no word of these, as from another version.
-pub fn word(line: &[u8]) -> Result<Reply> {
+pub fn word(line: &[u8]) -> Result<HandoverMessage> {
     match serde_json::from_slice(line) {
-        Ok(Reply::Offer { version, .. }) if version != VERSION => {
+        Ok(HandoverMessage::Offer { version, .. }) if version != VERSION => {
             Err(bad(format!("an offer of version {version}")))
         }
         Ok(word) => Ok(word),
@@ -88,18 +88,18 @@
 }
 
 /// The side that is listened to.
-pub struct Ear {
+pub struct MessageReader {
     stream: Rc<Async<UnixStream>>,
     bytes: Vec<u8>,
     beside: VecDeque<OwnedFd>,
 }
 
-impl Ear {
+impl MessageReader {
     /// The next word. May be dropped and called again: nothing is lost.
     ///
     /// # Errors
     /// The other process has ended, or says what is no word.
-    pub async fn hear(&mut self) -> Result<Reply> {
+    pub async fn hear(&mut self) -> Result<HandoverMessage> {
         loop {
             if let Some(end) = self.bytes.iter().position(|&b| b == b'\n') {
                 let line: Vec<_> = self.bytes.drain(..=end).collect();
@@ -143,17 +143,17 @@
 }
 
 /// The side that is spoken to; many may, each word goes whole.
-pub struct Mouth {
+pub struct MessageWriter {
     stream: Rc<Async<UnixStream>>,
     turn: Mutex<()>,
 }
 
-impl Mouth {
+impl MessageWriter {
     /// Says a word, with descriptors beside it, which stay open here.
     ///
     /// # Errors
     /// The other process has ended or does not listen in time; it may have heard a part then.
-    pub async fn say(&self, word: &Reply, beside: &[BorrowedFd<'_>]) -> Result<()> {
+    pub async fn say(&self, word: &HandoverMessage, beside: &[BorrowedFd<'_>]) -> Result<()> {
         let mut line = serde_json::to_vec(word)?;
         line.push(b'\n');
         let said = async {
@@ -178,8 +178,8 @@
 ///
 /// # Errors
 /// The socket cannot be waited for.
-pub fn talk(stream: Async<UnixStream>) -> (Ear, Rc<Mouth>) {
+pub fn talk(stream: Async<UnixStream>) -> (MessageReader, Rc<MessageWriter>) {
     let stream = Rc::new(stream);
-    let ear = Ear { stream: Rc::clone(&stream), bytes: Vec::new(), beside: VecDeque::new() };
-    (ear, Rc::new(Mouth { stream, turn: Mutex::new(()) }))
+    let ear = MessageReader { stream: Rc::clone(&stream), bytes: Vec::new(), beside: VecDeque::new() };
+    (ear, Rc::new(MessageWriter { stream, turn: Mutex::new(()) }))
 }
--- a/crates/larklink-proxy/src/probes.rs
+++ b/crates/larklink-proxy/src/health_check.rs
@@ -7,17 +7,17 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use larklink_balancer::types::Outcome;
+use larklink_balancer::AttemptOutcome;
 use larklink_engine::settings::ProxySettings;
 
 use crate::clock::{span, tenths};
-use crate::events::{Event, Queue};
+use crate::endpoint_list::Endpoint;
+use crate::events::{DecisionEvent, DecisionQueue};
 use crate::limiter::{ConnectionLimiter, ProbePermit};
-use crate::lines::{Reply, report, word};
-use crate::list::Endpoint;
-use crate::servers::{Link, connect, within, write_gathered};
+use crate::protocol::{ServerMessage, report, word};
+use crate::upstream::{Connection, connect, within, write_gathered};
 
-pub struct Probes {
+pub struct HealthChecker {
     /// The names of a report's values; empty where probes tell no load.
     names: Vec<String>,
     probing: bool,
@@ -27,21 +27,21 @@
     asked: RefCell<HashSet<u32>>,
     /// Probes that wait for a descriptor: none rests at a connection meanwhile.
     waiting: Cell<usize>,
-    queue: Queue,
+    queue: DecisionQueue,
     limiter: Rc<ConnectionLimiter>,
 }
 
 struct Kept {
     address: SocketAddr,
-    link: Link,
+    link: Connection,
     descriptor: ProbePermit,
     since: Instant,
 }
 
-impl Probes {
-    pub fn new(facts: &ProxySettings, queue: Queue, limiter: Rc<ConnectionLimiter>) -> Self {
-        let names = if facts.load_at.is_some() { facts.report.clone() } else { Vec::new() };
-        let (probing, connect_timeout) = (facts.settings.probing, span(facts.settings.connect_timeout));
+impl HealthChecker {
+    pub fn new(facts: &ProxySettings, queue: DecisionQueue, limiter: Rc<ConnectionLimiter>) -> Self {
+        let names = if facts.load_position.is_some() { facts.report.clone() } else { Vec::new() };
+        let (probing, connect_timeout) = (facts.settings.health_checks, span(facts.settings.connect_timeout));
         let (kept, asked, waiting) = Default::default();
         Self { names, probing, connect_timeout, kept, asked, waiting, queue, limiter }
     }
@@ -59,10 +59,10 @@
         let started = Instant::now();
         let mut answer = match link {
             Some(link) => self.exchange(link).await,
-            None => Err(Outcome::Broken),
+            None => Err(AttemptOutcome::Reset),
         };
         // A kept connection may have gone idle, or its server may have started anew: that tells nothing yet.
-        if matches!(answer, Err(Outcome::Broken)) {
+        if matches!(answer, Err(AttemptOutcome::Reset)) {
             answer = match connect(address, self.connect_timeout).await {
                 Ok(link) => self.exchange(link).await,
                 Err(how) => Err(how),
@@ -81,7 +81,14 @@
                 (how, Vec::new())
             }
         };
-        self.queue.send(Event::Probed { server, how, took: tenths(started.elapsed()), report }).await;
+        self.queue
+            .send(DecisionEvent::HealthChecked {
+                endpoint: server,
+                outcome: how,
+                took: tenths(started.elapsed()),
+                load_report: report,
+            })
+            .await;
     }
 
     /// Goes by the list as it stands: a descriptor is set aside for each server that may be asked, and connections to
@@ -116,23 +123,26 @@
         kept.remove(&server)
     }
 
-    async fn exchange(&self, mut link: Link) -> std::result::Result<(Outcome, Vec<f64>, Link), Outcome> {
+    async fn exchange(
+        &self,
+        mut link: Connection,
+    ) -> std::result::Result<(AttemptOutcome, Vec<f64>, Connection), AttemptOutcome> {
         match within(self.connect_timeout, self.lines(&mut link)).await {
             Ok((how, report)) => Ok((how, report, link)),
-            Err(e) if e.kind() == ErrorKind::TimedOut => Err(Outcome::Late),
-            Err(_) => Err(Outcome::Broken),
+            Err(e) if e.kind() == ErrorKind::TimedOut => Err(AttemptOutcome::TimedOut),
+            Err(_) => Err(AttemptOutcome::Reset),
         }
     }
 
-    async fn lines(&self, link: &mut Link) -> Result<(Outcome, Vec<f64>)> {
+    async fn lines(&self, link: &mut Connection) -> Result<(AttemptOutcome, Vec<f64>)> {
         let ask: &[u8] = if self.names.is_empty() { b"PING\r\n" } else { b"STATS\r\n" };
         write_gathered(&link.stream, &mut [IoSlice::new(ask)]).await?;
         let n = link.line().await?;
         let (word, rest) = word(&link.inbox.bytes()[..n]);
         let answer = match word {
-            Reply::Pong => (Outcome::Accepted, report(rest, &self.names)),
-            Reply::Busy => (Outcome::Full, Vec::new()),
-            _ => (Outcome::Error, Vec::new()),
+            ServerMessage::Pong => (AttemptOutcome::Succeeded, report(rest, &self.names)),
+            ServerMessage::Busy => (AttemptOutcome::AtCapacity, Vec::new()),
+            _ => (AttemptOutcome::Failed, Vec::new()),
         };
         link.inbox.consume(n);
         Ok(answer)
--- a/crates/larklink-proxy/src/lib.rs
+++ b/crates/larklink-proxy/src/lib.rs
@@ -1,22 +1,22 @@
 //! A proxy for long-lived connections on sockets, round the larklink decisions. One thread runs it all; one
 //! task owns the decisions (`decisions`), and every other reaches them through its queue only.
+pub mod admin;
 pub mod clients;
 pub mod clock;
 pub mod config;
-pub mod console;
-pub mod decisions;
-pub mod delays;
+pub mod decision_task;
 pub mod discovery;
+pub mod endpoint_list;
 pub mod events;
-pub mod figures;
 pub mod handover;
+pub mod health_check;
 pub mod limiter;
-pub mod lines;
-pub mod list;
 pub mod log;
+pub mod message_latency;
+pub mod metrics;
 mod pending;
-pub mod probes;
+pub mod protocol;
 pub mod proxy;
 mod relay;
 pub mod reload;
-pub mod servers;
+pub mod upstream;
--- a/crates/larklink-proxy/src/log.rs
+++ b/crates/larklink-proxy/src/log.rs
@@ -6,7 +6,7 @@
 
 /// Why a connection ended; `docs/on-call.md` says what each one means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum EndReason {
     /// It sent only probes.
     Pinged,
     BadLine,
@@ -32,7 +32,7 @@
     HandedOver,
 }
 
-impl fmt::Display for Reason {
+impl fmt::Display for EndReason {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
             Self::Pinged => "pinged",
--- a/crates/larklink-proxy/src/main.rs
+++ b/crates/larklink-proxy/src/main.rs
@@ -10,10 +10,10 @@
 use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
 use larklink_proxy::config::Config;
-use larklink_proxy::figures::Figures;
-use larklink_proxy::handover::{self, Old};
+use larklink_proxy::handover::{self, Predecessor};
+use larklink_proxy::metrics::Metrics;
 use larklink_proxy::proxy::{self, Start};
-use larklink_proxy::{console, log, reload::Reload};
+use larklink_proxy::{admin, log, reload::Reload};
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use socket2::{Domain, Socket, Type};
 
@@ -50,9 +50,9 @@
     };
     let address = listener.local_addr().map_err(|e| e.to_string())?;
     tracing::info!(name = config.name, listen = %address, "starts");
-    let figures = Figures::new(&config.settings.listeners);
+    let figures = Metrics::new(&config.settings.listeners);
     if let Some(at) = config.console {
-        let at = console::open(at, Arc::clone(&figures)).map_err(|e| format!("console {at}: {e}"))?;
+        let at = admin::open(at, Arc::clone(&figures)).map_err(|e| format!("console {at}: {e}"))?;
         tracing::info!(console = %at, "operators may call");
     }
     let executor = Rc::new(LocalExecutor::new());
@@ -93,7 +93,7 @@
 
 /// The process that serves already under this address, with the listening socket that it hands over. One that does
 /// not speak as it should is let be: the address can be shared with it.
-fn meet(at: &Path, listen: SocketAddr) -> Option<(TcpListener, Old)> {
+fn meet(at: &Path, listen: SocketAddr) -> Option<(TcpListener, Predecessor)> {
     match async_io::block_on(handover::meet(at)) {
         Ok(Some((listener, old))) if listener.local_addr().ok() == Some(listen) => Some((listener, old)),
         Ok(Some(_)) => {
--- a/crates/larklink-proxy/src/delays.rs
+++ b/crates/larklink-proxy/src/message_latency.rs
@@ -3,30 +3,30 @@
 //! once more when it is back under.
 use std::collections::HashMap;
 
-use larklink_balancer::types::Time;
+use larklink_balancer::{TickDuration, Timestamp};
 
-const SECOND: Time = 10_000;
+const SECOND: TickDuration = 10_000;
 
 #[derive(Default)]
 struct Echoes {
-    since: Time,
-    sum: Time,
-    count: Time,
+    since: Timestamp,
+    sum: TickDuration,
+    count: TickDuration,
     told: bool,
 }
 
-pub struct Delays {
-    over: Time,
+pub struct LatencyEstimator {
+    over: Timestamp,
     servers: HashMap<u32, Echoes>,
 }
 
-impl Delays {
-    pub fn new(message_target: Time) -> Self {
+impl LatencyEstimator {
+    pub fn new(message_target: TickDuration) -> Self {
         Self { over: message_target / 3, servers: HashMap::new() }
     }
 
     /// A line came back from a server after so long: what to note, if it is time to.
-    pub fn echo(&mut self, now: Time, server: u32, took: Time) -> Option<Time> {
+    pub fn echo(&mut self, now: Timestamp, server: u32, took: TickDuration) -> Option<TickDuration> {
         let e = self.servers.entry(server).or_default();
         (e.sum, e.count) = (e.sum + took, e.count + 1);
         if now < e.since + SECOND {
--- a/crates/larklink-proxy/src/figures.rs
+++ b/crates/larklink-proxy/src/metrics.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use crate::log::Reason;
+use crate::log::EndReason;
 
 /// A process serves nobody that has refused every session for so long on end, with no dial in between. What comes
 /// further apart than that counts anew, and of fewer than so many it may be chance.
@@ -22,15 +22,15 @@
 
 /// A session's final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum FinalAnswer {
     Accepted,
-    Refused,
+    Rejected,
     /// Any other line, as after a tear-down.
     Failed,
 }
 
 #[derive(Debug, Default)]
-pub struct Figures {
+pub struct Metrics {
     listeners: Vec<(String, Answers)>,
     tries: AtomicUsize,
     in_progress: AtomicUsize,
@@ -73,7 +73,7 @@
 }
 
 /// A session that was taken and has not ended, while this is held.
-pub struct InProgress(Arc<Figures>);
+pub struct InProgress(Arc<Metrics>);
 
 impl Drop for InProgress {
     fn drop(&mut self) {
@@ -81,24 +81,24 @@
     }
 }
 
-impl Figures {
+impl Metrics {
     pub fn new(listeners: &[String]) -> Arc<Self> {
         let listeners = listeners.iter().map(|name| (name.clone(), Answers::default())).collect();
         Arc::new(Self { listeners, ..Self::default() })
     }
 
-    pub fn answered(&self, listener: usize, answer: Answer) {
+    pub fn answered(&self, listener: usize, answer: FinalAnswer) {
         let Some((_, answers)) = self.listeners.get(listener) else { return };
         let count = match answer {
-            Answer::Accepted => &answers.accepted,
-            Answer::Refused => &answers.refused,
-            Answer::Failed => &answers.failed,
+            FinalAnswer::Accepted => &answers.accepted,
+            FinalAnswer::Rejected => &answers.refused,
+            FinalAnswer::Failed => &answers.failed,
         };
         count.fetch_add(1, Relaxed);
     }
 
     /// A session was refused with no dial made for it; the second such count and the log tell once nobody is served.
-    pub fn refused_undialled(&self, reason: Reason, now: Instant) {
+    pub fn refused_undialled(&self, reason: EndReason, now: Instant) {
         self.refused_undialled.fetch_add(1, Relaxed);
         let mut refusals = self.refusals.lock().unwrap_or_else(PoisonError::into_inner);
         if !refusals.add(now) {
@@ -106,8 +106,8 @@
         }
         self.refusing_all.fetch_add(1, Relaxed);
         let why = match (reason, self.known.load(Relaxed), self.skipped.load(Relaxed)) {
-            (Reason::NoRoom, ..) => "no descriptors are left",
-            (Reason::Stopped, ..) => "the proxy stops",
+            (EndReason::NoRoom, ..) => "no descriptors are left",
+            (EndReason::Stopped, ..) => "the proxy stops",
             (_, 0, _) => "the list has no servers",
             (_, known, skipped) if skipped >= known => "each server drains, is silent or fails",
             _ => "the servers that may be dialled are full or cold, or dials are held back",
--- a/crates/larklink-proxy/src/pending.rs
+++ b/crates/larklink-proxy/src/pending.rs
@@ -8,25 +8,25 @@
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::{FutureExt, future};
-use larklink_balancer::types::*;
+use larklink_balancer::{AttemptOutcome, SessionRequest};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 
-use crate::clients::{Client, Front, LAST, LOOK, answer};
+use crate::clients::{Client, LAST, LOOK, SessionContext, answer};
 use crate::clock::tenths;
-use crate::events::{Event, Order};
-use crate::figures::Answer;
-use crate::lines::{Head, Inbox, with_wait};
-use crate::list::server_id;
-use crate::log::Reason;
+use crate::endpoint_list::server_id;
+use crate::events::{DecisionEvent, SessionCommand};
+use crate::log::EndReason;
+use crate::metrics::FinalAnswer;
+use crate::protocol::{LineBuffer, OpenLine, with_wait};
 use crate::relay::Stands;
-use crate::servers::{Link, dial, read};
+use crate::upstream::{Connection, dial, read};
 
 /// A connection from before the start is tried again after so long, up to so long.
 const STAND_AGAIN: Duration = Duration::from_millis(250);
 const STAND: Duration = Duration::from_secs(40);
 
 /// Until when the first byte of a dial may go out. It falls when the list speaks against its server meanwhile.
-struct Permit {
+struct SendPermit {
     dial: u8,
     by: Cell<Instant>,
     /// The end of the dial.
@@ -35,7 +35,7 @@
     sent: Cell<bool>,
 }
 
-impl Permit {
+impl SendPermit {
     fn take(&self) -> bool {
         self.sent.set(Instant::now() <= self.by.get());
         self.sent.get()
@@ -43,7 +43,7 @@
 
     /// Follows what becomes of it; resolves when it ends and nothing was sent, so that the session goes elsewhere at
     /// once and not when the connection comes up.
-    async fn over(&self, orders: &Receiver<Order>) -> Outcome {
+    async fn over(&self, orders: &Receiver<SessionCommand>) -> AttemptOutcome {
         loop {
             let word = async {
                 match orders.recv().await {
@@ -59,53 +59,70 @@
                 None
             };
             match word.or(end).await {
-                Some(Order::SendBy { dial, by }) if dial == self.dial => self.by.set(by.min(self.by.get())),
+                Some(SessionCommand::LimitSendDeadline { attempt: dial, send_deadline: by })
+                    if dial == self.dial =>
+                {
+                    self.by.set(by.min(self.by.get()))
+                }
                 Some(_) => {}
                 None if self.sent.get() => return future::pending().await,
-                None => return Outcome::Unsent,
+                None => return AttemptOutcome::NotSent,
             }
         }
     }
 }
 
-impl Front {
+impl SessionContext {
     pub(crate) async fn session(
         &self,
         session: u32,
         client: &mut Client,
         line: &[u8],
-        head: Head<'_>,
+        head: OpenLine<'_>,
         listener: usize,
-    ) -> Reason {
+    ) -> EndReason {
         let mut ask = asks(&head, listener);
         if self.stop.is_closed() {
             // It has to have its answer before this process ends.
             let left = (self.until() - LAST).saturating_duration_since(client.came);
-            ask.patience = ask.patience.min(tenths(left));
+            ask.dial_timeout = ask.dial_timeout.min(tenths(left));
         }
         let (sender, orders) = async_channel::bounded(4);
         if let Some(at) = head.at {
             return self.stand(session, client, line, ask, server_id(at), (sender, orders)).await;
         }
-        self.queue.send(Event::Open { session, came: client.came, ask, orders: sender }).await;
+        self.queue
+            .send(DecisionEvent::OpenSession {
+                session,
+                received_at: client.came,
+                request: ask,
+                commands: sender,
+            })
+            .await;
         let (mut may_have_run, dialled) = (false, Cell::new(false));
         let refused = |reason| {
-            self.figures.answered(listener, Answer::Refused);
+            self.figures.answered(listener, FinalAnswer::Rejected);
             if !dialled.get() {
                 self.figures.refused_undialled(reason, Instant::now());
             }
         };
         let reason = loop {
-            let order = async { orders.recv().await.ok().ok_or(Reason::ClientLeft) };
+            let order = async { orders.recv().await.ok().ok_or(EndReason::ClientLeft) };
             let client_left = watch_client(&client.link.stream, &mut client.link.inbox, head.mid_flow);
             match order.or(client_left).or(self.last_call()).await {
                 // Only the first needs another descriptor: nothing has run.
-                Ok(Order::Dial { .. }) if !client.place.second() => break Reason::NoRoom,
-                Ok(Order::Dial { dial: number, server, address, until, by }) => {
+                Ok(SessionCommand::Connect { .. }) if !client.place.second() => break EndReason::NoRoom,
+                Ok(SessionCommand::Connect {
+                    attempt: number,
+                    endpoint: server,
+                    address,
+                    deadline: until,
+                    send_deadline: by,
+                }) => {
                     let wait = until.saturating_duration_since(Instant::now()).as_millis().max(1).to_string();
                     let mut slices = with_wait(line, &head.wait_at, &wait);
-                    let permit = Permit { dial: number, by: by.into(), until, sent: false.into() };
-                    let Link { stream, inbox } = &mut client.link;
+                    let permit = SendPermit { dial: number, by: by.into(), until, sent: false.into() };
+                    let Connection { stream, inbox } = &mut client.link;
                     // The reactor need not have told yet of a client that left: while its line came, while it waited
                     // for a probe or in a queue, or while another dial of its was out.
                     let waits = || waits_still(stream.get_ref(), head.mid_flow);
@@ -122,7 +139,7 @@
                             Some(to) => {
                                 dial(to, &mut slices, until, timeout, may_begin, may_send, figures).await
                             }
-                            None => Err(Outcome::Unmade),
+                            None => Err(AttemptOutcome::ConnectFailed),
                         })
                     };
                     let over = async { Ok(Err(permit.over(&orders).await)) };
@@ -131,16 +148,23 @@
                     may_have_run |= permit.sent.get() && !matches!(&done, Ok(Err(how)) if how.never_ran());
                     match done {
                         Err(reason) => break reason,
-                        Ok(Err(Outcome::Unsent)) if !waits_still(stream.get_ref(), head.mid_flow) => {
+                        Ok(Err(AttemptOutcome::NotSent)) if !waits_still(stream.get_ref(), head.mid_flow) => {
                             let Err(reason) = watch_client::<Infallible>(stream, inbox, head.mid_flow).await;
                             break reason;
                         }
                         Ok(Err(how)) => {
-                            self.queue.send(Event::Settled { session, dial: number, how, over: false }).await
+                            self.queue
+                                .send(DecisionEvent::AttemptEnded {
+                                    session,
+                                    attempt: number,
+                                    outcome: how,
+                                    session_over: false,
+                                })
+                                .await
                         }
                         Ok(Ok(link)) => {
-                            self.figures.answered(listener, Answer::Accepted);
-                            self.queue.send(Event::Stood { session, dial: number }).await;
+                            self.figures.answered(listener, FinalAnswer::Accepted);
+                            self.queue.send(DecisionEvent::Established { session, attempt: number }).await;
                             let at = Stands {
                                 session,
                                 dial: number,
@@ -153,32 +177,32 @@
                         }
                     }
                 }
-                Ok(Order::Refuse { retry_after }) => {
-                    refused(Reason::Refused);
+                Ok(SessionCommand::Reject { retry_after }) => {
+                    refused(EndReason::Refused);
                     match retry_after.div_ceil(10) {
                         0 => answer(client, "BUSY\r\n").await,
                         ms => answer(client, &format!("BUSY {ms}\r\n")).await,
                     }
-                    return Reason::Refused;
+                    return EndReason::Refused;
                 }
-                Ok(Order::TearDown) => {
-                    self.figures.answered(listener, Answer::Failed);
+                Ok(SessionCommand::Fail) => {
+                    self.figures.answered(listener, FinalAnswer::Failed);
                     answer(client, "ERR\r\n").await;
-                    return Reason::TornDown;
+                    return EndReason::TornDown;
                 }
                 // Word on a dial that has ended meanwhile.
-                Ok(Order::SendBy { .. } | Order::Move) => {}
+                Ok(SessionCommand::LimitSendDeadline { .. } | SessionCommand::Migrate) => {}
                 Err(reason) => break reason,
             }
         };
-        self.queue.send(Event::Left { session }).await;
+        self.queue.send(DecisionEvent::ClientLeft { session }).await;
         match reason {
-            Reason::NoRoom | Reason::Stopped if !may_have_run => {
+            EndReason::NoRoom | EndReason::Stopped if !may_have_run => {
                 refused(reason);
                 answer(client, "BUSY\r\n").await;
             }
-            Reason::BadLine | Reason::NoRoom | Reason::Stopped => {
-                self.figures.answered(listener, Answer::Failed);
+            EndReason::BadLine | EndReason::NoRoom | EndReason::Stopped => {
+                self.figures.answered(listener, FinalAnswer::Failed);
                 answer(client, "ERR\r\n").await;
             }
             _ => {}
@@ -192,20 +216,20 @@
         session: u32,
         client: &mut Client,
         line: &[u8],
-        ask: Session,
+        ask: SessionRequest,
         server: u32,
-        (sender, orders): (Sender<Order>, Receiver<Order>),
-    ) -> Reason {
+        (sender, orders): (Sender<SessionCommand>, Receiver<SessionCommand>),
+    ) -> EndReason {
         let (until, listener) = (Instant::now() + STAND, ask.listener);
-        self.queue.send(Event::Stands { session, server, orders: sender }).await;
+        self.queue.send(DecisionEvent::FindEndpoint { session, endpoint: server, commands: sender }).await;
         let room = client.place.second();
-        let Link { stream, inbox } = &mut client.link;
+        let Connection { stream, inbox } = &mut client.link;
         let stream = &*stream;
         let work = async {
-            let Ok(Order::Dial { address: Some(address), .. }) = orders.recv().await else {
-                return Err(Reason::TornDown);
+            let Ok(SessionCommand::Connect { address: Some(address), .. }) = orders.recv().await else {
+                return Err(EndReason::TornDown);
             };
-            room.then_some(()).ok_or(Reason::NoRoom)?;
+            room.then_some(()).ok_or(EndReason::NoRoom)?;
             self.limiter.settled().await;
             loop {
                 let mut slices = [std::io::IoSlice::new(line)];
@@ -214,22 +238,26 @@
                 match dial(address, &mut slices, until, timeout, waits, waits, figures).await {
                     Ok(link) => return Ok(link),
                     // Once it may have run there, another would be a second copy.
-                    Err(how) if !how.never_ran() || Instant::now() >= until => return Err(Reason::TornDown),
+                    Err(how) if !how.never_ran() || Instant::now() >= until => {
+                        return Err(EndReason::TornDown);
+                    }
                     Err(_) => Timer::after(STAND_AGAIN).await,
                 };
             }
         };
         match work.or(watch_client(stream, inbox, true)).or(self.last_call()).await {
             Ok(link) => {
-                self.figures.answered(listener, Answer::Accepted);
-                self.queue.send(Event::Adopt { session, ask, server }).await;
+                self.figures.answered(listener, FinalAnswer::Accepted);
+                self.queue
+                    .send(DecisionEvent::AdoptEstablished { session, request: ask, endpoint: server })
+                    .await;
                 let at = Stands { session, dial: 0, server, head: line, unanswered: 0, load: None };
                 self.standing(at, client, link, &orders).await
             }
             Err(reason) => {
-                self.queue.send(Event::Left { session }).await;
-                if reason != Reason::ClientLeft {
-                    self.figures.answered(listener, Answer::Failed);
+                self.queue.send(DecisionEvent::ClientLeft { session }).await;
+                if reason != EndReason::ClientLeft {
+                    self.figures.answered(listener, FinalAnswer::Failed);
                     answer(client, "ERR\r\n").await;
                 }
                 reason
@@ -238,35 +266,39 @@
     }
 }
 
-pub(crate) fn asks(head: &Head<'_>, listener: usize) -> Session {
-    Session {
+pub(crate) fn asks(head: &OpenLine<'_>, listener: usize) -> SessionRequest {
+    SessionRequest {
         listener,
         group_key: head.group,
         client_key: head.key,
-        patience: head.wait_ms.saturating_mul(10),
-        mid_flow: head.mid_flow,
-        again: head.again,
-        retry: head.retry,
+        dial_timeout: head.wait_ms.saturating_mul(10),
+        established: head.mid_flow,
+        reconnecting: head.again,
+        client_retry: head.retry,
     }
 }
 
 /// Resolves when the client of a session that waits has left, or has said more before its answer; one whose
 /// packets came another way before may.
-async fn watch_client<T>(stream: &Async<TcpStream>, inbox: &mut Inbox, may_speak: bool) -> Result<T, Reason> {
+async fn watch_client<T>(
+    stream: &Async<TcpStream>,
+    inbox: &mut LineBuffer,
+    may_speak: bool,
+) -> Result<T, EndReason> {
     loop {
         if !inbox.bytes().is_empty() && !may_speak {
-            return Err(Reason::BadLine);
+            return Err(EndReason::BadLine);
         }
         if inbox.is_full() {
             // What it says further waits in the kernel, and its end behind that: only asking tells of it.
             Timer::after(LOOK).await;
             if !waits_still(stream.get_ref(), may_speak) {
-                return Err(Reason::ClientLeft);
+                return Err(EndReason::ClientLeft);
             }
             continue;
         }
         match read(stream, inbox).await {
-            Ok(0) | Err(_) => return Err(Reason::ClientLeft),
+            Ok(0) | Err(_) => return Err(EndReason::ClientLeft),
             Ok(_) => {}
         }
     }
--- a/crates/larklink-proxy/src/lines.rs
+++ b/crates/larklink-proxy/src/protocol.rs
@@ -10,12 +10,12 @@
 
 /// Bytes read and not yet passed on.
 #[derive(Default)]
-pub struct Inbox {
+pub struct LineBuffer {
     bytes: Vec<u8>,
     from: usize,
 }
 
-impl Inbox {
+impl LineBuffer {
     pub fn bytes(&self) -> &[u8] {
         &self.bytes[self.from..]
     }
@@ -61,7 +61,7 @@
 
 /// The first line of a session.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Head<'a> {
+pub struct OpenLine<'a> {
     pub id: u64,
     pub key: u64,
     pub listener: &'a str,
@@ -82,7 +82,7 @@
 }
 
 /// Reads the first line, with or without its CRLF; or says what is wrong with it.
-pub fn head(line: &[u8]) -> Result<Head<'_>, &'static str> {
+pub fn head(line: &[u8]) -> Result<OpenLine<'_>, &'static str> {
     let text = std::str::from_utf8(line).map_err(|_| "not text")?.trim_end_matches("\r\n");
     let mut words = text.splitn(4, ' ');
     if words.next() != Some("OPEN") {
@@ -95,7 +95,7 @@
     let key = words.next().and_then(hex).ok_or("the key is not a hex number")?;
     let list = words.next().ok_or("no list of names and values")?;
     let (mut listener, mut wait) = (None, None);
-    let mut head = Head { id, key, ..Head::default() };
+    let mut head = OpenLine { id, key, ..OpenLine::default() };
     let mut names = Vec::new();
     let mut from = text.len() - list.len();
     for pair in list.split(',') {
@@ -141,7 +141,7 @@
 
 /// A line from a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Reply<'a> {
+pub enum ServerMessage<'a> {
     Up,
     Bye,
     Move,
@@ -153,21 +153,21 @@
 }
 
 /// Tells a server's line, and what stands behind its first word.
-pub fn word(line: &[u8]) -> (Reply<'_>, &str) {
+pub fn word(line: &[u8]) -> (ServerMessage<'_>, &str) {
     let text = std::str::from_utf8(line).unwrap_or("").trim_end_matches("\r\n");
     let (first, rest) = text.split_once(' ').unwrap_or((text, ""));
     let word = match first {
-        "UP" => Reply::Up,
-        "BYE" => Reply::Bye,
-        "MOVE" => Reply::Move,
-        "ERR" => Reply::Err,
-        "BUSY" => Reply::Busy,
-        "PONG" => Reply::Pong,
+        "UP" => ServerMessage::Up,
+        "BYE" => ServerMessage::Bye,
+        "MOVE" => ServerMessage::Move,
+        "ERR" => ServerMessage::Err,
+        "BUSY" => ServerMessage::Busy,
+        "PONG" => ServerMessage::Pong,
         "LOAD" => match rest.parse() {
-            Ok(load) if f64::is_finite(load) && load >= 0.0 => Reply::Load(load),
-            _ => Reply::Other(text),
+            Ok(load) if f64::is_finite(load) && load >= 0.0 => ServerMessage::Load(load),
+            _ => ServerMessage::Other(text),
         },
-        _ => Reply::Other(text),
+        _ => ServerMessage::Other(text),
     };
     (word, rest)
 }
