--- a/crates/larklink-proxy/src/proxy.rs
+++ b/crates/larklink-proxy/src/proxy.rs
@@ -13,17 +13,17 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::clients::{self, Front};
+use crate::admin;
+use crate::clients::{self, SessionContext};
 use crate::clock::span;
 use crate::config::Config;
-use crate::console;
-use crate::decisions::Owner;
+use crate::decision_task::DecisionTask;
 use crate::discovery::{self, Paces};
 use crate::events;
-use crate::figures::Figures;
-use crate::handover::{Handover, Old};
+use crate::handover::{Handover, Predecessor};
+use crate::health_check::HealthChecker;
 use crate::limiter::ConnectionLimiter;
-use crate::probes::Probes;
+use crate::metrics::Metrics;
 
 /// Descriptors kept for the listener, discovery, logs, the event loop and one handover, and for a connection that is
 /// taken while another gives way to it. Those of the operators' door are kept beside.
@@ -48,10 +48,10 @@
     pub stop: Receiver<()>,
     /// Brings each new address of discovery.
     pub moved: Receiver<SocketAddr>,
-    pub figures: Arc<Figures>,
+    pub figures: Arc<Metrics>,
     /// Where processes of this proxy meet, if there may be two, and the one that serves already.
     pub place: Option<PathBuf>,
-    pub old: Option<Old>,
+    pub old: Option<Predecessor>,
 }
 
 /// Runs a proxy until it was asked to stop and has stopped.
@@ -71,7 +71,7 @@
     if let Some(old) = old.as_ref().filter(|old| !old.list.is_empty()) {
         known.clone_from(&old.list);
     }
-    let door = if config.console.is_some() { console::DESCRIPTORS } else { 0 };
+    let door = if config.console.is_some() { admin::DESCRIPTORS } else { 0 };
     let limiter = ConnectionLimiter::beside(RESERVED + door, config.limits.sockets);
     // Streams of their own beside the decisions', from the one seed.
     let chance = |stream| {
@@ -80,16 +80,23 @@
         rng
     };
     let (fresh, first) = async_channel::bounded(1);
-    let probes = Rc::new(Probes::new(&facts, queue.clone(), Rc::clone(&limiter)));
-    let owner =
-        Owner::new(&facts, config.seed, known, probes, Rc::clone(&executor), Arc::clone(&figures), fresh);
+    let probes = Rc::new(HealthChecker::new(&facts, queue.clone(), Rc::clone(&limiter)));
+    let owner = DecisionTask::new(
+        &facts,
+        config.seed,
+        known,
+        probes,
+        Rc::clone(&executor),
+        Arc::clone(&figures),
+        fresh,
+    );
     executor.spawn(owner.run(events)).detach();
     let set = &facts.settings;
-    let paces = Paces::new(set.must_ask_in, set.drain_grace, set.on_request);
+    let paces = Paces::new(set.discovery_deadline, set.drain_grace, set.polled_discovery);
     let watch = discovery::follow(config.discovery, moved, paces, queue.clone(), chance(1));
     executor.spawn(watch).detach();
     let (open, closed) = async_channel::bounded(1);
-    let front = Rc::new(Front {
+    let front = Rc::new(SessionContext {
         queue: queue.clone(),
         figures: Arc::clone(&figures),
         listeners: facts.listeners,
--- a/crates/larklink-proxy/src/relay.rs
+++ b/crates/larklink-proxy/src/relay.rs
@@ -8,16 +8,16 @@
 use async_channel::Receiver;
 use async_io::{Async, Timer};
 use futures_lite::{AsyncWriteExt, FutureExt, future};
-use larklink_balancer::types::*;
+use larklink_balancer::{AttemptOutcome, Observation};
 use rand::RngExt;
 
-use crate::clients::{Client, Front, LINGER, LOOK, STUCK, close, reset};
+use crate::clients::{Client, LINGER, LOOK, STUCK, SessionContext, close, reset};
 use crate::clock::tenths;
-use crate::events::{Event, Order};
-use crate::handover::wire::Standing;
-use crate::lines::{Inbox, Reply, word};
-use crate::log::Reason;
-use crate::servers::{Link, read, within};
+use crate::events::{DecisionEvent, SessionCommand};
+use crate::handover::wire::EstablishedSession;
+use crate::log::EndReason;
+use crate::protocol::{LineBuffer, ServerMessage, word};
+use crate::upstream::{Connection, read, within};
 
 /// A connection on which a line has brought nothing back for this long is silent: a sound one brings one back at
 /// once. The 7 s that are allowed count from the last that came, seconds before the line that shows it.
@@ -42,10 +42,10 @@
 }
 
 /// Why an accepted session ended, and how for its server; nothing if that was the client's doing or ours.
-type End = (Reason, Option<Outcome>);
+type End = (EndReason, Option<AttemptOutcome>);
 
-struct Pipe<'a> {
-    front: &'a Front,
+struct Relay<'a> {
+    front: &'a SessionContext,
     session: u32,
     dial: u8,
     server: u32,
@@ -71,17 +71,17 @@
     alone: Cell<bool>,
 }
 
-impl Front {
+impl SessionContext {
     /// An accepted session: passes lines both ways until one side ends or it is to move.
     pub(crate) async fn standing(
         &self,
         at: Stands<'_>,
         client: &mut Client,
-        mut link: Link,
-        orders: &Receiver<Order>,
-    ) -> Reason {
+        mut link: Connection,
+        orders: &Receiver<SessionCommand>,
+    ) -> EndReason {
         let Stands { session, dial, .. } = at;
-        let pipe = Pipe {
+        let pipe = Relay {
             front: self,
             session,
             dial,
@@ -102,10 +102,10 @@
         let (reason, how) = loop {
             let (up, down) = (&mut client.link.inbox, &mut link.inbox);
             let end = pipe.up(up).or(pipe.down(down)).or(pipe.told(orders)).await;
-            if end.0 != Reason::HandedOver {
+            if end.0 != EndReason::HandedOver {
                 break end;
             }
-            let session = Standing {
+            let session = EstablishedSession {
                 head: String::from_utf8_lossy(at.head).into_owned(),
                 server: at.server,
                 to_server: client.link.inbox.bytes().to_vec(),
@@ -120,17 +120,19 @@
             pipe.alone.set(true);
         };
         let event = match how {
-            Some(how) => Event::Settled { session, dial, how, over: true },
-            None => Event::Left { session },
+            Some(how) => {
+                DecisionEvent::AttemptEnded { session, attempt: dial, outcome: how, session_over: true }
+            }
+            None => DecisionEvent::ClientLeft { session },
         };
         self.queue.send(event).await;
         // One side is ended in the way that the other ended.
         match reason {
-            Reason::ClientReset => reset(&link.stream),
-            Reason::ClientLeft => close(&link).await,
-            Reason::ServerReset => reset(&client.link.stream),
+            EndReason::ClientReset => reset(&link.stream),
+            EndReason::ClientLeft => close(&link).await,
+            EndReason::ServerReset => reset(&client.link.stream),
             // Both connections go on in the new process.
-            Reason::HandedOver => {}
+            EndReason::HandedOver => {}
             _ => {
                 drop(link);
                 client.place.spoke();
@@ -141,9 +143,9 @@
     }
 }
 
-impl Pipe<'_> {
+impl Relay<'_> {
     /// From the client to its server, byte for byte.
-    async fn up(&self, inbox: &mut Inbox) -> End {
+    async fn up(&self, inbox: &mut LineBuffer) -> End {
         loop {
             // Each part is taken out once it is written: this may end at any wait, and the rest goes on elsewhere.
             while !inbox.bytes().is_empty() {
@@ -166,23 +168,25 @@
             let more =
                 async { Ok(read(self.to_client, inbox).await) }.or(async { Err(self.overdue().await) });
             match more.await {
-                Ok(Ok(0)) => return (Reason::ClientLeft, None),
+                Ok(Ok(0)) => return (EndReason::ClientLeft, None),
                 Ok(Ok(_)) => {}
-                Ok(Err(_)) => return (Reason::ClientReset, None),
+                Ok(Err(_)) => return (EndReason::ClientReset, None),
                 Err(end) => return end,
             }
         }
     }
 
     /// From the server to its client, in whole lines, so that there is always a place between two.
-    async fn down(&self, inbox: &mut Inbox) -> End {
+    async fn down(&self, inbox: &mut LineBuffer) -> End {
         let mut last = None;
         loop {
             let n = inbox.lines();
             if n > 0 {
                 let now = Instant::now();
                 let line = inbox.bytes()[..n].split_inclusive(|&b| b == b'\n').next_back();
-                self.served.set(line.is_some_and(|line| matches!(word(line).0, Reply::Bye | Reply::Move)));
+                self.served.set(
+                    line.is_some_and(|line| matches!(word(line).0, ServerMessage::Bye | ServerMessage::Move)),
+                );
                 if let Err(reason) = self.pass(&inbox.bytes()[..n]).await {
                     return (reason, None);
                 }
@@ -194,7 +198,7 @@
                 self.passed.set(0);
             }
             if inbox.is_full() {
-                return (Reason::BadLine, Some(Outcome::Error));
+                return (EndReason::BadLine, Some(AttemptOutcome::Failed));
             }
             // A server that has said its last may hold its connection open: its client need not wait for
             // that.
@@ -209,17 +213,17 @@
                 return (reason, None);
             }
             let reason = match (ended, last) {
-                (_, Some(Outcome::Accepted)) => Reason::ServerEnded,
-                (_, Some(_)) => Reason::ServerMoved,
-                (Ok(_), None) => Reason::ServerCut,
-                (Err(_), None) => Reason::ServerReset,
+                (_, Some(AttemptOutcome::Succeeded)) => EndReason::ServerEnded,
+                (_, Some(_)) => EndReason::ServerMoved,
+                (Ok(_), None) => EndReason::ServerCut,
+                (Err(_), None) => EndReason::ServerReset,
             };
-            return (reason, last.or(Some(Outcome::Broken)));
+            return (reason, last.or(Some(AttemptOutcome::Reset)));
         }
     }
 
     /// Writes to the client; or says how it ended.
-    async fn pass(&self, bytes: &[u8]) -> Result<(), Reason> {
+    async fn pass(&self, bytes: &[u8]) -> Result<(), EndReason> {
         let mut bytes = &bytes[self.passed.get().min(bytes.len())..];
         if bytes.is_empty() {
             return Ok(());
@@ -232,14 +236,14 @@
                 passed(n);
             }
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {}
-            Err(_) => return Err(Reason::ClientReset),
+            Err(_) => return Err(EndReason::ClientReset),
         }
         let mut to_client = self.to_client;
         while !bytes.is_empty() {
             self.writing.set(Some(Instant::now()));
             let n = within(UNREAD, to_client.write(bytes)).await.map_err(|e| match e.kind() {
-                ErrorKind::TimedOut => Reason::ClientStuck,
-                _ => Reason::ClientReset,
+                ErrorKind::TimedOut => EndReason::ClientStuck,
+                _ => EndReason::ClientReset,
             })?;
             bytes = &bytes[n..];
             passed(n);
@@ -250,22 +254,37 @@
     }
 
     /// What a line says of the session; how it ends, if it is a server's last.
-    async fn read_line(&self, line: &[u8], now: Instant) -> Option<Outcome> {
+    async fn read_line(&self, line: &[u8], now: Instant) -> Option<AttemptOutcome> {
         let (session, dial, server) = (self.session, self.dial, self.server);
         match word(line).0 {
-            Reply::Bye => return Some(Outcome::Accepted),
-            Reply::Move => return Some(Outcome::CalledOff),
-            Reply::Up => {}
-            Reply::Load(load) => {
+            ServerMessage::Bye => return Some(AttemptOutcome::Succeeded),
+            ServerMessage::Move => return Some(AttemptOutcome::Cancelled),
+            ServerMessage::Up => {}
+            ServerMessage::Load(load) => {
                 self.load.set(Some(load));
-                self.front.queue.send(Event::Noted { session, dial, note: Note::Load(load) }).await
+                self.front
+                    .queue
+                    .send(DecisionEvent::Observed {
+                        session,
+                        attempt: dial,
+                        observation: Observation::Load(load),
+                    })
+                    .await
             }
             _ => {
                 let sent = self.sent.borrow_mut().pop_front();
                 // What came while a slow client kept us from reading tells nothing of the server.
                 if let Some(sent) = sent.filter(|&at| self.kept.get().is_none_or(|until| until < at)) {
                     let took = tenths(now.saturating_duration_since(sent));
-                    self.front.queue.send(Event::Echo { session, dial, server, took }).await;
+                    self.front
+                        .queue
+                        .send(DecisionEvent::MessageAnswered {
+                            session,
+                            attempt: dial,
+                            endpoint: server,
+                            took,
+                        })
+                        .await;
                 }
             }
         }
@@ -273,11 +292,11 @@
     }
 
     /// Moves the client when told to, or when the proxy stops and its connections stop with it.
-    async fn told(&self, orders: &Receiver<Order>) -> End {
+    async fn told(&self, orders: &Receiver<SessionCommand>) -> End {
         let order = async {
             while let Ok(order) = orders.recv().await {
-                if order == Order::Move {
-                    return Reason::Moved;
+                if order == SessionCommand::Migrate {
+                    return EndReason::Moved;
                 }
             }
             future::pending().await
@@ -290,14 +309,14 @@
             // A new process may come to be the successor only now.
             while self.front.passes || Instant::now() < at {
                 if self.front.successor.is_there() && !self.alone.get() && !self.ending.get() {
-                    return Reason::HandedOver;
+                    return EndReason::HandedOver;
                 }
                 Timer::after(LOOK).await;
             }
-            Reason::Stopped
+            EndReason::Stopped
         };
         match order.or(stop).await {
-            Reason::HandedOver => (Reason::HandedOver, None),
+            EndReason::HandedOver => (EndReason::HandedOver, None),
             reason => (self.send_away(reason).await, None),
         }
     }
@@ -310,7 +329,7 @@
         while let Some(at) = oldest() {
             if let Some(since) = self.writing.get() {
                 if since.elapsed() >= SILENCE {
-                    return (Reason::ClientStuck, None);
+                    return (EndReason::ClientStuck, None);
                 }
                 Timer::at((since + SILENCE).min(Instant::now() + doubt)).await;
                 continue;
@@ -319,23 +338,30 @@
             if from.elapsed() < doubt {
                 Timer::at(from + doubt).await;
             } else if self.told.replace(Some(at)) != Some(at) {
-                self.front.queue.send(Event::Noted { session, dial, note: Note::Unanswered }).await;
+                self.front
+                    .queue
+                    .send(DecisionEvent::Observed {
+                        session,
+                        attempt: dial,
+                        observation: Observation::Unresponsive,
+                    })
+                    .await;
             } else if from.elapsed() < SILENCE {
                 Timer::at(from + SILENCE).await;
             } else {
-                let reason = self.send_away(Reason::Silent).await;
-                return (reason, (reason == Reason::Silent).then_some(Outcome::Broken));
+                let reason = self.send_away(EndReason::Silent).await;
+                return (reason, (reason == EndReason::Silent).then_some(AttemptOutcome::Reset));
             }
         }
         // Nothing is out: it is asked again with the next line.
         future::pending().await
     }
 
-    async fn send_away(&self, reason: Reason) -> Reason {
+    async fn send_away(&self, reason: EndReason) -> EndReason {
         let started = Instant::now();
         while self.writing.get().is_some() {
             if started.elapsed() >= STUCK {
-                return Reason::ClientStuck;
+                return EndReason::ClientStuck;
             }
             Timer::after(STUCK / 100).await;
         }
@@ -347,7 +373,7 @@
         let mut to_client = self.to_client;
         match within(STUCK, to_client.write_all(b"MOVE\r\n")).await {
             Ok(()) => reason,
-            Err(_) => Reason::ClientStuck,
+            Err(_) => EndReason::ClientStuck,
         }
     }
 }
--- a/crates/larklink-proxy/src/servers.rs
+++ b/crates/larklink-proxy/src/upstream.rs
@@ -6,26 +6,26 @@
 
 use async_io::{Async, Timer};
 use futures_lite::FutureExt;
-use larklink_balancer::types::Outcome;
+use larklink_balancer::AttemptOutcome;
 
-use crate::figures::Figures;
-use crate::lines::{Inbox, Reply, word};
+use crate::metrics::Metrics;
+use crate::protocol::{LineBuffer, ServerMessage, word};
 
 /// Errors that are a want of ours and say nothing of the server: ENOMEM, ENFILE, EMFILE, EADDRNOTAVAIL and
 /// ENOBUFS.
 const OURS: [i32; 5] = [12, 23, 24, 99, 105];
 
 /// A connection and what was read from it.
-pub struct Link {
+pub struct Connection {
     pub stream: Async<TcpStream>,
-    pub inbox: Inbox,
+    pub inbox: LineBuffer,
 }
 
-impl Link {
+impl Connection {
     pub fn new(stream: Async<TcpStream>) -> Self {
         // A line that waits for another's receipt is a line late.
         let _ = stream.get_ref().set_nodelay(true);
-        Self { stream, inbox: Inbox::default() }
+        Self { stream, inbox: LineBuffer::default() }
     }
 
     /// Reads until a whole line stands first: its length.
@@ -44,7 +44,7 @@
     }
 }
 
-impl Link {
+impl Connection {
     /// Whether a whole line stands first, with all that the kernel has by now.
     pub fn has_line(&mut self) -> bool {
         while self.inbox.line().is_none() && !self.inbox.is_full() {
@@ -62,7 +62,7 @@
 }
 
 /// Reads once, when there is something; 0 at the end.
-pub async fn read(stream: &Async<TcpStream>, inbox: &mut Inbox) -> Result<usize> {
+pub async fn read(stream: &Async<TcpStream>, inbox: &mut LineBuffer) -> Result<usize> {
     loop {
         stream.readable().await?;
         match inbox.fill(|buf| stream.get_ref().read(buf)) {
@@ -93,11 +93,11 @@
 }
 
 /// Makes a connection; the error says how the dial ended.
-pub async fn connect(server: SocketAddr, limit: Duration) -> std::result::Result<Link, Outcome> {
+pub async fn connect(server: SocketAddr, limit: Duration) -> std::result::Result<Connection, AttemptOutcome> {
     match within(limit, Async::<TcpStream>::connect(server)).await {
-        Ok(stream) => Ok(Link::new(stream)),
-        Err(e) if e.raw_os_error().is_some_and(|code| OURS.contains(&code)) => Err(Outcome::Unsent),
-        Err(_) => Err(Outcome::Unmade),
+        Ok(stream) => Ok(Connection::new(stream)),
+        Err(e) if e.raw_os_error().is_some_and(|code| OURS.contains(&code)) => Err(AttemptOutcome::NotSent),
+        Err(_) => Err(AttemptOutcome::ConnectFailed),
     }
 }
 
@@ -115,38 +115,38 @@
     connect_timeout: Duration,
     may_begin: impl FnOnce() -> bool,
     may_send: impl FnOnce() -> bool,
-    figures: &Figures,
-) -> std::result::Result<Link, Outcome> {
+    figures: &Metrics,
+) -> std::result::Result<Connection, AttemptOutcome> {
     if !may_begin() {
-        return Err(Outcome::Unsent);
+        return Err(AttemptOutcome::NotSent);
     }
     figures.dialled(Instant::now());
     let left = until.saturating_duration_since(Instant::now());
     let mut link = connect(server, connect_timeout.min(left)).await?;
     if !may_send() {
-        return Err(Outcome::Unsent);
+        return Err(AttemptOutcome::NotSent);
     }
     let left = until.saturating_duration_since(Instant::now());
     // Until its last byte is written, the server cannot have run it.
-    within(left, write_gathered(&link.stream, head)).await.map_err(|_| Outcome::Unmade)?;
+    within(left, write_gathered(&link.stream, head)).await.map_err(|_| AttemptOutcome::ConnectFailed)?;
     figures.tried();
     let left = until.saturating_duration_since(Instant::now());
     let line = match within(left, link.line()).await {
         Ok(n) => &link.inbox.bytes()[..n],
-        Err(e) if e.kind() == ErrorKind::TimedOut => return Err(Outcome::Late),
-        Err(e) if e.kind() == ErrorKind::InvalidData => return Err(Outcome::Error),
-        Err(_) => return Err(Outcome::Broken),
+        Err(e) if e.kind() == ErrorKind::TimedOut => return Err(AttemptOutcome::TimedOut),
+        Err(e) if e.kind() == ErrorKind::InvalidData => return Err(AttemptOutcome::Failed),
+        Err(_) => return Err(AttemptOutcome::Reset),
     };
     match word(line).0 {
-        Reply::Up => Ok(link),
-        Reply::Busy => Err(Outcome::Full),
-        Reply::Move => Err(Outcome::CalledOff),
-        Reply::Bye => Err(Outcome::Accepted),
+        ServerMessage::Up => Ok(link),
+        ServerMessage::Busy => Err(AttemptOutcome::AtCapacity),
+        ServerMessage::Move => Err(AttemptOutcome::Cancelled),
+        ServerMessage::Bye => Err(AttemptOutcome::Succeeded),
         other => {
-            if let Reply::Other(text) = other {
+            if let ServerMessage::Other(text) = other {
                 tracing::warn!("server {server} answered {text:?}");
             }
-            Err(Outcome::Error)
+            Err(AttemptOutcome::Failed)
         }
     }
 }
--- a/crates/larklink-proxy/tests/console.rs
+++ b/crates/larklink-proxy/tests/admin.rs
@@ -3,15 +3,15 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
+use larklink_proxy::admin::{self, CALLERS, answer};
 use larklink_proxy::config::Config;
-use larklink_proxy::console::{self, CALLERS, answer};
-use larklink_proxy::figures::{Answer, Figures};
-use larklink_proxy::log::Reason;
+use larklink_proxy::log::EndReason;
+use larklink_proxy::metrics::{FinalAnswer, Metrics};
 
 const PATIENCE: Duration = Duration::from_secs(10);
 
-fn figures() -> std::sync::Arc<Figures> {
-    Figures::new(&["chat".to_owned(), "pay".to_owned()])
+fn figures() -> std::sync::Arc<Metrics> {
+    Metrics::new(&["chat".to_owned(), "pay".to_owned()])
 }
 
 fn call(door: SocketAddr, text: &[u8]) -> String {
@@ -25,7 +25,7 @@
 
 #[test]
 fn each_call_gets_its_status_and_a_length() {
-    let door = console::open("127.0.0.1:0".parse().unwrap(), figures()).unwrap();
+    let door = admin::open("127.0.0.1:0".parse().unwrap(), figures()).unwrap();
     let long = format!("GET /ready HTTP/1.1\r\nx: {}", "y".repeat(9000));
     let many = format!("GET /ready HTTP/1.1\r\n{}\r\n", "x: y\r\n".repeat(80));
     for (text, status) in [
@@ -57,7 +57,7 @@
 /// Many more than the door hears at once, that say nothing or half a call, keep nobody out and cost no thread.
 #[test]
 fn callers_that_stall_give_way() {
-    let door = console::open("127.0.0.1:0".parse().unwrap(), figures()).unwrap();
+    let door = admin::open("127.0.0.1:0".parse().unwrap(), figures()).unwrap();
     let stalled: Vec<_> = (0..4 * CALLERS)
         .map(|n| {
             let mut stream = TcpStream::connect(door).unwrap();
@@ -77,17 +77,17 @@
 
 #[test]
 fn a_taken_address_is_an_error() {
-    let door = console::open("127.0.0.1:0".parse().unwrap(), figures()).unwrap();
-    assert!(console::open(door, figures()).is_err());
+    let door = admin::open("127.0.0.1:0".parse().unwrap(), figures()).unwrap();
+    assert!(admin::open(door, figures()).is_err());
 }
 
 #[test]
 fn the_figures_keep_the_names_of_the_operators_page() {
     let figures = figures();
-    figures.answered(0, Answer::Accepted);
-    figures.answered(1, Answer::Refused);
-    figures.answered(1, Answer::Failed);
-    figures.answered(7, Answer::Failed);
+    figures.answered(0, FinalAnswer::Accepted);
+    figures.answered(1, FinalAnswer::Rejected);
+    figures.answered(1, FinalAnswer::Failed);
+    figures.answered(7, FinalAnswer::Failed);
     figures.tried();
     figures.servers(5, 2);
     let (one, two) = (figures.taken(), figures.taken());
@@ -103,7 +103,7 @@
 }
 
 /// Sessions refused without a dial, and periods in which all were.
-fn refusals(figures: &Figures) -> (usize, usize) {
+fn refusals(figures: &Metrics) -> (usize, usize) {
     let count = |name| {
         let text = figures.text();
         text.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix('=')?.parse().ok()).unwrap()
@@ -141,19 +141,19 @@
     let dial = |ms: u64| figures.dialled(began + Duration::from_millis(ms));
     // A dial in between, too few, too short a time, or a pause in which nothing came: none of these.
     let lines = logged(|| {
-        (0..5).for_each(|n| refuse(n * 900, Reason::Refused));
+        (0..5).for_each(|n| refuse(n * 900, EndReason::Refused));
         dial(4000);
-        (0..9).for_each(|n| refuse(5000 + n * 500, Reason::Refused));
+        (0..9).for_each(|n| refuse(5000 + n * 500, EndReason::Refused));
         dial(9500);
-        (0..50).for_each(|n| refuse(10_000 + n * 79, Reason::Refused));
-        refuse(18_000, Reason::Refused);
+        (0..50).for_each(|n| refuse(10_000 + n * 79, EndReason::Refused));
+        refuse(18_000, EndReason::Refused);
     });
     assert_eq!((refusals(&figures), lines.len()), ((65, 0), 0), "{lines:?}");
     // Nothing but refusals, and once it has been said also after a pause.
     figures.servers(9, 4);
     let lines = logged(|| {
-        (1..=20).for_each(|n| refuse(18_000 + n * 400, Reason::Refused));
-        refuse(40_000, Reason::NoRoom);
+        (1..=20).for_each(|n| refuse(18_000 + n * 400, EndReason::Refused));
+        refuse(40_000, EndReason::NoRoom);
         dial(41_000);
         dial(42_000);
     });
@@ -163,17 +163,17 @@
         lines,
         [
             format!(
-                r#"WARN larklink_proxy::figures: refuses all that comes reason=refused why="{why}" sessions=11 ms=4000"#
+                r#"WARN larklink_proxy::metrics: refuses all that comes reason=refused why="{why}" sessions=11 ms=4000"#
             ),
-            "INFO larklink_proxy::figures: no longer refuses all that comes sessions=22 ms=23000".to_owned(),
+            "INFO larklink_proxy::metrics: no longer refuses all that comes sessions=22 ms=23000".to_owned(),
         ]
     );
     // The reason goes by what is seen then.
     for (known, skipped, reason, why) in [
-        (0, 0, Reason::Refused, "the list has no servers"),
-        (9, 9, Reason::Refused, "each server drains, is silent or fails"),
-        (9, 9, Reason::NoRoom, "no descriptors are left"),
-        (9, 9, Reason::Stopped, "the proxy stops"),
+        (0, 0, EndReason::Refused, "the list has no servers"),
+        (9, 9, EndReason::Refused, "each server drains, is silent or fails"),
+        (9, 9, EndReason::NoRoom, "no descriptors are left"),
+        (9, 9, EndReason::Stopped, "the proxy stops"),
     ] {
         figures.servers(known, skipped);
         let lines = logged(|| (0..20).for_each(|n| refuse(50_000 + n * 400, reason)));
--- a/crates/larklink-proxy/tests/descriptors.rs
+++ b/crates/larklink-proxy/tests/descriptors.rs
@@ -10,12 +10,12 @@
 use std::time::{Duration, Instant};
 
 use futures_lite::future::{self, block_on, poll_once};
-use larklink_balancer::types::Outcome;
+use larklink_balancer::AttemptOutcome;
 use larklink_proxy::config::Config;
-use larklink_proxy::events::{Event, queue};
+use larklink_proxy::endpoint_list::Endpoint;
+use larklink_proxy::events::{DecisionEvent, queue};
+use larklink_proxy::health_check::HealthChecker;
 use larklink_proxy::limiter::ConnectionLimiter;
-use larklink_proxy::list::Endpoint;
-use larklink_proxy::probes::Probes;
 
 mod stage;
 use stage::peer::{PATIENCE, Peer, open};
@@ -154,7 +154,7 @@
     let config: Config = serde_json::from_str(&config.replace("250000000", "5000000000")).unwrap();
     let (queue, events) = queue();
     let limiter = ConnectionLimiter::beside(4, 18);
-    let probes = Probes::new(&config.settings, queue, Rc::clone(&limiter));
+    let probes = HealthChecker::new(&config.settings, queue, Rc::clone(&limiter));
     let listed = (0..3).map(|n| (n, Endpoint::default())).collect();
     probes.listed(&listed);
     let asks = future::zip(future::zip(probes.ask(0, at), probes.ask(1, at)), probes.ask(2, at));
@@ -164,7 +164,9 @@
     };
     async_io::block_on(future::or(async { _ = asks.await }, late));
     let all = std::iter::from_fn(|| events.try_recv().ok());
-    let accepted = |event: &Event| matches!(event, Event::Probed { how: Outcome::Accepted, .. });
+    let accepted = |event: &DecisionEvent| {
+        matches!(event, DecisionEvent::HealthChecked { outcome: AttemptOutcome::Succeeded, .. })
+    };
     assert_eq!(all.filter(accepted).count(), 3);
     drop(probes);
     assert_eq!(answers.join().unwrap(), 2);
--- a/crates/larklink-proxy/tests/endings.rs
+++ b/crates/larklink-proxy/tests/endings.rs
@@ -8,13 +8,13 @@
 
 use async_executor::LocalExecutor;
 use futures_lite::future;
-use larklink_balancer::types::Session;
+use larklink_balancer::SessionRequest;
 use larklink_proxy::config::Config;
-use larklink_proxy::decisions::Owner;
-use larklink_proxy::events::{self, Event};
-use larklink_proxy::figures::Figures;
+use larklink_proxy::decision_task::DecisionTask;
+use larklink_proxy::events::{self, DecisionEvent};
+use larklink_proxy::health_check::HealthChecker;
 use larklink_proxy::limiter::ConnectionLimiter;
-use larklink_proxy::probes::Probes;
+use larklink_proxy::metrics::Metrics;
 
 mod stage;
 use stage::peer::{PATIENCE, Peer, open};
@@ -139,16 +139,23 @@
     let config: Config = serde_json::from_str(&config(&[nobody()], nobody(), "proxy", 1024)).unwrap();
     let executor = Rc::new(LocalExecutor::new());
     let (queue, events) = events::queue();
-    let figures = Figures::new(&config.settings.listeners);
+    let figures = Metrics::new(&config.settings.listeners);
     let (fresh, _first) = async_channel::bounded(1);
     let (settings, known) = (&config.settings, config.known.endpoints);
-    let probes = Rc::new(Probes::new(settings, queue.clone(), ConnectionLimiter::new(64)));
-    let owner = Owner::new(settings, 7, known, probes, Rc::clone(&executor), figures, fresh);
+    let probes = Rc::new(HealthChecker::new(settings, queue.clone(), ConnectionLimiter::new(64)));
+    let owner = DecisionTask::new(settings, 7, known, probes, Rc::clone(&executor), figures, fresh);
     let (sender, orders) = async_channel::unbounded();
     async_io::block_on(executor.run(async {
         for session in 0..SESSIONS as u32 {
-            let ask = Session { patience: 20_000, ..Session::default() };
-            queue.send(Event::Open { session, came: Instant::now(), ask, orders: sender.clone() }).await;
+            let ask = SessionRequest { dial_timeout: 20_000, ..SessionRequest::default() };
+            queue
+                .send(DecisionEvent::OpenSession {
+                    session,
+                    received_at: Instant::now(),
+                    request: ask,
+                    commands: sender.clone(),
+                })
+                .await;
         }
         executor.spawn(owner.run(events)).detach();
         let others = executor.spawn(async move {
--- a/crates/larklink-proxy/tests/handover.rs
+++ b/crates/larklink-proxy/tests/handover.rs
@@ -13,9 +13,9 @@
 use std::thread;
 use std::time::Instant;
 
-use larklink_proxy::handover::wire::{Reply, VERSION, talk, word};
+use larklink_proxy::endpoint_list::Endpoint;
+use larklink_proxy::handover::wire::{HandoverMessage, VERSION, talk, word};
 use larklink_proxy::limiter::ConnectionLimiter;
-use larklink_proxy::list::Endpoint;
 use rustix::process::{Pid, Signal, kill_process};
 
 mod peer;
@@ -379,10 +379,10 @@
         for met in place.incoming() {
             let (mut ear, mouth) = talk(async_io::Async::new(met.unwrap()).unwrap());
             async_io::block_on(async {
-                let offer = Reply::Offer { version: VERSION, list: Vec::new() };
+                let offer = HandoverMessage::Offer { version: VERSION, list: Vec::new() };
                 let _ = mouth.say(&offer, &[door.as_fd()]).await;
                 if ear.hear().await.is_ok() {
-                    let _ = mouth.say(&Reply::Taken, &[]).await;
+                    let _ = mouth.say(&HandoverMessage::Taken, &[]).await;
                 }
             });
         }
@@ -437,7 +437,7 @@
     let (one, other) = UnixStream::pair().unwrap();
     let (_, mouth) = talk(async_io::Async::new(one).unwrap());
     let (mut ear, _) = talk(async_io::Async::new(other).unwrap());
-    let offer = Reply::Offer { version: VERSION, list };
+    let offer = HandoverMessage::Offer { version: VERSION, list };
     let said = mouth.say(&offer, &[]);
     let (said, heard) = async_io::block_on(futures_lite::future::zip(said, ear.hear()));
     said.unwrap();
--- a/crates/larklink-proxy/tests/lines.rs
+++ b/crates/larklink-proxy/tests/protocol.rs
@@ -1,11 +1,11 @@
 //! What is read from the network, pure: heads, servers' words, the bounded buffer, discovery's answers,
 //! delays.
-use larklink_balancer::types::State;
+use larklink_balancer::EndpointState;
 use larklink_proxy::config::Config;
-use larklink_proxy::delays::Delays;
 use larklink_proxy::discovery::{Answer, pause};
-use larklink_proxy::lines::{Inbox, LONGEST, Reply, head, report, with_wait, word};
-use larklink_proxy::list::{Endpoint, server_id};
+use larklink_proxy::endpoint_list::{Endpoint, server_id};
+use larklink_proxy::message_latency::LatencyEstimator;
+use larklink_proxy::protocol::{LONGEST, LineBuffer, ServerMessage, head, report, with_wait, word};
 use proptest::prelude::*;
 use proptest::test_runner::{Config as Runs, RngSeed};
 
@@ -65,11 +65,11 @@
 
 #[test]
 fn words_and_reports_are_told_apart() {
-    assert_eq!(word(b"UP 0ac4\r\n"), (Reply::Up, "0ac4"));
-    assert_eq!(word(b"LOAD 12.5\r\n").0, Reply::Load(12.5));
-    assert_eq!(word(b"LOAD NaN\r\n").0, Reply::Other("LOAD NaN"));
-    assert_eq!(word(b"BYE inflight=7,x0=0.61\r\n"), (Reply::Bye, "inflight=7,x0=0.61"));
-    assert_eq!(word(b"UPPER\r\n").0, Reply::Other("UPPER"));
+    assert_eq!(word(b"UP 0ac4\r\n"), (ServerMessage::Up, "0ac4"));
+    assert_eq!(word(b"LOAD 12.5\r\n").0, ServerMessage::Load(12.5));
+    assert_eq!(word(b"LOAD NaN\r\n").0, ServerMessage::Other("LOAD NaN"));
+    assert_eq!(word(b"BYE inflight=7,x0=0.61\r\n"), (ServerMessage::Bye, "inflight=7,x0=0.61"));
+    assert_eq!(word(b"UPPER\r\n").0, ServerMessage::Other("UPPER"));
     let names = ["x0", "util"].map(String::from);
     assert_eq!(report("inflight=7,util=0.5,x0=0.61", &names), [0.61, 0.5]);
     assert!(report("inflight=7,x0=0.61", &names).is_empty(), "a report that lacks a value is none");
@@ -86,9 +86,12 @@
     let other = Endpoint { address: "10.9.9.9:9".into(), status: "elsewhere".into(), ..one.clone() };
     assert_eq!(one.entry(&[]).id, other.entry(&[]).id);
     assert_ne!(server_id("s-1"), server_id("s-2"));
-    assert_eq!((one.entry(&[]).state, other.entry(&[]).state), (State::Ready, State::Draining));
+    assert_eq!(
+        (one.entry(&[]).state, other.entry(&[]).state),
+        (EndpointState::Ready, EndpointState::Draining)
+    );
     let started = Endpoint { since_ms: 1_796_122_544_461.0, ..one };
-    assert_eq!(started.entry(&[]).came_up, 17_961_225_444_610);
+    assert_eq!(started.entry(&[]).started_at, 17_961_225_444_610);
 }
 
 const LIST: &str =
@@ -139,7 +142,7 @@
 
 #[test]
 fn a_slow_server_is_spoken_of_once_a_second_and_once_more() {
-    let mut d = Delays::new(600);
+    let mut d = LatencyEstimator::new(600);
     assert_eq!(d.echo(20_000, 1, 300), Some(300));
     assert_eq!(d.echo(21_000, 1, 500), None);
     assert_eq!(d.echo(30_000, 1, 100), Some(300), "the mean since it was last spoken of");
@@ -180,7 +183,7 @@
 
     #[test]
     fn an_inbox_gives_back_what_was_read_and_no_more_than_fits(chunks in prop::collection::vec(1..900usize, 1..40)) {
-        let (mut inbox, mut read, mut taken) = (Inbox::default(), Vec::new(), Vec::new());
+        let (mut inbox, mut read, mut taken) = (LineBuffer::default(), Vec::new(), Vec::new());
         for (n, size) in chunks.into_iter().enumerate() {
             let line: Vec<u8> = (0..size).map(|i| b'a' + (i % 26) as u8).chain(*b"\r\n").collect();
             let got = inbox.fill(|buf| {
--- a/crates/larklink-proxy/tests/stage/mod.rs
+++ b/crates/larklink-proxy/tests/stage/mod.rs
@@ -14,7 +14,7 @@
 use async_io::Async;
 use futures_lite::future;
 use larklink_proxy::config::Config;
-use larklink_proxy::figures::Figures;
+use larklink_proxy::metrics::Metrics;
 use larklink_proxy::proxy::{self, Start};
 
 #[path = "../peer/mod.rs"]
@@ -25,7 +25,7 @@
     pub address: SocketAddr,
     pub stop: Sender<()>,
     pub thread: JoinHandle<()>,
-    pub figures: Arc<Figures>,
+    pub figures: Arc<Metrics>,
     pub hold: Hold,
 }
 
@@ -152,7 +152,7 @@
     let address = listener.local_addr().unwrap();
     let (stop, stopping) = async_channel::bounded(1);
     let (_, moved) = async_channel::bounded(1);
-    let figures = Figures::new(&config.settings.listeners);
+    let figures = Metrics::new(&config.settings.listeners);
     let counted = Arc::clone(&figures);
     let (hold, holding) = Hold::new();
     let thread = thread::spawn(move || {
--- a/crates/larklink-simulation/src/audit.rs
+++ b/crates/larklink-simulation/src/audit.rs
@@ -2,7 +2,7 @@
 //! a proxy that was killed is told apart, by name, from a loss.
 use std::collections::BTreeMap;
 
-use larklink_balancer::types::Time;
+use larklink_balancer::{TickDuration, Timestamp};
 use serde::Serialize;
 
 use crate::book::{Answer, Ask, Book, DialEnd, End, Entry, What};
@@ -10,9 +10,9 @@
 use crate::spans::SECOND;
 
 /// Sockets get so much more than each time limit.
-const MORE: Time = SECOND / 20;
+const MORE: TickDuration = SECOND / 20;
 /// What its server ended is ended or moved within this.
-const ENDED_WITHIN: Time = SECOND;
+const ENDED_WITHIN: TickDuration = SECOND;
 
 /// What was broken; the names stand in reports and in `docs/rehearse.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -63,7 +63,7 @@
     /// The session's id in hex; empty where no session is meant.
     pub session: String,
     /// Tenths of a millisecond from the start.
-    pub at: Time,
+    pub at: Timestamp,
     pub seen: String,
 }
 
@@ -84,9 +84,9 @@
     pub retries: u64,
     pub moved: u64,
     pub ran_late: u64,
-    /// Time to the answer of each accepted session, tenths of a millisecond.
+    /// TickDuration to the answer of each accepted session, tenths of a millisecond.
     #[serde(skip)]
-    pub took: Vec<Time>,
+    pub took: Vec<TickDuration>,
 }
 
 /// What the clients of one shape of proxies got.
@@ -127,9 +127,9 @@
 struct Dial {
     server: usize,
     conn: u64,
-    at: Time,
+    at: Timestamp,
     told: u64,
-    ended: Option<(Time, DialEnd)>,
+    ended: Option<(TickDuration, DialEnd)>,
 }
 
 impl Dial {
@@ -141,34 +141,34 @@
 struct Session {
     ask: Ask,
     proxy: usize,
-    at: Time,
-    answers: Vec<(Time, Answer)>,
-    garbled: Option<Time>,
-    more: Option<Time>,
+    at: Timestamp,
+    answers: Vec<(TickDuration, Answer)>,
+    garbled: Option<TickDuration>,
+    more: Option<TickDuration>,
     nobody: bool,
     ran_late: u64,
-    ended: Option<(Time, End)>,
+    ended: Option<(TickDuration, End)>,
     dials: Vec<Dial>,
 }
 
 /// Spans of time in which something was so.
 #[derive(Default)]
-struct Spans(Vec<(Time, Time)>);
+struct Spans(Vec<(TickDuration, TickDuration)>);
 
 impl Spans {
-    fn begin(&mut self, at: Time) {
-        if self.0.last().is_none_or(|&(_, to)| to != Time::MAX) {
-            self.0.push((at, Time::MAX));
+    fn begin(&mut self, at: Timestamp) {
+        if self.0.last().is_none_or(|&(_, to)| to != Timestamp::MAX) {
+            self.0.push((at, Timestamp::MAX));
         }
     }
 
-    fn end(&mut self, at: Time) {
-        if let Some(last) = self.0.last_mut().filter(|(_, to)| *to == Time::MAX) {
+    fn end(&mut self, at: Timestamp) {
+        if let Some(last) = self.0.last_mut().filter(|(_, to)| *to == Timestamp::MAX) {
             last.1 = at;
         }
     }
 
-    fn meets(&self, from: Time, to: Time) -> bool {
+    fn meets(&self, from: Timestamp, to: TickDuration) -> bool {
         self.0.iter().any(|&(a, b)| a <= to && from <= b)
     }
 }
@@ -181,12 +181,12 @@
     proxies: Vec<Spans>,
     servers: Vec<Spans>,
     /// When each proxy was last told that each server drains or is gone; nothing while it is up.
-    told: BTreeMap<(usize, usize), Option<Time>>,
+    told: BTreeMap<(usize, usize), Option<TickDuration>>,
     found: Vec<Breach>,
 }
 
 /// Judges a book; `end` is when the run was stopped, and what was open then is not judged for its end.
-pub fn audit(scenario: &Scenario, book: &Book, end: Time) -> Findings {
+pub fn audit(scenario: &Scenario, book: &Book, end: Timestamp) -> Findings {
     let mut auditor = Auditor {
         scenario,
         listeners: scenario.listeners.iter().map(|l| l.get_ref()).collect(),
@@ -215,7 +215,7 @@
 }
 
 impl Auditor<'_> {
-    fn breach(&mut self, what: Broken, id: u64, at: Time, seen: String) {
+    fn breach(&mut self, what: Broken, id: u64, at: Timestamp, seen: String) {
         let session = if id == 0 { String::new() } else { format!("{id:x}") };
         self.found.push(Breach { what, rule: what.rule(), session, at, seen });
     }
@@ -303,7 +303,7 @@
         }
     }
 
-    fn dialled(&mut self, at: Time, id: u64, server: usize, conn: u64, told: u64) {
+    fn dialled(&mut self, at: Timestamp, id: u64, server: usize, conn: u64, told: u64) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let proxy = session.proxy;
         session.dials.push(Dial { server, conn, at, told, ended: None });
@@ -319,7 +319,7 @@
         }
     }
 
-    fn judge(&mut self, id: u64, s: &Session, end: Time, to: &mut Answers) {
+    fn judge(&mut self, id: u64, s: &Session, end: Timestamp, to: &mut Answers) {
         to.opened += 1;
         to.retries += u64::from(s.ask.retry);
         to.dials += s.dials.len() as u64;
@@ -386,7 +386,7 @@
     }
 
     /// A session that was accepted: what became of its connection.
-    fn stood(&mut self, id: u64, s: &Session, at: Time, end: Time, to: &mut Answers) {
+    fn stood(&mut self, id: u64, s: &Session, at: Timestamp, end: Timestamp, to: &mut Answers) {
         let Some(dial) = s.dials.iter().rev().find(|d| d.at <= at) else {
             return self.breach(Broken::AcceptedByNobody, id, at, "no server was dialled".into());
         };
--- a/crates/larklink-simulation/src/book.rs
+++ b/crates/larklink-simulation/src/book.rs
@@ -1,6 +1,6 @@
 //! The book of answers: clients, servers, front and list write down what they saw, in the order of time. The
 //! proxy that is judged has no hand in it.
-use larklink_balancer::types::Time;
+use larklink_balancer::{TickDuration, Timestamp};
 use serde::Serialize;
 
 /// A client's first line.
@@ -11,7 +11,7 @@
     pub key: u64,
     pub group: u64,
     pub listener: usize,
-    pub patience: Time,
+    pub patience: TickDuration,
     pub again: bool,
     pub retry: bool,
 }
@@ -89,12 +89,12 @@
     },
     LineLate {
         id: u64,
-        took: Time,
+        took: TickDuration,
     },
     Held {
         id: u64,
         way: Way,
-        took: Time,
+        took: TickDuration,
     },
     Changed {
         id: u64,
@@ -102,7 +102,7 @@
     /// Nothing has come for so long on a connection that stands.
     SilentFor {
         id: u64,
-        span: Time,
+        span: TickDuration,
     },
     Dial {
         id: u64,
@@ -139,7 +139,7 @@
     /// Silent until then.
     ServerSilent {
         server: usize,
-        until: Time,
+        until: Timestamp,
     },
     /// It went with so many sessions still standing there.
     LeftBehind {
@@ -164,7 +164,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Entry {
-    pub at: Time,
+    pub at: Timestamp,
     pub what: What,
 }
 
@@ -181,7 +181,7 @@
 }
 
 impl Book {
-    pub fn note(&mut self, at: Time, what: What) {
+    pub fn note(&mut self, at: Timestamp, what: What) {
         self.entries.push(Entry { at, what });
     }
 
--- a/crates/larklink-simulation/src/clients.rs
+++ b/crates/larklink-simulation/src/clients.rs
@@ -1,7 +1,7 @@
 //! Clients: when they come, how long they wait, what they send, when they try again, and how long they stay.
 use std::collections::HashMap;
 
-use larklink_balancer::types::Time;
+use larklink_balancer::{TickDuration, Timestamp};
 use rand::{Rng, RngExt};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1};
@@ -30,16 +30,16 @@
     /// A line has been without one back for longer than any connection may be silent.
     Silent {
         id: u64,
-        span: Time,
+        span: TickDuration,
     },
 }
 
 /// An answer that comes so long after the dial timeout is still seen, as late.
-const SEES_LATE: Time = SECOND / 4;
+const SEES_LATE: TickDuration = SECOND / 4;
 /// Lines out at once; a client that has had none of them back sends no more.
 const OUT_AT_ONCE: usize = 8;
 /// A connection that brings nothing back from a running server is to be ended within this.
-pub const SILENT: Time = 7 * SECOND;
+pub const SILENT: TickDuration = 7 * SECOND;
 
 enum Due {
     Comes(usize),
@@ -59,8 +59,8 @@
     listener: usize,
     key: u64,
     group: u64,
-    from: Time,
-    until: Time,
+    from: Timestamp,
+    until: Timestamp,
     tries: u32,
     again: bool,
     retry: bool,
@@ -71,18 +71,18 @@
     state: State,
     number: u64,
     /// When the lines went out that are not back yet.
-    out: Vec<(u64, Time)>,
-    heard: Time,
+    out: Vec<(u64, TickDuration)>,
+    heard: Timestamp,
     /// Well served since then; nothing after a line that was late.
-    well_from: Option<Time>,
+    well_from: Option<TickDuration>,
 }
 
 /// Figures of a listener.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Tally {
     /// Tenths of a millisecond.
-    pub asked: Time,
-    pub well: Time,
+    pub asked: Timestamp,
+    pub well: TickDuration,
     pub lines: u64,
     pub late: u64,
     pub gone_without: u64,
@@ -96,14 +96,14 @@
     agenda: Agenda<Due>,
     chance: ChaCha8Rng,
     /// No new ones from then on.
-    length: Time,
+    length: TickDuration,
     pub tallies: Vec<Tally>,
     pub waiting: usize,
     pub standing: usize,
 }
 
 impl Clients {
-    pub fn new(listeners: Vec<Listener>, length: Time, chance: ChaCha8Rng) -> Self {
+    pub fn new(listeners: Vec<Listener>, length: TickDuration, chance: ChaCha8Rng) -> Self {
         let tallies = vec![Tally::default(); listeners.len()];
         let mut new = Self {
             listeners,
@@ -142,20 +142,20 @@
         self.sessions.get(&id).map(|s| self.people[s.client].listener)
     }
 
-    pub fn due(&self) -> Time {
+    pub fn due(&self) -> Timestamp {
         self.agenda.due()
     }
 
-    fn share(&mut self, of: Time, from: f64, to: f64) -> Time {
-        (of as f64 * self.chance.random_range(from..to)) as Time
+    fn share(&mut self, of: TickDuration, from: f64, to: f64) -> TickDuration {
+        (of as f64 * self.chance.random_range(from..to)) as TickDuration
     }
 
-    fn exponential(&mut self, mean: f64) -> Time {
+    fn exponential(&mut self, mean: f64) -> TickDuration {
         let drawn: f64 = Exp1.sample(&mut self.chance);
-        (drawn * mean) as Time
+        (drawn * mean) as TickDuration
     }
 
-    fn next(&mut self, now: Time, listener: usize) {
+    fn next(&mut self, now: Timestamp, listener: usize) {
         let rate = self.listeners[listener].rate;
         if rate > 0.0 {
             let at = now + self.exponential(SECOND as f64 / rate);
@@ -165,7 +165,7 @@
         }
     }
 
-    fn comes(&mut self, at: Time, listener: usize) {
+    fn comes(&mut self, at: Timestamp, listener: usize) {
         let l = &self.listeners[listener];
         // As many groups as hold so many clients each in the mean.
         let people = l.standing as f64 + l.rate * l.life.0 as f64 / SECOND as f64;
@@ -191,7 +191,7 @@
     }
 
     /// All that clients do by now.
-    pub fn turn(&mut self, now: Time, acts: &mut Vec<Act>) {
+    pub fn turn(&mut self, now: Timestamp, acts: &mut Vec<Act>) {
         while let Some((at, due)) = self.agenda.pop(now) {
             match due {
                 Due::Comes(listener) => {
@@ -216,7 +216,7 @@
         }
     }
 
-    fn tries(&mut self, now: Time, client: usize, acts: &mut Vec<Act>) {
+    fn tries(&mut self, now: Timestamp, client: usize, acts: &mut Vec<Act>) {
         let id = self.chance.next_u64();
         let p = &mut self.people[client];
         if now >= self.length || now >= p.until {
@@ -248,7 +248,7 @@
         acts.push(Act::Open(ask));
     }
 
-    fn line(&mut self, now: Time, id: u64, acts: &mut Vec<Act>) {
+    fn line(&mut self, now: Timestamp, id: u64, acts: &mut Vec<Act>) {
         let Some(session) = self.sessions.get_mut(&id).filter(|s| s.state == State::Standing) else { return };
         let listener = &self.listeners[self.people[session.client].listener];
         self.agenda.add(now + listener.every.0, Due::Line(id));
@@ -271,7 +271,7 @@
     }
 
     /// A session has had its final answer.
-    pub fn answered(&mut self, now: Time, id: u64, answer: Answer) {
+    pub fn answered(&mut self, now: Timestamp, id: u64, answer: Answer) {
         match answer {
             Answer::Accepted => {
                 let Some(session) = self.sessions.get_mut(&id).filter(|s| s.state == State::Waiting) else {
@@ -294,7 +294,7 @@
     }
 
     /// A session's line is back: how long it was away, if it was out at all, and if that is late.
-    pub fn back(&mut self, now: Time, id: u64, number: u64) -> Option<(Time, bool)> {
+    pub fn back(&mut self, now: Timestamp, id: u64, number: u64) -> Option<(TickDuration, bool)> {
         let session = self.sessions.get_mut(&id)?;
         session.heard = now;
         let at = session.out.iter().position(|&(n, _)| n == number)?;
@@ -315,12 +315,12 @@
     }
 
     /// A session without an answer that went to a proxy where nobody was, or whose connection ended.
-    pub fn lost(&mut self, now: Time, id: u64) {
+    pub fn lost(&mut self, now: Timestamp, id: u64) {
         self.failed(now, id, 0);
     }
 
     /// An accepted session's connection has ended: its client comes again.
-    pub fn ended(&mut self, now: Time, id: u64, how: End) {
+    pub fn ended(&mut self, now: Timestamp, id: u64, how: End) {
         let Some(client) = self.over(now, id).filter(|_| how != End::Left) else { return };
         let p = &mut self.people[client];
         p.again = true;
@@ -329,7 +329,7 @@
         self.agenda.add(at, Due::Tries(client));
     }
 
-    fn failed(&mut self, now: Time, id: u64, at_least: Time) {
+    fn failed(&mut self, now: Timestamp, id: u64, at_least: TickDuration) {
         let Some(client) = self.over(now, id) else { return };
         let p = &mut self.people[client];
         let listener = p.listener;
@@ -348,7 +348,7 @@
     }
 
     /// Ends a session, and says whose it was.
-    fn over(&mut self, now: Time, id: u64) -> Option<usize> {
+    fn over(&mut self, now: Timestamp, id: u64) -> Option<usize> {
         let session = self.sessions.remove(&id)?;
         match session.state {
             State::Waiting => self.waiting -= 1,
@@ -373,7 +373,7 @@
     }
 
     /// Closes the accounts at the end of a run.
-    pub fn finish(&mut self, now: Time) {
+    pub fn finish(&mut self, now: Timestamp) {
         let ids: Vec<_> = self.sessions.keys().copied().collect();
         for id in ids {
             self.over(now, id);
@@ -381,7 +381,7 @@
     }
 
     /// The share of those who want a session now, by utility, that have one whose lines come back in time.
-    pub fn served_now(&self, now: Time) -> f64 {
+    pub fn served_now(&self, now: Timestamp) -> f64 {
         let utility = |p: &Person| self.listeners[p.listener].utility;
         let wants = self.people.iter().filter(|p| (p.from..p.until.min(self.length)).contains(&now));
         let wanted: f64 = wants.map(utility).sum();
@@ -395,7 +395,7 @@
 
     /// Utility of well-served seconds over seconds asked for.
     pub fn service(&self) -> f64 {
-        let sum = |of: fn(&Tally) -> Time| -> f64 {
+        let sum = |of: fn(&Tally) -> TickDuration| -> f64 {
             self.tallies.iter().zip(&self.listeners).map(|(t, l)| of(t) as f64 * l.utility).sum()
         };
         let asked = sum(|t| t.asked);
--- a/crates/larklink-simulation/src/contest.rs
+++ b/crates/larklink-simulation/src/contest.rs
@@ -1,17 +1,17 @@
 //! Members that contend for one lease, over links that lose, delay and reorder what they say to the register, by clocks
 //! that run fast and slow. Each call may take effect at any moment, also long after its caller has given it up.
-use larklink_balancer::types::Time;
+use larklink_balancer::TickDuration;
 use larklink_coordination::lease::{Answer, Ask, Law, Lease, Member, Record, Terms, Token};
 
 use crate::explore::Model;
 use crate::register::Register;
 
-const MILLION: Time = 1_000_000;
+const MILLION: TickDuration = 1_000_000;
 
 /// What may happen next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Move {
-    /// Time goes on by a step.
+    /// TickDuration goes on by a step.
     Tick,
     /// A call takes effect; its answer is on its way.
     Effect(usize),
@@ -49,8 +49,8 @@
     register: Register<Record>,
     sides: Vec<Side<L>>,
     letters: Vec<Letter>,
-    time: Time,
-    step: Time,
+    time: TickDuration,
+    step: TickDuration,
     /// How many calls that were given up may still be on their way at once.
     strays: usize,
     stops: bool,
@@ -63,7 +63,7 @@
 
 impl<L: Law + Clone> Contest<L> {
     /// One member for each clock's rate, in millionths of true time.
-    pub fn new(terms: &Terms, rates: &[u32], step: Time, strays: usize) -> Self {
+    pub fn new(terms: &Terms, rates: &[u32], step: TickDuration, strays: usize) -> Self {
         let side = |(n, rate): (usize, &u32)| {
             let me = Member { name: format!("p{n}"), incarnation: n as u64 };
             Side { lease: Lease::new(me, terms.clone(), None), rate: *rate, stopped: false }
@@ -99,8 +99,8 @@
     }
 
     /// A member's own time.
-    fn clock(&self, side: usize) -> Time {
-        self.time * Time::from(self.sides[side].rate) / MILLION
+    fn clock(&self, side: usize) -> TickDuration {
+        self.time * TickDuration::from(self.sides[side].rate) / MILLION
     }
 
     /// Who may act now, by its own clock.
@@ -109,7 +109,7 @@
         (0..self.sides.len()).filter(|n| !self.sides[*n].stopped).filter_map(acts).collect()
     }
 
-    pub fn time(&self) -> Time {
+    pub fn time(&self) -> TickDuration {
         self.time
     }
 
--- a/crates/larklink-simulation/src/faults.rs
+++ b/crates/larklink-simulation/src/faults.rs
@@ -1,5 +1,5 @@
 //! The faults of a scenario as single events in order of time, those who are struck drawn from the seed.
-use larklink_balancer::types::Time;
+use larklink_balancer::{TickDuration, Timestamp};
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
 
@@ -11,12 +11,12 @@
     Kill,
     /// Killed in the instant in which it has taken its next connection; it starts again so long after.
     KillAtAccept {
-        back: Option<Time>,
+        back: Option<Timestamp>,
     },
     Start,
     /// SIGTERM; it starts again so long after its end.
     Stop {
-        back: Option<Time>,
+        back: Option<Timestamp>,
     },
     Reload,
     /// Another process takes over.
@@ -28,11 +28,11 @@
     Proxy(usize, Upon),
     Silence {
         server: usize,
-        until: Time,
+        until: Timestamp,
     },
     Pause {
         server: usize,
-        until: Time,
+        until: Timestamp,
     },
     Die {
         server: usize,
@@ -55,10 +55,10 @@
         factor: f64,
     },
     ListLost {
-        until: Time,
+        until: Timestamp,
     },
     ListStill {
-        until: Time,
+        until: Timestamp,
     },
     DropClients {
         share: f64,
@@ -66,18 +66,19 @@
 }
 
 /// A fault as a band, for plots: from, to, what.
-pub type Band = (Time, Time, String);
+pub type Band = (TickDuration, TickDuration, String);
 
-pub fn timeline(scenario: &Scenario, chance: &mut ChaCha8Rng) -> (Vec<(Time, Event)>, Vec<Band>) {
+pub fn timeline(scenario: &Scenario, chance: &mut ChaCha8Rng) -> (Vec<(TickDuration, Event)>, Vec<Band>) {
     let (mut events, mut bands) = (Vec::new(), Vec::new());
     for fault in &scenario.faults {
         let fault = fault.get_ref();
         for n in 0..fault.times.unwrap_or(1) {
-            let at = fault.at.0 + Time::from(n) * fault.every.unwrap_or_default().0;
+            let at = fault.at.0 + TickDuration::from(n) * fault.every.unwrap_or_default().0;
             let struck = struck(scenario, fault, chance);
             // The steps before that of the one in that place.
-            let after =
-                |i: usize| (i / fault.together.unwrap_or(1)) as Time * fault.apart.unwrap_or_default().0;
+            let after = |i: usize| {
+                (i / fault.together.unwrap_or(1)) as TickDuration * fault.apart.unwrap_or_default().0
+            };
             let last = after(struck.len().saturating_sub(1));
             bands.push((at, at + last + fault.lasts.unwrap_or_default().0, name(fault.what).to_owned()));
             for (i, &which) in struck.iter().enumerate() {
@@ -132,7 +133,13 @@
     }
 }
 
-fn single(scenario: &Scenario, fault: &Fault, at: Time, which: usize, events: &mut Vec<(Time, Event)>) {
+fn single(
+    scenario: &Scenario,
+    fault: &Fault,
+    at: Timestamp,
+    which: usize,
+    events: &mut Vec<(TickDuration, Event)>,
+) {
     let lasts = fault.lasts.map(|s| s.0);
     let until = at + lasts.unwrap_or(0);
     let (proxy, server) = (which, which);
--- a/crates/larklink-simulation/src/front.rs
+++ b/crates/larklink-simulation/src/front.rs
@@ -1,25 +1,25 @@
 //! The front: deals connections out among the proxies of their zone, in turn. It takes a proxy in once that has answered,
 //! and goes on sending to one that has died for as long as it takes it to notice.
-use larklink_balancer::types::Time;
+use larklink_balancer::{TickDuration, Timestamp};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Seen {
     Out,
     In,
     /// Dead, and not yet noticed until then.
-    DeadUntil(Time),
+    DeadUntil(TickDuration),
 }
 
 pub struct Front {
     proxies: Vec<Seen>,
-    notices_after: Time,
+    notices_after: TickDuration,
     /// The proxy after the last that was dealt to, by zone.
     turns: Vec<usize>,
 }
 
 impl Front {
     /// The proxies lie in the zones by turns.
-    pub fn new(proxies: usize, zones: usize, notices_after: Time) -> Self {
+    pub fn new(proxies: usize, zones: usize, notices_after: TickDuration) -> Self {
         Self { proxies: vec![Seen::Out; proxies], notices_after, turns: vec![0; zones.max(1)] }
     }
 
@@ -28,7 +28,7 @@
     }
 
     /// Dead: nothing answers there from now on.
-    pub fn died(&mut self, now: Time, proxy: usize) {
+    pub fn died(&mut self, now: Timestamp, proxy: usize) {
         if self.proxies[proxy] == Seen::In {
             self.proxies[proxy] = Seen::DeadUntil(now + self.notices_after);
         }
@@ -40,7 +40,7 @@
     }
 
     /// The proxy that gets the next connection of clients with that key: one of their zone, if any is in.
-    pub fn deal(&mut self, now: Time, key: u64) -> Option<usize> {
+    pub fn deal(&mut self, now: Timestamp, key: u64) -> Option<usize> {
         let (n, zones) = (self.proxies.len(), self.turns.len());
         let zone = (key % zones as u64) as usize;
         let from = self.turns[zone];
--- a/crates/larklink-simulation/src/goodput.rs
+++ b/crates/larklink-simulation/src/goodput.rs
@@ -2,7 +2,7 @@
 //! offered; and how long after the last restart of a proxy it is back for good.
 use std::collections::BTreeMap;
 
-use larklink_balancer::types::Time;
+use larklink_balancer::{TickDuration, Timestamp};
 use serde::Serialize;
 
 use crate::book::{Answer, Book, What};
@@ -10,8 +10,8 @@
 use crate::spans::SECOND;
 
 /// Goodput is taken over so long, and told of each span that begins a step after the one before.
-const WINDOW: Time = 2 * SECOND;
-const STEP: Time = SECOND / 10;
+const WINDOW: TickDuration = 2 * SECOND;
+const STEP: TickDuration = SECOND / 10;
 /// It is back where it is such a share of what the store bears or is offered.
 pub const BACK: f64 = 0.9;
 
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Rate {
     /// When the span begins, tenths of a millisecond.
-    pub from: Time,
+    pub from: Timestamp,
     pub accepted: f64,
     /// Clients that asked, each once however often it tried.
     pub offered: f64,
@@ -29,11 +29,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Recovery {
     /// When the last proxy that was stopped or killed answered again, tenths of a millisecond.
-    pub restarted: Time,
+    pub restarted: TickDuration,
     /// From then to the first span from which on all are back, to the end of the run; nothing for never.
-    pub took: Option<Time>,
+    pub took: Option<TickDuration>,
     /// How long after `restarted` the last span begins that the run is long enough for.
-    pub told: Time,
+    pub told: Timestamp,
     /// From the last restart to the end of the run, and the least of any span that began in it.
     pub after: Rate,
     pub least: Rate,
@@ -43,7 +43,7 @@
 
 impl Recovery {
     /// What a scenario that demands it within such a span finds wrong.
-    pub fn unmet(&self, within: Time) -> Option<String> {
+    pub fn unmet(&self, within: TickDuration) -> Option<String> {
         match self.took {
             Some(took) if took <= within => None,
             Some(took) => Some(format!("goodput back {:.1} s after the last restart", seconds(took))),
@@ -69,14 +69,14 @@
     }
 }
 
-fn seconds(t: Time) -> f64 {
+fn seconds(t: TickDuration) -> f64 {
     t as f64 / SECOND as f64
 }
 
 /// When each client asked, in order, and when sessions were accepted in time.
 struct Asked {
-    opened: Vec<(Time, usize)>,
-    accepted: Vec<Time>,
+    opened: Vec<(TickDuration, usize)>,
+    accepted: Vec<TickDuration>,
 }
 
 impl Asked {
@@ -97,7 +97,7 @@
         Self { opened, accepted }
     }
 
-    fn between(&self, from: Time, to: Time) -> Rate {
+    fn between(&self, from: Timestamp, to: TickDuration) -> Rate {
         let span = seconds(to - from);
         let opened = &self.opened[part(&self.opened, |o| o.0 < from)..part(&self.opened, |o| o.0 < to)];
         let mut clients: Vec<_> = opened.iter().map(|o| o.1).collect();
--- a/crates/larklink-simulation/src/list.rs
+++ b/crates/larklink-simulation/src/list.rs
@@ -1,5 +1,5 @@
 //! The list of servers as discovery has it: changes show after a lag, and not at all while it stands still.
-use larklink_balancer::types::Time;
+use larklink_balancer::{TickDuration, Timestamp};
 
 use crate::spans::Agenda;
 
@@ -25,23 +25,23 @@
 pub struct Line {
     pub server: usize,
     pub status: Status,
-    pub started: Time,
+    pub started: Timestamp,
 }
 
 #[derive(Default)]
 pub struct List {
-    lag: Time,
+    lag: TickDuration,
     coming: Agenda<Line>,
     /// Each server's latest line, and the version that brought it.
     lines: Vec<(u64, Line)>,
     version: u64,
-    still_until: Time,
-    lost_until: Time,
+    still_until: TickDuration,
+    lost_until: TickDuration,
 }
 
 impl List {
     /// All servers are up and warm.
-    pub fn new(servers: usize, lag: Time) -> Self {
+    pub fn new(servers: usize, lag: TickDuration) -> Self {
         let lines = (0..servers).map(|server| (1, Line { server, status: Status::Up, started: 0 }));
         Self { lag, lines: lines.collect(), version: 1, ..Self::default() }
     }
@@ -52,29 +52,29 @@
     }
 
     /// Something is so from now on; it shows after the lag.
-    pub fn change(&mut self, now: Time, line: Line) {
+    pub fn change(&mut self, now: Timestamp, line: Line) {
         self.coming.add(now + self.lag, line);
     }
 
-    pub fn stand_still(&mut self, until: Time) {
+    pub fn stand_still(&mut self, until: Timestamp) {
         self.still_until = until;
     }
 
     /// Out of reach until then: calls are not answered.
-    pub fn lose(&mut self, until: Time) {
+    pub fn lose(&mut self, until: Timestamp) {
         self.lost_until = until;
     }
 
-    pub fn answers(&self, now: Time) -> bool {
+    pub fn answers(&self, now: Timestamp) -> bool {
         now >= self.lost_until
     }
 
-    pub fn due(&self) -> Time {
+    pub fn due(&self) -> Timestamp {
         self.coming.due().max(self.still_until)
     }
 
     /// Takes in what shows by now; whether there was anything.
-    pub fn turn(&mut self, now: Time) -> bool {
+    pub fn turn(&mut self, now: Timestamp) -> bool {
         let before = self.version;
         while now >= self.still_until
             && let Some((_, line)) = self.coming.pop(now)
--- a/crates/larklink-simulation/src/scenario.rs
+++ b/crates/larklink-simulation/src/scenario.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::ops::Range;
 
-use larklink_balancer::types::Time;
+use larklink_balancer::Timestamp;
 use serde::Deserialize;
 use toml::Spanned;
 
@@ -330,7 +330,7 @@
     pub accepted: Option<f64>,
     /// The same of each shape of proxies, where `proxies.moved` makes two of them.
     pub each_shape: Option<f64>,
-    /// Time to the answer that 99 in 100 accepted sessions do not exceed.
+    /// TickDuration to the answer that 99 in 100 accepted sessions do not exceed.
     pub answer_p99: Option<Span>,
     /// Within so long of the last restart of a proxy, goodput is at nine tenths of what the store bears, or of what is
     /// offered if that is less, and stays there.
@@ -369,7 +369,7 @@
     }
 
     /// When a run ends: what stands may end for a second after the last clients have come.
-    pub fn end(&self) -> Time {
+    pub fn end(&self) -> Timestamp {
         self.length.0 + SECOND
     }
 
--- a/crates/larklink-simulation/src/server.rs
+++ b/crates/larklink-simulation/src/server.rs
@@ -3,7 +3,7 @@
 //! drain, and drop what it has just taken.
 use std::collections::{BTreeMap, VecDeque};
 
-use larklink_balancer::types::Time;
+use larklink_balancer::{TickDuration, Timestamp};
 
 use crate::spans::{Agenda, SECOND};
 use crate::store::Store;
@@ -19,16 +19,16 @@
     pub holds: usize,
     pub setup_work: f64,
     /// Set-ups are turned away while more work than this waits.
-    pub queue: Time,
+    pub queue: TickDuration,
     pub start_capacity: f64,
-    pub warm_up: Time,
+    pub warm_up: TickDuration,
     pub fall_multiple: f64,
-    pub fall_after: Time,
+    pub fall_after: TickDuration,
     /// Whether it dies of that, and after how long it is back.
     pub falls: bool,
-    pub back_after: Time,
+    pub back_after: TickDuration,
     /// Load reports are made so often, and are told until the next.
-    pub report_every: Time,
+    pub report_every: TickDuration,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -98,24 +98,24 @@
     profile: Profile,
     life: Life,
     /// When it last started cold; nothing if it was warm from the first.
-    cold_since: Option<Time>,
+    cold_since: Option<TickDuration>,
     /// When each core is free.
     cores: Vec<f64>,
     held: BTreeMap<Conn, Held>,
     /// Sessions of connections that were given up while their set-up was under way.
     orphans: BTreeMap<Conn, u64>,
     agenda: Agenda<Due>,
-    paused_until: Time,
-    silent_until: Time,
+    paused_until: TickDuration,
+    silent_until: TickDuration,
     /// One in so many of those just taken is dropped; 0: none.
     drops: u64,
     taken: u64,
     /// Work received of late, for falling over.
-    received: VecDeque<(Time, f64)>,
+    received: VecDeque<(TickDuration, f64)>,
     sum: f64,
     over: bool,
     report: Report,
-    reported: Time,
+    reported: TickDuration,
     worked: f64,
     asked: f64,
     /// All work done so far, microseconds at the speed of a warm core.
@@ -156,23 +156,23 @@
     }
 
     /// When it last started, for the list; nothing if long ago.
-    pub fn started(&self) -> Option<Time> {
+    pub fn started(&self) -> Option<TickDuration> {
         self.cold_since
     }
 
     /// The share of its full capacity that it has now.
-    pub fn warmth(&self, now: Time) -> f64 {
+    pub fn warmth(&self, now: Timestamp) -> f64 {
         let Some(since) = self.cold_since else { return 1.0 };
         let gone = now.saturating_sub(since) as f64 / (self.profile.warm_up as f64).max(1.0);
         (self.profile.start_capacity + (1.0 - self.profile.start_capacity) * gone).min(1.0)
     }
 
     /// Microseconds of work that it can do in a second now.
-    pub fn capacity(&self, now: Time) -> f64 {
+    pub fn capacity(&self, now: Timestamp) -> f64 {
         self.profile.cores as f64 * self.profile.speed * self.warmth(now) * 1e6
     }
 
-    fn cold(&self, now: Time) -> bool {
+    fn cold(&self, now: Timestamp) -> bool {
         self.cold_since.is_some_and(|since| now < since + self.profile.warm_up)
     }
 
@@ -184,7 +184,7 @@
     /// A session's first line has come.
     pub fn head(
         &mut self,
-        now: Time,
+        now: Timestamp,
         conn: Conn,
         session: u64,
         load: f64,
@@ -217,7 +217,7 @@
     }
 
     /// A line of an accepted session has come; it is sent back when its work is done.
-    pub fn line(&mut self, now: Time, conn: Conn, work: f64, text: Vec<u8>, out: &mut Vec<Out>) {
+    pub fn line(&mut self, now: Timestamp, conn: Conn, work: f64, text: Vec<u8>, out: &mut Vec<Out>) {
         if !self.held.contains_key(&conn) || !self.listens() {
             return;
         }
@@ -228,7 +228,7 @@
         }
     }
 
-    pub fn probe(&mut self, now: Time, conn: Conn) {
+    pub fn probe(&mut self, now: Timestamp, conn: Conn) {
         if self.listens() {
             self.agenda.add(now, Due::Pong(conn));
         }
@@ -242,18 +242,18 @@
     }
 
     /// The first core that is free does it: when it is done.
-    fn work(&mut self, now: Time, work: f64) -> Time {
+    fn work(&mut self, now: Timestamp, work: f64) -> TickDuration {
         let speed = self.profile.speed * self.warmth(now);
         let core = self.cores.iter_mut().min_by(|a, b| a.total_cmp(b)).expect("a server has a core");
         // Never faster than it is at the start of the work: it only warms up.
         *core = core.max(now as f64) + work / 100.0 / speed;
         self.done += work;
         self.worked += work;
-        core.ceil() as Time
+        core.ceil() as TickDuration
     }
 
     /// Notes work that was sent here; too much of it for too long, and a cold server falls over.
-    fn receive(&mut self, now: Time, work: f64, out: &mut Vec<Out>) {
+    fn receive(&mut self, now: Timestamp, work: f64, out: &mut Vec<Out>) {
         self.asked += work;
         self.received.push_back((now, work));
         self.sum += work;
@@ -277,7 +277,7 @@
         self.over = over;
     }
 
-    pub fn die(&mut self, now: Time, out: &mut Vec<Out>) {
+    pub fn die(&mut self, now: Timestamp, out: &mut Vec<Out>) {
         if self.life == Life::Dead {
             return;
         }
@@ -291,7 +291,7 @@
     }
 
     /// Starts anew: cold from now on.
-    pub fn start(&mut self, now: Time, out: &mut Vec<Out>) {
+    pub fn start(&mut self, now: Timestamp, out: &mut Vec<Out>) {
         self.die(now, out);
         (self.life, self.cold_since, self.over) = (Life::Up, Some(now), false);
         (self.paused_until, self.silent_until) = (0, 0);
@@ -310,14 +310,14 @@
     }
 
     /// Does nothing until then, and then answers what waited.
-    pub fn pause(&mut self, until: Time) {
+    pub fn pause(&mut self, until: Timestamp) {
         self.paused_until = self.paused_until.max(until);
         self.agenda.add(until, Due::Wakes);
         self.cores.iter_mut().for_each(|free| *free = free.max(until as f64));
     }
 
     /// Cut off until then; its connections break when it is back.
-    pub fn silence(&mut self, until: Time) {
+    pub fn silence(&mut self, until: Timestamp) {
         if self.listens() {
             self.life = Life::Silent;
             self.silent_until = until;
@@ -330,7 +330,7 @@
         self.drops = n;
     }
 
-    pub fn due(&self) -> Time {
+    pub fn due(&self) -> Timestamp {
         match self.life {
             Life::Silent => self.silent_until,
             _ => self.agenda.due().max(self.paused_until),
@@ -338,7 +338,7 @@
     }
 
     /// All that is done by now.
-    pub fn turn(&mut self, now: Time, out: &mut Vec<Out>) {
+    pub fn turn(&mut self, now: Timestamp, out: &mut Vec<Out>) {
         if self.life == Life::Silent {
             if now < self.silent_until {
                 return;
@@ -390,7 +390,7 @@
         }
     }
 
-    fn measure(&mut self, now: Time) {
+    fn measure(&mut self, now: Timestamp) {
         let span = now.saturating_sub(self.reported);
         if span < self.profile.report_every {
             return;
--- a/crates/larklink-simulation/src/simulate.rs
+++ b/crates/larklink-simulation/src/simulate.rs
@@ -2,8 +2,11 @@
 //! clock, the same seed the same book. Each message takes one hop.
 use std::collections::BTreeMap;
 
-use larklink_balancer::types::{Entry, Note, Outcome, Scope, Session, State, Time};
-use larklink_engine::core::{Action, Core};
+use larklink_balancer::{
+    AttemptOutcome, EndpointEntry, EndpointState, ListScope, Observation, SessionRequest, TickDuration,
+    Timestamp,
+};
+use larklink_engine::engine::{Engine, ProxyAction};
 use larklink_engine::settings::ProxySettings;
 
 use crate::audit::{Findings, audit};
@@ -18,18 +21,18 @@
 use crate::world::{Deed, World};
 
 /// From one end of a connection to the other.
-const HOP: Time = 2;
+const HOP: TickDuration = 2;
 /// The decisions' time starts here, so that no server's start lies at 0, which means long ago.
-const ORIGIN: Time = 100 * SECOND;
+const ORIGIN: TickDuration = 100 * SECOND;
 /// A proxy that stops goes on for so long at least, and as much longer as its longest dial timeout, up to the second; who
 /// stands is moved within this share of that, and who waits has the last answer so long before its end, as the daemon
 /// has it.
-const STILL_COMING: Time = SECOND * 6 / 10;
-const LONGEST: Time = 3 * SECOND;
+const STILL_COMING: TickDuration = SECOND * 6 / 10;
+const LONGEST: TickDuration = 3 * SECOND;
 const MOVED_BY: f64 = 0.7;
-const LAST: Time = SECOND / 10;
+const LAST: TickDuration = SECOND / 10;
 /// So often it looks whether anybody is left.
-const LOOK: Time = SECOND / 100;
+const LOOK: TickDuration = SECOND / 100;
 
 /// A run's book, what the audit found in it, and its service.
 pub struct Run {
@@ -43,7 +46,7 @@
 #[derive(Clone, Copy)]
 enum Peer {
     Session { proxy: usize, number: u32, dial: u8, id: u64 },
-    Probe { proxy: usize, sent: Time },
+    Probe { proxy: usize, sent: Timestamp },
 }
 
 enum Hop {
@@ -84,23 +87,23 @@
 }
 
 struct Proxy {
-    core: Core,
+    engine: Engine,
     alive: bool,
     next: u32,
     flows: BTreeMap<u32, u64>,
     known: Option<u64>,
     /// When it began to stop, and when it ends at the latest.
-    stops: Option<(Time, Time)>,
+    stops: Option<(TickDuration, TickDuration)>,
     /// It starts again so long after its end.
-    back: Option<Time>,
+    back: Option<Timestamp>,
     /// It is killed with the next connection that it takes.
     armed: bool,
 }
 
 impl Proxy {
-    fn new(core: Core, next: u32) -> Self {
+    fn new(engine: Engine, next: u32) -> Self {
         Self {
-            core,
+            engine,
             alive: true,
             next,
             flows: BTreeMap::new(),
@@ -125,7 +128,7 @@
 
 /// The settings object that a scenario's daemon of that number is given.
 pub fn settings(scenario: &Scenario, proxy: usize) -> serde_json::Value {
-    let ns = |t: Time| t * 100_000;
+    let ns = |t: TickDuration| t * 100_000;
     let grades = scenario.listeners.iter().map(|l| {
         let l = l.get_ref();
         let kind = match l.kind {
@@ -173,8 +176,8 @@
         seed,
     };
     for proxy in 0..scenario.proxies.count {
-        let core = sim.core(0, proxy);
-        sim.proxies.push(Proxy::new(core, 0));
+        let engine = sim.engine(0, proxy);
+        sim.proxies.push(Proxy::new(engine, 0));
         sim.world.proxy_up(0, proxy);
         sim.hear_list(0, proxy);
     }
@@ -189,8 +192,9 @@
         for proxy in 0..sim.proxies.len() {
             sim.poll(now, proxy);
         }
-        let core = |p: &Proxy| if p.alive { p.core.due().saturating_sub(ORIGIN) } else { Time::MAX };
-        let cores = sim.proxies.iter().map(core).min().unwrap_or(Time::MAX);
+        let engine =
+            |p: &Proxy| if p.alive { p.engine.next_wakeup().saturating_sub(ORIGIN) } else { Timestamp::MAX };
+        let cores = sim.proxies.iter().map(engine).min().unwrap_or(Timestamp::MAX);
         now = sim.world.due().min(sim.hops.due()).min(cores).max(now + 1);
     }
     sim.world.clients.finish(end);
@@ -201,49 +205,49 @@
 }
 
 impl Sim<'_> {
-    fn core(&self, now: Time, proxy: usize) -> Core {
+    fn engine(&self, now: Timestamp, proxy: usize) -> Engine {
         let facts = settings(self.scenario, proxy).to_string();
         let facts = ProxySettings::read(facts.as_bytes()).expect("settings of our own make");
         let seed = self.seed.wrapping_mul(1000).wrapping_add(proxy as u64 + now);
-        Core::new(&facts, seed, ORIGIN + now)
+        Engine::new(&facts, seed, ORIGIN + now)
     }
 
-    fn hear_list(&mut self, now: Time, proxy: usize) {
+    fn hear_list(&mut self, now: Timestamp, proxy: usize) {
         if !self.proxies[proxy].alive || !self.world.list.answers(now) {
             return;
         }
         let known = self.proxies[proxy].known;
         let (version, lines) = self.world.tell(now, proxy, known);
-        let scope = if known.is_some() { Scope::Changes } else { Scope::Whole };
+        let scope = if known.is_some() { ListScope::Changes } else { ListScope::Complete };
         let weights: Vec<f64> = self.scenario.each_server().map(|s| s.weight).collect();
         let zones = self.scenario.proxies.zones;
-        let entry = |line: &Line| Entry {
-            server: 0,
+        let entry = |line: &Line| EndpointEntry {
+            endpoint: 0,
             id: line.server as u32 + 1,
             zone: (line.server % zones) as u16,
             cell: 0,
             state: match line.status {
-                Status::Up => State::Ready,
-                Status::Draining => State::Draining,
-                Status::Removed => State::Gone,
+                Status::Up => EndpointState::Ready,
+                Status::Draining => EndpointState::Draining,
+                Status::Removed => EndpointState::Removed,
             },
             weight: weights[line.server],
-            came_up: if line.started == 0 { 0 } else { ORIGIN + line.started },
+            started_at: if line.started == 0 { 0 } else { ORIGIN + line.started },
         };
         self.proxies[proxy].known = Some(version);
-        let core = &mut self.proxies[proxy].core;
-        core.heard_list(ORIGIN + now, scope, lines.iter().map(entry).collect());
+        let engine = &mut self.proxies[proxy].engine;
+        engine.update_endpoints(ORIGIN + now, scope, lines.iter().map(entry).collect());
     }
 
-    fn poll(&mut self, now: Time, proxy: usize) {
+    fn poll(&mut self, now: Timestamp, proxy: usize) {
         if self.proxies[proxy].alive {
-            for action in self.proxies[proxy].core.poll(ORIGIN + now) {
+            for action in self.proxies[proxy].engine.poll(ORIGIN + now) {
                 self.act(now, proxy, action);
             }
         }
     }
 
-    fn carry(&mut self, now: Time, deeds: Vec<Deed>) {
+    fn carry(&mut self, now: Timestamp, deeds: Vec<Deed>) {
         for deed in deeds {
             match deed {
                 Deed::Say { server, conn, say } => {
@@ -279,18 +283,18 @@
         }
     }
 
-    fn start_proxy(&mut self, now: Time, proxy: usize) {
+    fn start_proxy(&mut self, now: Timestamp, proxy: usize) {
         if !self.proxies[proxy].alive {
-            let core = self.core(now, proxy);
+            let engine = self.engine(now, proxy);
             let next = self.proxies[proxy].next;
-            self.proxies[proxy] = Proxy::new(core, next);
+            self.proxies[proxy] = Proxy::new(engine, next);
             self.hear_list(now, proxy);
             self.world.proxy_up(now, proxy);
         }
     }
 
     /// Asked to stop, it moves who stands, spread over the time it has, and answers who waits.
-    fn stop_proxy(&mut self, now: Time, proxy: usize, back: Option<Time>) {
+    fn stop_proxy(&mut self, now: Timestamp, proxy: usize, back: Option<Timestamp>) {
         let longest = self.scenario.listeners.iter().map(|l| l.get_ref().dial_timeout.0).max().unwrap_or(0);
         let p = &mut self.proxies[proxy];
         if !p.alive || p.stops.is_some() {
@@ -308,15 +312,15 @@
     }
 
     /// Where its proxy stops, a session that stands leaves within its share of the time; its id is drawn by chance.
-    fn move_by_chance(&mut self, now: Time, proxy: usize, id: u64) {
+    fn move_by_chance(&mut self, now: Timestamp, proxy: usize, id: u64) {
         if let Some((_, until)) = self.proxies[proxy].stops {
             let share = (id % 1024) as f64 / 1024.0 * MOVED_BY;
             let wait = until.saturating_sub(now) as f64 * share;
-            self.hops.add(now + wait as Time, Hop::SendAway(id));
+            self.hops.add(now + wait as TickDuration, Hop::SendAway(id));
         }
     }
 
-    fn stopping(&mut self, now: Time, proxy: usize) {
+    fn stopping(&mut self, now: Timestamp, proxy: usize) {
         let Some((_, until)) = self.proxies[proxy].stops.filter(|_| self.proxies[proxy].alive) else {
             return;
         };
@@ -334,33 +338,33 @@
     }
 
     /// It starts again when it is to, after its end.
-    fn start_again(&mut self, now: Time, proxy: usize) {
+    fn start_again(&mut self, now: Timestamp, proxy: usize) {
         if let Some(back) = self.proxies[proxy].back.take() {
             self.hops.add(now + back, Hop::Start(proxy));
         }
     }
 
     /// There is no more time for an answer of the module's.
-    fn last_answer(&mut self, now: Time, id: u64) {
+    fn last_answer(&mut self, now: Timestamp, id: u64) {
         let flow = &self.flows[&id];
         let (proxy, number) = (flow.proxy, flow.number);
         let may_have_run = flow.may_have_run || flow.conn.is_some();
         self.close_dial(now, id);
-        self.proxies[proxy].core.left(number);
+        self.proxies[proxy].engine.client_left(number);
         self.answer(now, proxy, number, if may_have_run { Answer::TornDown } else { Answer::Refused(0) });
     }
 
-    fn send_away(&mut self, now: Time, id: u64) {
+    fn send_away(&mut self, now: Timestamp, id: u64) {
         let Some(flow) = self.flows.get(&id) else { return };
         let (proxy, number) = (flow.proxy, flow.number);
         if self.proxies[proxy].flows.remove(&number).is_some() {
-            self.proxies[proxy].core.left(number);
+            self.proxies[proxy].engine.client_left(number);
             self.close_dial(now, id);
             self.hops.add(now + HOP, Hop::ToClient(id, Told::Move));
         }
     }
 
-    fn end_proxy(&mut self, now: Time, proxy: usize, planned: bool) {
+    fn end_proxy(&mut self, now: Timestamp, proxy: usize, planned: bool) {
         let p = &mut self.proxies[proxy];
         p.alive = false;
         let flows = std::mem::take(&mut p.flows);
@@ -373,7 +377,7 @@
         self.peers.retain(|_, (_, peer)| !matches!(peer, Peer::Probe { proxy: p, .. } if *p == proxy));
     }
 
-    fn client(&mut self, now: Time, act: Act) {
+    fn client(&mut self, now: Timestamp, act: Act) {
         match act {
             Act::Open(ask) => {
                 if let Some(proxy) = self.world.deal(now, &ask) {
@@ -387,25 +391,25 @@
         }
     }
 
-    fn client_gone(&mut self, now: Time, id: u64) {
+    fn client_gone(&mut self, now: Timestamp, id: u64) {
         self.close_dial(now, id);
         if let Some(flow) = self.flows.remove(&id) {
             let proxy = &mut self.proxies[flow.proxy];
             if proxy.flows.remove(&flow.number).is_some() {
-                proxy.core.left(flow.number);
+                proxy.engine.client_left(flow.number);
             }
         }
     }
 
     /// The proxy's side of a dial or connection is closed.
-    fn close_dial(&mut self, now: Time, id: u64) {
+    fn close_dial(&mut self, now: Timestamp, id: u64) {
         let conn = self.flows.get_mut(&id).and_then(|f| f.conn.take());
         if let Some((conn, (server, _))) = conn.and_then(|c| self.peers.remove(&c).map(|p| (c, p))) {
             self.world.dial_ended(now, server, conn, id, DialEnd::GivenUp);
         }
     }
 
-    fn hop(&mut self, now: Time, hop: Hop) {
+    fn hop(&mut self, now: Timestamp, hop: Hop) {
         match hop {
             Hop::Wakes => (0..self.proxies.len()).for_each(|p| self.hear_list(now, p)),
             Hop::Start(proxy) => self.start_proxy(now, proxy),
@@ -415,8 +419,8 @@
             Hop::Open(proxy, ask) => self.open(now, proxy, ask),
             Hop::ToServer(server, conn) => self.reach_server(now, server, conn),
             Hop::FromServer(server, conn, say) => self.server_says(now, server, conn, say),
-            Hop::Limit(conn) => self.settle(now, conn, Outcome::Late),
-            Hop::Unmade(conn) => self.settle(now, conn, Outcome::Unmade),
+            Hop::Limit(conn) => self.settle(now, conn, AttemptOutcome::TimedOut),
+            Hop::Unmade(conn) => self.settle(now, conn, AttemptOutcome::ConnectFailed),
             Hop::ClientLine(id, number) => {
                 let at = self.flows.get(&id).and_then(|f| f.conn);
                 if let Some((conn, (server, _))) = at.and_then(|c| self.peers.get(&c).map(|p| (c, *p))) {
@@ -429,7 +433,7 @@
         }
     }
 
-    fn tell_client(&mut self, now: Time, id: u64, told: Told) {
+    fn tell_client(&mut self, now: Timestamp, id: u64, told: Told) {
         match told {
             Told::Answer(answer) => self.world.answered(now, id, answer),
             Told::Line(number) => {
@@ -446,18 +450,18 @@
         }
     }
 
-    fn open(&mut self, now: Time, proxy: usize, ask: Ask) {
+    fn open(&mut self, now: Timestamp, proxy: usize, ask: Ask) {
         if !self.proxies[proxy].alive {
             return self.world.nobody_there(now, ask.id, proxy);
         }
-        let session = Session {
+        let session = SessionRequest {
             listener: ask.listener,
             group_key: ask.group,
             client_key: ask.key,
-            patience: ask.patience,
-            mid_flow: false,
-            again: ask.again,
-            retry: ask.retry,
+            dial_timeout: ask.patience,
+            established: false,
+            reconnecting: ask.again,
+            client_retry: ask.retry,
         };
         let p = &mut self.proxies[proxy];
         let number = p.next;
@@ -470,15 +474,15 @@
             self.end_proxy(now, proxy, false);
             return self.start_again(now, proxy);
         }
-        if let Some(action) = self.proxies[proxy].core.open(ORIGIN + now, number, session) {
+        if let Some(action) = self.proxies[proxy].engine.open_session(ORIGIN + now, number, session) {
             self.act(now, proxy, action);
         }
     }
 
-    fn act(&mut self, now: Time, proxy: usize, action: Action) {
+    fn act(&mut self, now: Timestamp, proxy: usize, action: ProxyAction) {
         let id_of = |sim: &Self, number| sim.proxies[proxy].flows.get(&number).copied();
         match action {
-            Action::Dial { session, dial, server, limit, .. } => {
+            ProxyAction::Connect { session, attempt: dial, endpoint: server, timeout: limit, .. } => {
                 let Some(id) = id_of(self, session) else { return };
                 let server = server as usize - 1;
                 let conn = self.connect(server, Peer::Session { proxy, number: session, dial, id });
@@ -487,23 +491,23 @@
                 self.reach(now, server, conn, limit.min(self.scenario.rules.connect_timeout.0));
                 self.hops.add(now + limit, Hop::Limit(conn));
             }
-            Action::Refuse { session, retry_after } => {
+            ProxyAction::Reject { session, retry_after } => {
                 self.answer(now, proxy, session, Answer::Refused(retry_after.div_ceil(10)));
             }
-            Action::TearDown { session } => self.answer(now, proxy, session, Answer::TornDown),
-            Action::Move { session } => {
+            ProxyAction::Fail { session } => self.answer(now, proxy, session, Answer::TornDown),
+            ProxyAction::Migrate { session } => {
                 if let Some(id) = self.proxies[proxy].flows.remove(&session) {
                     self.close_dial(now, id);
                     self.hops.add(now + HOP, Hop::ToClient(id, Told::Move));
                 }
             }
-            Action::Probe { server } => {
+            ProxyAction::CheckHealth { endpoint: server } => {
                 let server = server as usize - 1;
                 let conn = self.connect(server, Peer::Probe { proxy, sent: now });
                 self.reach(now, server, conn, self.scenario.rules.connect_timeout.0);
                 self.hops.add(now + self.scenario.rules.connect_timeout.0, Hop::Limit(conn));
             }
-            Action::SendBy { .. } | Action::Subscribe | Action::Log(_) => {}
+            ProxyAction::LimitSendDeadline { .. } | ProxyAction::PollEndpointList | ProxyAction::Log(_) => {}
         }
     }
 
@@ -514,7 +518,7 @@
     }
 
     /// A dead server refuses at once; a silent one never answers.
-    fn reach(&mut self, now: Time, server: usize, conn: Conn, connect: Time) {
+    fn reach(&mut self, now: Timestamp, server: usize, conn: Conn, connect: TickDuration) {
         match self.world.servers[server].life() {
             crate::server::Life::Dead => self.hops.add(now + 2 * HOP, Hop::Unmade(conn)),
             crate::server::Life::Silent => self.hops.add(now + connect, Hop::Unmade(conn)),
@@ -522,14 +526,14 @@
         }
     }
 
-    fn answer(&mut self, now: Time, proxy: usize, session: u32, answer: Answer) {
+    fn answer(&mut self, now: Timestamp, proxy: usize, session: u32, answer: Answer) {
         if let Some(id) = self.proxies[proxy].flows.remove(&session) {
             self.flows.remove(&id);
             self.hops.add(now + HOP, Hop::ToClient(id, Told::Answer(answer)));
         }
     }
 
-    fn reach_server(&mut self, now: Time, server: usize, conn: Conn) {
+    fn reach_server(&mut self, now: Timestamp, server: usize, conn: Conn) {
         match self.peers.get(&conn) {
             Some((_, Peer::Probe { .. })) => self.world.servers[server].probe(now, conn),
             Some(&(_, Peer::Session { id, .. })) => {
@@ -542,24 +546,30 @@
         }
     }
 
-    fn server_says(&mut self, now: Time, server: usize, conn: Conn, say: Say) {
+    fn server_says(&mut self, now: Timestamp, server: usize, conn: Conn, say: Say) {
         let Some(&(_, peer)) = self.peers.get(&conn) else { return };
         let (proxy, number, dial, id) = match peer {
             Peer::Session { proxy, number, dial, id } => (proxy, number, dial, id),
             Peer::Probe { proxy, sent } => {
                 self.peers.remove(&conn);
                 let (how, values) = match say {
-                    Say::Pong(r) => (Outcome::Accepted, vec![r.held as f64, r.used, r.asked]),
-                    _ => (Outcome::Broken, Vec::new()),
+                    Say::Pong(r) => (AttemptOutcome::Succeeded, vec![r.held as f64, r.used, r.asked]),
+                    _ => (AttemptOutcome::Reset, Vec::new()),
                 };
-                let core = &mut self.proxies[proxy].core;
-                return core.probed(ORIGIN + now, server as u32 + 1, how, now + HOP - sent, &values);
+                let engine = &mut self.proxies[proxy].engine;
+                return engine.health_checked(
+                    ORIGIN + now,
+                    server as u32 + 1,
+                    how,
+                    now + HOP - sent,
+                    &values,
+                );
             }
         };
-        let core = &mut self.proxies[proxy].core;
+        let engine = &mut self.proxies[proxy].engine;
         match say {
             Say::Up => {
-                core.stood(ORIGIN + now, number, dial);
+                engine.established(ORIGIN + now, number, dial);
                 let Some(flow) = self.flows.get_mut(&id) else { return };
                 flow.stands = Some(conn);
                 self.move_by_chance(now, proxy, id);
@@ -567,39 +577,45 @@
                 self.hops.add(now + HOP, Hop::ToClient(id, Told::Answer(Answer::Accepted)));
             }
             Say::Pong(_) => {}
-            Say::Load(load) => core.noted(ORIGIN + now, number, dial, Note::Load(load)),
+            Say::Load(load) => engine.observe(ORIGIN + now, number, dial, Observation::Load(load)),
             Say::Line(text) => {
                 let number = u64::from_le_bytes(text.try_into().unwrap_or_default());
                 self.hops.add(now + HOP, Hop::ToClient(id, Told::Line(number)));
             }
-            Say::Busy => self.settle(now, conn, Outcome::Full),
-            Say::Error => self.settle(now, conn, Outcome::Error),
-            Say::Cut => self.settle(now, conn, Outcome::Broken),
-            Say::Move => self.settle(now, conn, Outcome::CalledOff),
+            Say::Busy => self.settle(now, conn, AttemptOutcome::AtCapacity),
+            Say::Error => self.settle(now, conn, AttemptOutcome::Failed),
+            Say::Cut => self.settle(now, conn, AttemptOutcome::Reset),
+            Say::Move => self.settle(now, conn, AttemptOutcome::Cancelled),
         }
     }
 
     /// A dial, or an accepted session's connection, has ended so.
-    fn settle(&mut self, now: Time, conn: Conn, how: Outcome) {
+    fn settle(&mut self, now: Timestamp, conn: Conn, how: AttemptOutcome) {
         let Some(&(server, peer)) = self.peers.get(&conn) else { return };
         let Peer::Session { proxy, number, dial, id } = peer else {
             self.peers.remove(&conn);
             if let Peer::Probe { proxy, sent } = peer {
-                self.proxies[proxy].core.probed(ORIGIN + now, server as u32 + 1, how, now - sent, &[]);
+                self.proxies[proxy].engine.health_checked(
+                    ORIGIN + now,
+                    server as u32 + 1,
+                    how,
+                    now - sent,
+                    &[],
+                );
             }
             return;
         };
         let stood = self.flows.get(&id).is_some_and(|f| f.stands == Some(conn));
-        if how == Outcome::Late && stood {
+        if how == AttemptOutcome::TimedOut && stood {
             return;
         }
         self.peers.remove(&conn);
         let seen = match how {
-            Outcome::Full => Some(DialEnd::TurnedAway),
-            Outcome::Error => Some(DialEnd::Failed),
-            Outcome::Broken => Some(DialEnd::Cut),
-            Outcome::CalledOff => Some(DialEnd::SentAway),
-            Outcome::Late => Some(DialEnd::GivenUp),
+            AttemptOutcome::AtCapacity => Some(DialEnd::TurnedAway),
+            AttemptOutcome::Failed => Some(DialEnd::Failed),
+            AttemptOutcome::Reset => Some(DialEnd::Cut),
+            AttemptOutcome::Cancelled => Some(DialEnd::SentAway),
+            AttemptOutcome::TimedOut => Some(DialEnd::GivenUp),
             _ => None,
         };
         if let Some(seen) = seen {
@@ -609,11 +625,11 @@
             flow.conn = None;
             flow.may_have_run |= !how.never_ran();
         }
-        let action = self.proxies[proxy].core.settled(ORIGIN + now, number, dial, how, stood);
+        let action = self.proxies[proxy].engine.attempt_ended(ORIGIN + now, number, dial, how, stood);
         if let Some(action) = action {
             self.act(now, proxy, action);
         } else if stood && self.proxies[proxy].flows.remove(&number).is_some() {
-            let told = if how == Outcome::CalledOff { Told::Move } else { Told::Ended };
+            let told = if how == AttemptOutcome::Cancelled { Told::Move } else { Told::Ended };
             self.hops.add(now + HOP, Hop::ToClient(id, told));
         }
     }
--- a/crates/larklink-simulation/src/spans.rs
+++ b/crates/larklink-simulation/src/spans.rs
@@ -2,14 +2,14 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use larklink_balancer::types::Time;
+use larklink_balancer::{TickDuration, Timestamp};
 use serde::{Deserialize, Deserializer, de::Error};
 
-pub const SECOND: Time = 10_000;
+pub const SECOND: TickDuration = 10_000;
 
 /// A span, written `250ms`, `1.5s` or `2m`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Span(pub Time);
+pub struct Span(pub TickDuration);
 
 impl Span {
     pub const fn ms(ms: u64) -> Self {
@@ -27,7 +27,7 @@
             _ => return Err(format!("{text:?} is no span: write 250ms, 1.5s or 2m")),
         };
         match number.parse::<f64>() {
-            Ok(n) if n * tenths <= 36e6 => Ok(Self((n * tenths).round() as Time)),
+            Ok(n) if n * tenths <= 36e6 => Ok(Self((n * tenths).round() as TickDuration)),
             Ok(_) => Err(format!("{text:?} is over an hour")),
             Err(_) => Err(format!("{text:?} is no span: write 250ms, 1.5s or 2m")),
         }
@@ -52,7 +52,7 @@
 /// What falls due, in order of time and, at the same time, of entry.
 #[derive(Debug)]
 pub struct Agenda<T> {
-    entries: BTreeMap<(Time, u64), T>,
+    entries: BTreeMap<(TickDuration, u64), T>,
     next: u64,
 }
 
@@ -63,18 +63,18 @@
 }
 
 impl<T> Agenda<T> {
-    pub fn add(&mut self, at: Time, what: T) {
+    pub fn add(&mut self, at: Timestamp, what: T) {
         self.entries.insert((at, self.next), what);
         self.next += 1;
     }
 
     /// When the first falls due; never, if there is none.
-    pub fn due(&self) -> Time {
-        self.entries.first_key_value().map_or(Time::MAX, |((at, _), _)| *at)
+    pub fn due(&self) -> Timestamp {
+        self.entries.first_key_value().map_or(Timestamp::MAX, |((at, _), _)| *at)
     }
 
     /// The first that is due by now, and when it was.
-    pub fn pop(&mut self, now: Time) -> Option<(Time, T)> {
+    pub fn pop(&mut self, now: Timestamp) -> Option<(TickDuration, T)> {
         let entry = self.entries.first_entry().filter(|e| e.key().0 <= now)?;
         let ((at, _), what) = entry.remove_entry();
         Some((at, what))
--- a/crates/larklink-simulation/src/world.rs
+++ b/crates/larklink-simulation/src/world.rs
@@ -1,5 +1,5 @@
 //! The whole world behind one door: faults and falling due go in with the time, deeds for the carrier come out.
-use larklink_balancer::types::Time;
+use larklink_balancer::{TickDuration, Timestamp};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
@@ -14,7 +14,7 @@
 use crate::store::Store;
 
 /// A line may be held for so long, and what is measured on sockets is so much late.
-const HELD: Time = SECOND + SECOND / 20;
+const HELD: TickDuration = SECOND + SECOND / 20;
 
 /// What the carrier is to do.
 #[derive(Clone, Debug, PartialEq)]
@@ -49,7 +49,7 @@
     pub list: List,
     pub book: Book,
     pub bands: Vec<Band>,
-    faults: std::iter::Peekable<std::vec::IntoIter<(Time, Event)>>,
+    faults: std::iter::Peekable<std::vec::IntoIter<(TickDuration, Event)>>,
 }
 
 fn profile(s: &crate::scenario::Servers) -> Profile {
@@ -98,14 +98,14 @@
         }
     }
 
-    pub fn due(&mut self) -> Time {
-        let servers = self.servers.iter().map(Server::due).min().unwrap_or(Time::MAX);
-        let fault = self.faults.peek().map_or(Time::MAX, |&(at, _)| at);
+    pub fn due(&mut self) -> Timestamp {
+        let servers = self.servers.iter().map(Server::due).min().unwrap_or(Timestamp::MAX);
+        let fault = self.faults.peek().map_or(Timestamp::MAX, |&(at, _)| at);
         servers.min(fault).min(self.clients.due()).min(self.list.due())
     }
 
     /// All that happens by now.
-    pub fn turn(&mut self, now: Time) -> Vec<Deed> {
+    pub fn turn(&mut self, now: Timestamp) -> Vec<Deed> {
         let mut deeds = Vec::new();
         while let Some((_, event)) = self.faults.next_if(|&(at, _)| at <= now) {
             self.book.note(now, What::Fault(format!("{event:?}")));
@@ -133,7 +133,7 @@
         deeds
     }
 
-    fn strike(&mut self, now: Time, event: Event, deeds: &mut Vec<Deed>) {
+    fn strike(&mut self, now: Timestamp, event: Event, deeds: &mut Vec<Deed>) {
         let mut out = Vec::new();
         match event {
             Event::Proxy(proxy, upon) => {
@@ -186,11 +186,11 @@
         }
     }
 
-    fn started(&self, server: usize) -> Time {
+    fn started(&self, server: usize) -> TickDuration {
         self.servers[server].started().unwrap_or(0)
     }
 
-    fn carry(&mut self, now: Time, server: usize, out: &mut Vec<Out>, deeds: &mut Vec<Deed>) {
+    fn carry(&mut self, now: Timestamp, server: usize, out: &mut Vec<Out>, deeds: &mut Vec<Deed>) {
         for one in out.drain(..) {
             match one {
                 Out::Say(conn, say) => deeds.push(Deed::Say { server, conn, say }),
@@ -215,7 +215,7 @@
     /// A first line has come to a server, telling that its sender waits for so many milliseconds.
     pub fn dialled(
         &mut self,
-        now: Time,
+        now: Timestamp,
         server: usize,
         conn: Conn,
         id: u64,
@@ -231,7 +231,7 @@
     }
 
     /// How a dial or an accepted session's connection ended at its server.
-    pub fn dial_ended(&mut self, now: Time, server: usize, conn: Conn, id: u64, how: DialEnd) {
+    pub fn dial_ended(&mut self, now: Timestamp, server: usize, conn: Conn, id: u64, how: DialEnd) {
         if how == DialEnd::GivenUp {
             self.servers[server].closed(conn);
         }
@@ -241,11 +241,11 @@
     /// A session's line has come to its server, sent then.
     pub fn line(
         &mut self,
-        now: Time,
+        now: Timestamp,
         server: usize,
         conn: Conn,
         id: u64,
-        sent: Option<Time>,
+        sent: Option<Timestamp>,
         text: Vec<u8>,
     ) -> Vec<Deed> {
         self.held(now, id, Way::ToServer, sent);
@@ -256,20 +256,26 @@
         deeds
     }
 
-    fn held(&mut self, now: Time, id: u64, way: Way, sent: Option<Time>) {
+    fn held(&mut self, now: Timestamp, id: u64, way: Way, sent: Option<Timestamp>) {
         let took = sent.map_or(0, |at| now.saturating_sub(at));
         if took > HELD {
             self.book.note(now, What::Held { id, way, took });
         }
     }
 
-    pub fn answered(&mut self, now: Time, id: u64, answer: Answer) {
+    pub fn answered(&mut self, now: Timestamp, id: u64, answer: Answer) {
         self.book.note(now, What::Answered { id, answer });
         self.clients.answered(now, id, answer);
     }
 
     /// A session's line is back at its client, sent back by its server then.
-    pub fn back(&mut self, now: Time, id: u64, number: u64, sent: Option<Time>) -> Option<Time> {
+    pub fn back(
+        &mut self,
+        now: Timestamp,
+        id: u64,
+        number: u64,
+        sent: Option<Timestamp>,
+    ) -> Option<TickDuration> {
         self.held(now, id, Way::ToClient, sent);
         let (took, late) = self.clients.back(now, id, number)?;
         if late {
@@ -279,25 +285,25 @@
     }
 
     /// A connection ended before it had an answer.
-    pub fn unanswered(&mut self, now: Time, id: u64, how: End) {
+    pub fn unanswered(&mut self, now: Timestamp, id: u64, how: End) {
         self.book.note(now, What::Ended { id, how });
         self.clients.lost(now, id);
     }
 
-    pub fn nobody_there(&mut self, now: Time, id: u64, proxy: usize) {
+    pub fn nobody_there(&mut self, now: Timestamp, id: u64, proxy: usize) {
         self.book.note(now, What::NobodyThere { id, proxy });
         self.clients.lost(now, id);
     }
 
     /// An accepted session's connection ended.
-    pub fn ended(&mut self, now: Time, id: u64, how: End) {
+    pub fn ended(&mut self, now: Timestamp, id: u64, how: End) {
         self.book.note(now, What::Ended { id, how });
         self.clients.ended(now, id, how);
     }
 
     /// The proxy to which the front deals a session; where nobody is in front, its client tries again like one
     /// without an answer.
-    pub fn deal(&mut self, now: Time, ask: &Ask) -> Option<usize> {
+    pub fn deal(&mut self, now: Timestamp, ask: &Ask) -> Option<usize> {
         let proxy = self.front.deal(now, ask.key);
         if proxy.is_none() {
             self.clients.lost(now, ask.id);
@@ -305,18 +311,18 @@
         proxy
     }
 
-    pub fn proxy_up(&mut self, now: Time, proxy: usize) {
+    pub fn proxy_up(&mut self, now: Timestamp, proxy: usize) {
         self.front.answered(proxy);
         self.book.note(now, What::ProxyUp { proxy });
     }
 
-    pub fn proxy_gone(&mut self, now: Time, proxy: usize, planned: bool) {
+    pub fn proxy_gone(&mut self, now: Timestamp, proxy: usize, planned: bool) {
         self.front.died(now, proxy);
         self.book.note(now, What::ProxyGone { proxy, planned });
     }
 
     /// The lines of the list that are newer than what a proxy has, as they are written to it.
-    pub fn tell(&mut self, now: Time, proxy: usize, after: Option<u64>) -> (u64, Vec<Line>) {
+    pub fn tell(&mut self, now: Timestamp, proxy: usize, after: Option<u64>) -> (u64, Vec<Line>) {
         let lines = self.list.after(after);
         for line in &lines {
             let ready = line.status == Status::Up;
--- a/crates/larklink-simulation/tests/lease.rs
+++ b/crates/larklink-simulation/tests/lease.rs
@@ -1,6 +1,6 @@
 //! No two members act by one lease at once: every interleaving up to a depth, long drawn ones beyond, and three
 //! mistaken laws that both must find.
-use larklink_balancer::types::Time;
+use larklink_balancer::{TickDuration, Timestamp};
 use larklink_coordination::lease::{Law, Sound, Terms};
 use larklink_simulation::contest::{Contest, Move};
 use larklink_simulation::explore::{Explored, Model, explore};
@@ -10,7 +10,7 @@
 const DRIFT: u32 = 100_000;
 const SLOW: u32 = 900_000;
 const FAST: u32 = 1_100_000;
-const STEP: Time = 100;
+const STEP: TickDuration = 100;
 
 /// A step of true time is just under a span: a slow holder and a fast candidate differ by a step.
 fn terms() -> Terms {
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy)]
 struct FromTheAnswer;
 impl Law for FromTheAnswer {
-    fn holds_until(_: Time, answered: Time, terms: &Terms) -> Time {
+    fn holds_until(_: TickDuration, answered: TickDuration, terms: &Terms) -> TickDuration {
         Sound::holds_until(answered, answered, terms)
     }
 }
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy)]
 struct NoDrift;
 impl Law for NoDrift {
-    fn overtakes_at(heard: Time, span: Time, _: u32) -> Time {
+    fn overtakes_at(heard: Timestamp, span: TickDuration, _: u32) -> TickDuration {
         heard + span
     }
 }
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy)]
 struct SilenceIsNo;
 impl Law for SilenceIsNo {
-    fn made_again(_: Time, again: Time) -> Time {
+    fn made_again(_: TickDuration, again: TickDuration) -> TickDuration {
         again
     }
 }
--- a/crates/larklink-testbed/src/report.rs
+++ b/crates/larklink-testbed/src/report.rs
@@ -1,6 +1,6 @@
 //! What a rehearsal found, as plain values that can be printed, kept as JSON and plotted.
 use hdrhistogram::Histogram;
-use larklink_balancer::types::Time;
+use larklink_balancer::{TickDuration, Timestamp};
 use larklink_simulation::audit::{Answers, Breach, Findings, Shape};
 use larklink_simulation::book::{Answer, What};
 use larklink_simulation::faults::Band;
@@ -54,7 +54,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Sample {
     /// Tenths of a millisecond from the start.
-    pub at: Time,
+    pub at: Timestamp,
     pub standing: usize,
     pub waiting: usize,
     pub accepted: u64,
@@ -67,7 +67,7 @@
 }
 
 impl Sample {
-    pub fn take(at: Time, world: &World) -> Self {
+    pub fn take(at: Timestamp, world: &World) -> Self {
         // From the end: those of the last moments.
         let mut sample = Self {
             at,
--- a/crates/larklink-testbed/src/stage.rs
+++ b/crates/larklink-testbed/src/stage.rs
@@ -9,7 +9,7 @@
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use hdrhistogram::Histogram;
-use larklink_balancer::types::Time;
+use larklink_balancer::{TickDuration, Timestamp};
 use larklink_simulation::clients::Act;
 use larklink_simulation::faults::Upon;
 use larklink_simulation::scenario::Scenario;
@@ -59,7 +59,7 @@
     pub conns: RefCell<HashMap<Conn, (usize, Sender<Say>)>>,
     pub next_conn: Cell<Conn>,
     /// Proxies that are killed with the next connection that they take, and how long after they start again.
-    armed: RefCell<BTreeMap<usize, Option<Time>>>,
+    armed: RefCell<BTreeMap<usize, Option<TickDuration>>>,
     pub listening: Vec<Sender<Listening>>,
     pub server_at: Vec<SocketAddr>,
     /// Where clients reach each proxy: its own address, or that of a door before it.
@@ -98,8 +98,8 @@
         }
     }
 
-    pub fn now(&self) -> Time {
-        self.go.get().map_or(0, |go| (go.elapsed().as_micros() / 100) as Time)
+    pub fn now(&self) -> Timestamp {
+        self.go.get().map_or(0, |go| (go.elapsed().as_micros() / 100) as TickDuration)
     }
 
     pub fn begin(&self) {
@@ -109,7 +109,7 @@
     }
 
     /// A server's start as wall time in milliseconds; 0 for long ago.
-    pub fn since_ms(&self, started: Time) -> u64 {
+    pub fn since_ms(&self, started: Timestamp) -> u64 {
         if started == 0 { 0 } else { self.wall.get() + started / 10 }
     }
 
--- a/crates/larklink-testbed/src/wire.rs
+++ b/crates/larklink-testbed/src/wire.rs
@@ -6,7 +6,7 @@
 use async_channel::Receiver;
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt, future};
-use larklink_balancer::types::Time;
+use larklink_balancer::{TickDuration, Timestamp};
 use larklink_simulation::book::{Answer, Ask};
 use larklink_simulation::server::{Report, Say};
 use socket2::{Domain, SockRef, Socket, Type};
@@ -114,7 +114,7 @@
 }
 
 /// A client's line: its number and when it was sent.
-pub fn client_line(number: u64, now: Time) -> String {
+pub fn client_line(number: u64, now: Timestamp) -> String {
     format!("M {number} {now}\r\n")
 }
 
@@ -125,7 +125,7 @@
 }
 
 /// What a server writes; the connection ends after some.
-pub fn server_line(say: &Say, conn: u64, now: Time) -> Option<String> {
+pub fn server_line(say: &Say, conn: u64, now: Timestamp) -> Option<String> {
     Some(match say {
         Say::Up => format!("UP {conn:x}\r\n"),
         Say::Busy => "BUSY\r\n".into(),
