--- /dev/null
+++ b/crates/larklink-proxy/tests/wire_fixtures.rs
@@ -0,0 +1,207 @@
+//! What the proxy writes and reads, held byte for byte against files: words between two processes of one proxy, the
+//! configuration, the list of servers. A change here is a change of a format, which others rely on.
+use std::io::{Read, Write};
+use std::net::Shutdown;
+use std::os::unix::net::UnixStream;
+use std::path::Path;
+
+use async_io::Async;
+use larklink::types::{Entry, Group, Kind, Listener, Nines, RetryBudget, State};
+use larklink_proxy::config::Config;
+use larklink_proxy::handover::wire::{Reply, Standing, VERSION, talk, word};
+use larklink_proxy::list::{Endpoint, List, server_id};
+
+const WORDS: &str = include_str!("fixtures/handover_v1.jsonl");
+const LIST: &str = include_str!("fixtures/list.json");
+
+fn endpoint(name: &str, at: &str, status: &str, (zone, group): (&str, u16), numbers: [f64; 2]) -> Endpoint {
+    Endpoint {
+        name: name.into(),
+        address: at.into(),
+        status: status.into(),
+        zone: zone.into(),
+        group,
+        weight: numbers[0],
+        since_ms: numbers[1],
+    }
+}
+
+/// With every field, with what JSON must escape, and with nothing but what must be there.
+fn endpoints() -> Vec<Endpoint> {
+    vec![
+        endpoint("s-0", "127.0.0.1:7001", "up", ("a", 0), [1.0, 0.0]),
+        endpoint("s-1", "[::1]:7002", "draining", ("b", 7), [0.25, 1234.5]),
+        endpoint("\u{e9} \"q\"\\", "h:65535", "removed", ("", 65535), [1e21, 1e-7]),
+        endpoint("s-3", "127.0.0.1:7004", "starts", ("c", 3), [3.0, 1_700_000_000_000.1]),
+        endpoint("s-4", "127.0.0.1:7005", "up", ("", 0), [0.0, 0.0]),
+    ]
+}
+
+fn standing(head: &str, bytes: [&[u8]; 2], unanswered: usize, load: Option<f64>) -> Reply {
+    let [to_server, to_client] = bytes.map(<[u8]>::to_vec);
+    Reply::Session(Standing { head: head.into(), server: u32::MAX, to_server, to_client, unanswered, load })
+}
+
+/// Each word, in the order of the file's lines.
+fn words() -> Vec<Reply> {
+    let head = "OPEN ab 12 c=chat,t=\u{e9},d=2000,g=1f\r\n";
+    vec![
+        Reply::Offer { version: 1, list: endpoints() },
+        Reply::Offer { version: 1, list: Vec::new() },
+        Reply::Take,
+        Reply::Yours { held: 0 },
+        Reply::Yours { held: 4096 },
+        Reply::Taken,
+        Reply::Held { held: 17 },
+        Reply::Stops,
+        standing(head, [b"half a\r\n\0\xff", b"\x80M 1\r\n"], 3, Some(12.5)),
+        standing("", [b"", b""], 0, None),
+        standing("x", [b"", b"\n"], 1, Some(0.0)),
+    ]
+}
+
+#[test]
+fn each_word_of_the_handover_is_written_as_in_the_file() {
+    assert_eq!(VERSION, 1);
+    let (ours, mut theirs) = UnixStream::pair().unwrap();
+    let (_, mouth) = talk(Async::new(ours).unwrap());
+    async_io::block_on(async {
+        for word in words() {
+            mouth.say(&word, &[]).await.unwrap();
+        }
+    });
+    drop(mouth);
+    let mut written = String::new();
+    theirs.read_to_string(&mut written).unwrap();
+    assert_eq!(written, WORDS);
+}
+
+#[test]
+fn each_word_of_the_handover_is_read_from_the_file() {
+    assert_eq!(WORDS.lines().map(|line| word(line.as_bytes()).unwrap()).collect::<Vec<_>>(), words());
+    let (ours, mut theirs) = UnixStream::pair().unwrap();
+    theirs.write_all(WORDS.as_bytes()).unwrap();
+    theirs.shutdown(Shutdown::Write).unwrap();
+    let (mut ear, _mouth) = talk(Async::new(ours).unwrap());
+    async_io::block_on(async {
+        for word in words() {
+            assert_eq!(ear.hear().await.unwrap(), word);
+        }
+        assert_eq!(ear.hear().await.unwrap_err().kind(), std::io::ErrorKind::UnexpectedEof);
+    });
+}
+
+#[test]
+fn words_of_another_version_or_shape_are_refused() {
+    for (line, error) in [
+        (r#"{"offer":{"version":2,"list":[]}}"#, "an offer of version 2"),
+        (r#"{"offer":{"version":0,"list":[]}}"#, "an offer of version 0"),
+        (r#"{"offer":{"list":[]}}"#, "missing field `version` at line 1 column 20"),
+        (
+            r#""give""#,
+            "unknown variant `give`, expected one of `offer`, `take`, `yours`, `taken`, `held`, `stops`, \
+             `session` at line 1 column 6",
+        ),
+        (r#""yours""#, "invalid type: unit variant, expected struct variant"),
+    ] {
+        let e = word(line.as_bytes()).unwrap_err();
+        assert_eq!((e.kind(), e.to_string().as_str()), (std::io::ErrorKind::InvalidData, error), "{line}");
+    }
+}
+
+#[test]
+fn the_list_of_servers_is_read_as_discovery_writes_it() {
+    let list: List = serde_json::from_str(LIST).unwrap();
+    assert_eq!((list.index, list.snapshot), (41, true));
+    assert_eq!(list.endpoints, endpoints());
+    let changes: List = serde_json::from_str(r#"{"index":7,"endpoints":[]}"#).unwrap();
+    assert_eq!((changes.index, changes.snapshot, changes.endpoints), (7, false, Vec::new()));
+    // As the decisions get it.
+    let zones = ["a", "b"].map(String::from);
+    let seen = |e: Entry| (e.server, e.id, (e.zone, e.cell), e.state, e.weight, e.came_up);
+    let entries: Vec<_> = list.endpoints.iter().map(|e| seen(e.entry(&zones))).collect();
+    assert_eq!(
+        entries,
+        [
+            (0, ID[0], (0, 0), State::Ready, 1.0, 0),
+            (0, ID[1], (1, 7), State::Draining, 0.25, 12_345),
+            (0, ID[2], (2, 65535), State::Gone, 1e21, 0),
+            (0, ID[3], (2, 3), State::Draining, 3.0, 17_000_000_000_001),
+            (0, ID[4], (2, 0), State::Ready, 0.0, 0),
+        ]
+    );
+    assert_eq!(server_id(""), ID[5]);
+}
+
+/// All proxies must agree on them: of the servers of [`endpoints`] by their names, and of no name.
+const ID: [u32; 6] = [55_804_380, 310_835_227, 566_310_032, 2_833_927_301, 3_445_714_532, 953_390_274];
+
+#[test]
+fn every_field_of_the_configuration_is_read_from_the_file() {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/config.json");
+    let config = Config::read(&path).unwrap();
+    assert_eq!(config.name, "edge-7");
+    assert_eq!(config.listen, "127.0.0.1:7411".parse().unwrap());
+    assert_eq!(config.discovery, "127.0.0.2:7412".parse().unwrap());
+    assert_eq!(config.console, Some("[::1]:7413".parse().unwrap()));
+    assert_eq!(config.seed, 0x0123_4567_89ab_cdef);
+    assert_eq!(config.limits.sockets, 4096);
+    assert_eq!(config.known.endpoints, endpoints());
+    assert_eq!(
+        config.known.left_out,
+        [
+            "known.endpoints[5]: missing field `address`",
+            "known.endpoints[6]: invalid type: integer `5`, expected a string",
+        ]
+    );
+    let told = &config.settings;
+    assert_eq!(told.listeners, ["chat", "pay", "push", "feed", "bulk", "odd"]);
+    assert_eq!(told.zones, ["a", "b", "c"]);
+    assert_eq!(told.report, ["inflight", "q", "x0"]);
+    assert_eq!((told.load_at, told.holds_at), (Some(2), Some(0)));
+    assert_eq!((told.longest, told.passes, told.tells_delay), (72_000, true, true));
+    let s = &told.settings;
+    let listener = |kind, handshake_target, utility| Listener { kind, handshake_target, utility };
+    let referenced = |group, window| Kind::Referenced { group, window };
+    assert_eq!(
+        s.listeners,
+        [
+            listener(Kind::Repeatable, 5000, 1.5),
+            listener(Kind::OnceOnly, 2501, 0.0),
+            listener(referenced(Group::All, 300_000), 1, 2.0),
+            listener(referenced(Group::Zone, 10), 0, 0.25),
+            listener(referenced(Group::Cell, 0), 0, 3.0),
+            listener(Kind::OnceOnly, 0, 0.0),
+        ]
+    );
+    assert_eq!((s.proxies, s.weighted, s.on_request), (12, true, true));
+    assert_eq!((s.must_ask_in, s.drain_grace, s.only_drains), (80_000, 5003, true));
+    assert_eq!((s.start_capacity, s.cold, s.fall_multiple, s.overload_for), (0.12, 200_000, 4.5, 7000));
+    assert_eq!(s.retry_budget, Some(RetryBudget { free: 2.5, share: 0.2, over: 100_000 }));
+    assert_eq!(s.nines, Some(Nines { part: 0.3, top: 5.0 }));
+    assert_eq!((s.connect_timeout, s.max_dials, s.max_retry_after), (2500, 4, 15_000));
+    assert_eq!((s.retry_after, s.probing, s.tells_load), (true, true, true));
+    assert_eq!((s.zone, s.dial_timeout, s.message_target), (Some(1), 72_000, 1000));
+}
+
+#[test]
+fn what_the_configuration_leaves_out_has_its_default() {
+    let text = r#"{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1f","settings":{"grades":[{"name":"c"}]}}"#;
+    let config: Config = serde_json::from_str(text).unwrap();
+    assert_eq!((config.name.as_str(), config.console, config.seed), ("", None, 31));
+    assert_eq!(config.limits.sockets, 1024);
+    assert!(config.known.endpoints.is_empty() && config.known.left_out.is_empty());
+    let told = &config.settings;
+    assert_eq!((&told.listeners, told.zones.len(), told.report.len()), (&vec!["c".to_owned()], 0, 0));
+    assert_eq!((told.load_at, told.holds_at), (None, None));
+    assert_eq!((told.longest, told.passes, told.tells_delay), (0, false, false));
+    let s = &told.settings;
+    assert_eq!(s.listeners, [Listener { kind: Kind::OnceOnly, handshake_target: 0, utility: 0.0 }]);
+    assert_eq!((s.proxies, s.weighted, s.on_request), (0, false, false));
+    assert_eq!((s.must_ask_in, s.drain_grace, s.only_drains), (100_000, 0, false));
+    assert_eq!((s.start_capacity, s.cold, s.fall_multiple, s.overload_for), (1.0, 0, 1.0, 10_000));
+    assert_eq!((s.retry_budget, s.nines), (None, None));
+    assert_eq!((s.connect_timeout, s.max_dials, s.max_retry_after), (2500, 1, 0));
+    assert_eq!((s.retry_after, s.probing, s.tells_load), (false, false, false));
+    assert_eq!((s.zone, s.dial_timeout, s.message_target), (None, u64::MAX, 0));
+}
