--- /dev/null
+++ b/crates/larklink-proxy/tests/line_fixtures.rs
@@ -0,0 +1,112 @@
+//! What the proxy says on its sockets, held byte for byte: the operators' door, the calls to discovery, and those lines
+//! to clients and servers that no other test compares whole.
+use std::io::{BufRead, Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::sync::Arc;
+
+use larklink_proxy::console;
+use larklink_proxy::figures::{Answer, Figures};
+
+mod stage;
+use stage::peer::{PATIENCE, Peer, open};
+use stage::*;
+
+/// All that the door answers to a request, and then its end.
+fn call(door: SocketAddr, request: &str) -> String {
+    let mut stream = TcpStream::connect(door).unwrap();
+    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.write_all(request.as_bytes()).unwrap();
+    let mut reply = String::new();
+    stream.read_to_string(&mut reply).unwrap();
+    reply
+}
+
+fn get(door: SocketAddr, path: &str) -> String {
+    call(door, &format!("GET {path} HTTP/1.1\r\nHost: door\r\n\r\n"))
+}
+
+/// Figures that all differ, as far as they can be told from here, of two listeners.
+fn counted() -> Arc<Figures> {
+    let figures = Figures::new(&["chat".to_owned(), "pay".to_owned()]);
+    let answers = [Answer::Accepted, Answer::Refused, Answer::Failed];
+    for (n, (listener, answer)) in (1..).zip([0, 1].into_iter().flat_map(|l| answers.map(|a| (l, a)))) {
+        (0..n).for_each(|_| figures.answered(listener, answer));
+    }
+    (0..7).for_each(|_| figures.tried());
+    (0..8).for_each(|_| std::mem::forget(figures.taken()));
+    figures.servers(10, 9);
+    let now = std::time::Instant::now();
+    for n in 0..11 {
+        let at = now + std::time::Duration::from_millis(n * 400);
+        figures.refused_undialled(larklink_proxy::log::Reason::Refused, at);
+    }
+    figures
+}
+
+#[test]
+fn the_door_answers_as_in_the_files() {
+    let figures = counted();
+    let metrics = include_str!("fixtures/door_metrics.http");
+    assert_eq!(figures.text(), metrics.split_once("\r\n\r\n").unwrap().1);
+    let door = console::open("127.0.0.1:0".parse().unwrap(), Arc::clone(&figures)).unwrap();
+    assert_eq!(get(door, "/metrics"), metrics);
+    assert_eq!(get(door, "/ready"), include_str!("fixtures/door_not_ready.http"));
+    figures.set_ready(true);
+    assert_eq!(get(door, "/ready"), include_str!("fixtures/door_ready.http"));
+    assert_eq!(get(door, "/"), include_str!("fixtures/door_elsewhere.http"));
+    let posted = call(door, "POST /ready HTTP/1.1\r\nHost: door\r\n\r\n");
+    assert_eq!(posted, include_str!("fixtures/door_posted.http"));
+    assert_eq!(call(door, "OPEN 1 2 c=chat,d=5\r\n\r\n"), include_str!("fixtures/door_garbled.http"));
+    let long = format!("GET /ready HTTP/1.1\r\nx: {}", "y".repeat(9000));
+    assert_eq!(call(door, &long), include_str!("fixtures/door_too_long.http"));
+}
+
+/// A whole request, with its blank line.
+fn request(agent: &mut Peer) -> String {
+    let mut all = String::new();
+    while !all.ends_with("\r\n\r\n") {
+        assert!(agent.0.read_line(&mut all).unwrap() > 0, "{all:?} before the end");
+    }
+    all
+}
+
+#[test]
+fn discovery_is_asked_in_these_bytes() {
+    let ((_, at), (agent, discovery)) = (server(), server());
+    let _proxy = start(&[], discovery, "proxy", 1024);
+    let mut watch = Peer::accept(&agent);
+    let rest = format!("HTTP/1.1\r\nHost: {discovery}\r\nAccept: application/json\r\n\r\n");
+    assert_eq!(request(&mut watch), format!("GET /api/targets {rest}"));
+    told(&mut watch, &list(41, true, &[endpoint("s-0", at, "up")]));
+    assert_eq!(request(&mut watch), format!("GET /api/targets?after=41&wait_ms=1900 {rest}"));
+}
+
+#[test]
+fn a_server_is_asked_for_its_report_where_reports_tell_the_load() {
+    let (listener, at) = server();
+    let config = config(&[at], nobody(), "proxy", 1024);
+    let config = config.replace(r#""safety":{"#, r#""feedback":{"names":["inflight","x0"]},"safety":{"#);
+    let proxy = start_by(&config.replace(r#""send_cap""#, r#""probing":true,"send_cap""#));
+    let _client = Peer::connect(proxy.address, &open("c=pay,d=5000"));
+    let mut probe = Peer::accept(&listener);
+    let mut asked = [0; 7];
+    probe.0.read_exact(&mut asked).unwrap();
+    assert_eq!(&asked, b"STATS\r\n");
+}
+
+/// Its wait is this whole number of milliseconds and nothing follows; where none may be told, none is.
+#[test]
+fn a_refused_client_is_told_to_wait_in_whole_milliseconds_or_nothing() {
+    let refused = |config: &str| {
+        let proxy = start_by(config);
+        let mut client = Peer::connect(proxy.address, &open("c=chat,d=2000"));
+        let mut answer = String::new();
+        client.0.read_to_string(&mut answer).unwrap();
+        answer
+    };
+    let told = config(&[], nobody(), "proxy", 1024);
+    let answer = refused(&told);
+    let ms = answer.strip_prefix("BUSY ").and_then(|a| a.strip_suffix("\r\n")).unwrap_or_default();
+    assert!(!ms.is_empty() && ms.bytes().all(|b| b.is_ascii_digit()) && !ms.starts_with('0'), "{answer:?}");
+    assert_eq!(refused(&told.replace(r#""retry_after":true"#, r#""retry_after":false"#)), "BUSY\r\n");
+}
