--- /dev/null
+++ b/crates/larklink-rehearse/tests/format_fixtures.rs
@@ -0,0 +1,142 @@
+//! The report of a rehearsal as JSON, as `larkctl` writes it, held byte for byte against files.
+use hdrhistogram::Histogram;
+use larklink_rehearse::daemons::Use;
+use larklink_rehearse::report::{Quantiles, Report, Row, Sample};
+use larklink_world::audit::{Answers, Breach, Broken, Findings, Shape};
+use larklink_world::goodput::{Rate, Recovery};
+use larklink_world::scenario::Scenario;
+use larklink_world::world::World;
+
+fn json(report: &Report) -> String {
+    serde_json::to_string_pretty(report).unwrap() + "\n"
+}
+
+fn answers(took: &[u64]) -> Answers {
+    Answers {
+        opened: 10,
+        accepted: 5,
+        refused: 3,
+        torn_down: 4,
+        with_proxy: 6,
+        nobody_there: 7,
+        open: 8,
+        dials: 9,
+        retries: 11,
+        moved: 12,
+        ran_late: 13,
+        took: took.to_vec(),
+    }
+}
+
+fn breach() -> Breach {
+    let (what, at) = (Broken::MayRunTwice, 14);
+    Breach { what, rule: what.rule(), session: "ab".into(), at, seen: "\u{e9} \"seen\"".into() }
+}
+
+fn quantiles(count: u64) -> Quantiles {
+    Quantiles { count, p50: 0.5, p99: 99.0, p999: 99.9, max: 100.25 }
+}
+
+fn row() -> Row {
+    Row {
+        listener: "chat".into(),
+        answers: answers(&[]),
+        answer_ms: quantiles(15),
+        line_ms: quantiles(16),
+        late_lines: 17,
+        service: 0.125,
+        gone_without: 18,
+    }
+}
+
+fn rate(from: u64) -> Rate {
+    Rate { from, accepted: 19.5, offered: 20.0 }
+}
+
+fn recovery(took: Option<u64>) -> Recovery {
+    Recovery { restarted: 21, took, told: 22, after: rate(23), least: rate(24), bears: 25.5 }
+}
+
+fn sample() -> Sample {
+    Sample {
+        at: 26,
+        standing: 27,
+        waiting: 28,
+        accepted: 29,
+        refused: 30,
+        torn_down: 31,
+        service: 0.75,
+        held: vec![32, 33],
+    }
+}
+
+fn daemon() -> Use {
+    Use { cpu_s: 1.5, peak_kb: 34, starts: 35 }
+}
+
+fn shapes() -> [Shape; 2] {
+    [Shape { opened: 36, accepted: 18 }, Shape { opened: 40, accepted: 10 }]
+}
+
+/// Every field, with a value of its own.
+fn full() -> Report {
+    Report {
+        scenario: "calm".into(),
+        about: "\u{e9} \"about\"".into(),
+        seed: u64::MAX,
+        service: 0.848,
+        rows: vec![row()],
+        shapes: shapes(),
+        recovery: Some(recovery(Some(41))),
+        breaches: vec![breach()],
+        unmet: vec!["unmet".into()],
+        daemons: vec![daemon()],
+        store_calls: 42,
+        store_failed: 43,
+        kit_late_us: (44, 45),
+        strained: true,
+        samples: vec![sample()],
+        bands: vec![(46, 47, "server silent".into())],
+    }
+}
+
+#[test]
+fn a_report_is_written_as_in_the_file() {
+    let report = full();
+    assert_eq!(json(&report), include_str!("fixtures/report.json"));
+    let never = serde_json::to_string(&recovery(None)).unwrap();
+    assert!(never.starts_with(r#"{"restarted":21,"took":null,"told":22,"#), "{never}");
+    // What larkctl goes by.
+    assert!(!report.kept());
+    assert!(!Report { unmet: Vec::new(), ..report.clone() }.kept());
+    assert!(!Report { breaches: Vec::new(), ..report.clone() }.kept());
+    assert!(Report { breaches: Vec::new(), unmet: Vec::new(), ..report }.kept());
+}
+
+/// What is drawn up from a world in which nothing has happened yet, findings that fall short of all that is demanded,
+/// and answers of 1 to 1000 ms.
+#[test]
+fn a_report_is_drawn_up_as_in_the_file() {
+    let text = "name = 'short'\nabout = 'falls short'\n[proxies]\nmoved = 1\n[[listeners]]\nname = 'chat'\n\
+                [[faults]]\nwhat = 'proxy-stopped'\nat = '1s'\nfor = '2s'\nwhich = [0]\n\
+                [[faults]]\nwhat = 'server-silent'\nat = '3s'\nfor = '4s'\nwhich = [1, 2]\napart = '100ms'\n\
+                [must]\nservice = 1.0\naccepted = 0.9\neach_shape = 0.45\nanswer_p99 = '900ms'\nrecovers = '5s'\n";
+    let scenario = Scenario::read(text).unwrap();
+    let mut trips = Histogram::<u64>::new(3).unwrap();
+    (1..=2000).for_each(|tenths| trips.record(tenths).unwrap());
+    let took: Vec<_> = (1..=1000).map(|ms| ms * 10).collect();
+    let findings = Findings { listeners: vec![answers(&took)], shapes: shapes(), breaches: vec![breach()] };
+    let world = World::new(&scenario, 7);
+    let report = Report::new(
+        &scenario,
+        7,
+        &world,
+        findings,
+        &[trips],
+        vec![daemon()],
+        vec![sample(), Sample::take(10, &world)],
+        (1, 2),
+        false,
+    );
+    assert_eq!(json(&report), include_str!("fixtures/report_drawn_up.json"));
+}
