--- a/crates/larklink-testbed/src/report.rs
+++ b/crates/larklink-testbed/src/report.rs
@@ -1,6 +1,6 @@
 //! What a rehearsal found, as plain values that can be printed, kept as JSON and plotted.
 use hdrhistogram::Histogram;
-use larklink_balancer::{TickDuration, Timestamp};
+use larklink_balancer::Timestamp;
 use larklink_simulation::audit::{Answers, Breach, Findings, Shape};
 use larklink_simulation::book::{Answer, What};
 use larklink_simulation::faults::Band;
--- a/crates/larklink-testbed/src/wire.rs
+++ b/crates/larklink-testbed/src/wire.rs
@@ -6,7 +6,7 @@
 use async_channel::Receiver;
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt, future};
-use larklink_balancer::{TickDuration, Timestamp};
+use larklink_balancer::Timestamp;
 use larklink_simulation::book::{Answer, Ask};
 use larklink_simulation::server::{Report, Say};
 use socket2::{Domain, SockRef, Socket, Type};
