--- a/crates/larklink-proxy/tests/kit/mod.rs
+++ b/crates/larklink-proxy/tests/kit/mod.rs
@@ -1,7 +1,7 @@
 //! What the rehearsals of the program share.
 use std::path::Path;
 
-use larklink_simulation::audit::Broken;
+use larklink_simulation::audit::ViolationKind;
 use larklink_simulation::scenario::Scenario;
 use larklink_testbed::doors::Planted;
 use larklink_testbed::report::Report;
@@ -52,7 +52,7 @@
 ";
 
 pub fn rehearse(text: &str, seed: u64, planted: Option<Planted>) -> Report {
-    let scenario = Scenario::read(text).unwrap_or_else(|wrong| panic!("{wrong:?}"));
+    let scenario = Scenario::parse(text).unwrap_or_else(|wrong| panic!("{wrong:?}"));
     let mut options = Options::new(Path::new(env!("CARGO_BIN_EXE_larklink")), seed);
     options.planted = planted;
     (0..TRIES)
@@ -68,10 +68,10 @@
 /// time. The proxy can't know; one that does so by itself does it in each run. With a fault
 /// planted the first run that had its time counts.
 fn held_up(report: &Report) -> bool {
-    report.breaches.len() == 1 && report.breaches[0].what == Broken::ToldTooLong
+    report.violations.len() == 1 && report.violations[0].kind == ViolationKind::ToldTooLong
 }
 
 pub fn clean(report: &Report) {
-    let some: Vec<_> = report.breaches.iter().take(5).collect();
+    let some: Vec<_> = report.violations.iter().take(5).collect();
     assert!(report.kept(), "seed {}: {some:#?} {:?}", report.seed, report.unmet);
 }
--- a/crates/larklink-proxy/tests/scenarios.rs
+++ b/crates/larklink-proxy/tests/scenarios.rs
@@ -2,7 +2,7 @@
 use std::path::Path;
 use std::thread;
 
-use larklink_simulation::audit::Broken;
+use larklink_simulation::audit::ViolationKind;
 use larklink_simulation::scenario::Scenario;
 use larklink_testbed::doors::Planted;
 use larklink_testbed::report::Report;
@@ -11,8 +11,8 @@
 mod kit;
 use kit::{TROUBLED, clean, rehearse};
 
-fn found(report: &Report, what: Broken) -> bool {
-    report.breaches.iter().any(|b| b.what == what)
+fn found(report: &Report, what: ViolationKind) -> bool {
+    report.violations.iter().any(|b| b.kind == what)
 }
 
 #[test]
@@ -98,14 +98,14 @@
 #[test]
 fn each_planted_fault_is_found_and_the_daemon_alone_is_clean() {
     let of = |planted| match planted {
-        Planted::AnswersTwice => Broken::TwoAnswers,
-        Planted::SwallowsAnswers => Broken::NoAnswer,
-        Planted::DialsTwo => Broken::TwoDialsOut,
-        Planted::DialsDraining => Broken::AfterDrain,
-        Planted::SendsAgain => Broken::MayRunTwice,
-        Planted::Cuts => Broken::CutWithoutMove,
-        Planted::Rushes => Broken::ColdRushed,
-        Planted::DropsQueued => Broken::NoAnswer,
+        Planted::AnswersTwice => ViolationKind::TwoAnswers,
+        Planted::SwallowsAnswers => ViolationKind::NoAnswer,
+        Planted::DialsTwo => ViolationKind::TwoDialsOut,
+        Planted::DialsDraining => ViolationKind::AfterDrain,
+        Planted::SendsAgain => ViolationKind::MayRunTwice,
+        Planted::Cuts => ViolationKind::CutWithoutMove,
+        Planted::Rushes => ViolationKind::ColdRushed,
+        Planted::DropsQueued => ViolationKind::NoAnswer,
         Planted::StallsKit | Planted::CountsTwice => unreachable!("they break no rule"),
     };
     // Sent again is what was torn down, a few of some 400 sessions: one run in ten had none that could be.
@@ -118,7 +118,7 @@
         let runs = planted.iter().map(|&p| (p, thread::spawn(move || rehearse(&day(p), 1, Some(p)))));
         for (planted, run) in runs.collect::<Vec<_>>() {
             let report = run.join().unwrap();
-            assert!(found(&report, of(planted)), "{planted:?}: {:?}", report.breaches.iter().take(3));
+            assert!(found(&report, of(planted)), "{planted:?}: {:?}", report.violations.iter().take(3));
         }
     }
     let alone = (1..=3).map(|seed| thread::spawn(move || rehearse(TROUBLED, seed, None)));
@@ -155,7 +155,7 @@
 #[test]
 fn what_cannot_be_run_is_refused_with_its_reason() {
     let wrong = |text: &str, daemon: &str| {
-        run(&Scenario::read(text).unwrap(), &Options::new(Path::new(daemon), 1)).unwrap_err()
+        run(&Scenario::parse(text).unwrap(), &Options::new(Path::new(daemon), 1)).unwrap_err()
     };
     let many = wrong("[[listeners]]\nstanding = 9000000\n", "/bin/true");
     assert!(many.contains("descriptors are needed"), "{many}");
--- a/crates/larklink-simulation/src/audit.rs
+++ b/crates/larklink-simulation/src/audit.rs
@@ -5,9 +5,11 @@
 use larklink_balancer::{TickDuration, Timestamp};
 use serde::Serialize;
 
-use crate::book::{Answer, Ask, Book, DialEnd, End, Entry, What};
-use crate::scenario::{Kind, Listener, Scenario};
-use crate::spans::SECOND;
+use crate::duration::SECOND;
+use crate::event_log::{
+    AttemptEnd, ClientRequest, ClientResponse, ConnectionEnd, EventKind, EventLog, LoggedEvent,
+};
+use crate::scenario::{ListenerSpec, Scenario, SessionKind};
 
 /// Sockets get so much more than each time limit.
 const MORE: TickDuration = SECOND / 20;
@@ -17,7 +19,7 @@
 /// What was broken; the names stand in reports and in `docs/rehearse.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Broken {
+pub enum ViolationKind {
     NoAnswer,
     TwoAnswers,
     LateAnswer,
@@ -38,7 +40,7 @@
     LeftBehind,
 }
 
-impl Broken {
+impl ViolationKind {
     /// The rule, from 1 to 4, or 0 for what is asked of sockets besides.
     pub fn rule(self) -> u8 {
         match self {
@@ -57,19 +59,21 @@
 
 /// One broken rule: whose session, when, and what was seen.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Breach {
-    pub what: Broken,
+pub struct Violation {
+    #[serde(rename = "what")]
+    pub kind: ViolationKind,
     pub rule: u8,
     /// The session's id in hex; empty where no session is meant.
     pub session: String,
     /// Tenths of a millisecond from the start.
     pub at: Timestamp,
-    pub seen: String,
+    #[serde(rename = "seen")]
+    pub observed: String,
 }
 
 /// How the sessions of a listener came out.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Answers {
+pub struct SessionOutcomes {
     pub opened: u64,
     pub accepted: u64,
     pub refused: u64,
@@ -91,12 +95,12 @@
 
 /// What the clients of one shape of proxies got.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Shape {
+pub struct ShapeOutcomes {
     pub opened: u64,
     pub accepted: u64,
 }
 
-impl Shape {
+impl ShapeOutcomes {
     /// What the two are called, in the order of [`Findings::shapes`].
     pub const NAMES: [&str; 2] = ["old", "moved"];
 
@@ -108,17 +112,18 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Findings {
-    pub listeners: Vec<Answers>,
+    pub listeners: Vec<SessionOutcomes>,
     /// Of the proxies as they were, and of those of the moved shape.
-    pub shapes: [Shape; 2],
-    pub breaches: Vec<Breach>,
+    pub shapes: [ShapeOutcomes; 2],
+    #[serde(rename = "breaches")]
+    pub violations: Vec<Violation>,
 }
 
 impl Findings {
     /// How often each thing was broken.
-    pub fn counts(&self) -> BTreeMap<Broken, usize> {
-        self.breaches.iter().fold(BTreeMap::new(), |mut all, b| {
-            *all.entry(b.what).or_default() += 1;
+    pub fn counts(&self) -> BTreeMap<ViolationKind, usize> {
+        self.violations.iter().fold(BTreeMap::new(), |mut all, b| {
+            *all.entry(b.kind).or_default() += 1;
             all
         })
     }
@@ -129,25 +134,25 @@
     conn: u64,
     at: Timestamp,
     told: u64,
-    ended: Option<(TickDuration, DialEnd)>,
+    ended: Option<(TickDuration, AttemptEnd)>,
 }
 
 impl Dial {
     fn never_ran(&self) -> bool {
-        matches!(self.ended, Some((_, DialEnd::TurnedAway)))
+        matches!(self.ended, Some((_, AttemptEnd::Rejected)))
     }
 }
 
 struct Session {
-    ask: Ask,
+    ask: ClientRequest,
     proxy: usize,
     at: Timestamp,
-    answers: Vec<(TickDuration, Answer)>,
+    answers: Vec<(TickDuration, ClientResponse)>,
     garbled: Option<TickDuration>,
     more: Option<TickDuration>,
     nobody: bool,
     ran_late: u64,
-    ended: Option<(TickDuration, End)>,
+    ended: Option<(TickDuration, ConnectionEnd)>,
     dials: Vec<Dial>,
 }
 
@@ -175,18 +180,18 @@
 
 struct Auditor<'a> {
     scenario: &'a Scenario,
-    listeners: Vec<&'a Listener>,
+    listeners: Vec<&'a ListenerSpec>,
     sessions: BTreeMap<u64, Session>,
     /// When each proxy was gone or going, and when each server was dead or silent.
     proxies: Vec<Spans>,
     servers: Vec<Spans>,
     /// When each proxy was last told that each server drains or is gone; nothing while it is up.
     told: BTreeMap<(usize, usize), Option<TickDuration>>,
-    found: Vec<Breach>,
+    found: Vec<Violation>,
 }
 
 /// Judges a book; `end` is when the run was stopped, and what was open then is not judged for its end.
-pub fn audit(scenario: &Scenario, book: &Book, end: Timestamp) -> Findings {
+pub fn audit(scenario: &Scenario, event_log: &EventLog, end: Timestamp) -> Findings {
     let mut auditor = Auditor {
         scenario,
         listeners: scenario.listeners.iter().map(|l| l.get_ref()).collect(),
@@ -196,11 +201,11 @@
         told: BTreeMap::new(),
         found: Vec::new(),
     };
-    for entry in &book.entries {
+    for entry in &event_log.events {
         auditor.read(entry);
     }
-    let mut listeners = vec![Answers::default(); scenario.listeners.len()];
-    let mut shapes = [Shape::default(); 2];
+    let mut listeners = vec![SessionOutcomes::default(); scenario.listeners.len()];
+    let mut shapes = [ShapeOutcomes::default(); 2];
     for (id, session) in std::mem::take(&mut auditor.sessions) {
         let to = &mut listeners[session.ask.listener];
         let before = to.accepted;
@@ -211,19 +216,19 @@
     }
     let mut breaches = auditor.found;
     breaches.sort_by_key(|b| b.at);
-    Findings { listeners, shapes, breaches }
+    Findings { listeners, shapes, violations: breaches }
 }
 
 impl Auditor<'_> {
-    fn breach(&mut self, what: Broken, id: u64, at: Timestamp, seen: String) {
+    fn breach(&mut self, what: ViolationKind, id: u64, at: Timestamp, seen: String) {
         let session = if id == 0 { String::new() } else { format!("{id:x}") };
-        self.found.push(Breach { what, rule: what.rule(), session, at, seen });
+        self.found.push(Violation { kind: what, rule: what.rule(), session, at, observed: seen });
     }
 
-    fn read(&mut self, entry: &Entry) {
+    fn read(&mut self, entry: &LoggedEvent) {
         let at = entry.at;
-        match &entry.what {
-            What::Opened { ask, proxy } => {
+        match &entry.kind {
+            EventKind::Opened { request: ask, proxy } => {
                 let session = Session {
                     ask: ask.clone(),
                     proxy: *proxy,
@@ -238,62 +243,75 @@
                 };
                 self.sessions.insert(ask.id, session);
             }
-            What::NobodyThere { id, .. } => self.with(*id, |s| s.nobody = true),
-            What::Answered { id, answer } => self.with(*id, |s| s.answers.push((at, *answer))),
-            What::More { id } => self.with(*id, |s| s.more = s.more.or(Some(at))),
-            What::Garbled { id } => self.with(*id, |s| s.garbled = s.garbled.or(Some(at))),
-            What::Ended { id, how } => self.with(*id, |s| s.ended = s.ended.or(Some((at, *how)))),
-            What::RanLate { id, .. } => self.with(*id, |s| s.ran_late += 1),
-            What::Held { id, way, took } => {
+            EventKind::ProxyUnreachable { id, .. } => self.with(*id, |s| s.nobody = true),
+            EventKind::Answered { id, response: answer } => self.with(*id, |s| s.answers.push((at, *answer))),
+            EventKind::ExtraMessage { id } => self.with(*id, |s| s.more = s.more.or(Some(at))),
+            EventKind::MalformedResponse { id } => self.with(*id, |s| s.garbled = s.garbled.or(Some(at))),
+            EventKind::ConnectionEnded { id, end: how } => {
+                self.with(*id, |s| s.ended = s.ended.or(Some((at, *how))))
+            }
+            EventKind::RanAfterAbandoned { id, .. } => self.with(*id, |s| s.ran_late += 1),
+            EventKind::MessageDelayed { id, direction: way, took } => {
                 let seen = format!("{way:?}: {} ms between one end and the other", took / 10);
-                self.breach(Broken::LineHeld, *id, at, seen);
+                self.breach(ViolationKind::LineHeld, *id, at, seen);
             }
-            What::Changed { id } => {
-                self.breach(Broken::LineChanged, *id, at, "a line came other than it went".into())
+            EventKind::MessageAltered { id } => {
+                self.breach(ViolationKind::LineChanged, *id, at, "a line came other than it went".into())
             }
-            What::SilentFor { id, span } => {
+            EventKind::ConnectionSilent { id, duration: span } => {
                 let seen = format!("{} ms without a line", span / 10);
-                self.breach(Broken::SilentTooLong, *id, at, seen);
+                self.breach(ViolationKind::SilentTooLong, *id, at, seen);
+            }
+            &EventKind::AttemptStarted { id, server, connection: conn, timeout_ms: told } => {
+                self.dialled(at, id, server, conn, told)
             }
-            &What::Dial { id, server, conn, told } => self.dialled(at, id, server, conn, told),
-            &What::DialEnded { id, conn, how, .. } => self.with(id, |s| {
+            &EventKind::AttemptEnded { id, connection: conn, end: how, .. } => self.with(id, |s| {
                 if let Some(dial) = s.dials.iter_mut().find(|d| d.conn == conn)
                     && !matches!(
                         dial.ended,
-                        Some((_, DialEnd::Cut | DialEnd::SentAway | DialEnd::TurnedAway | DialEnd::Failed))
+                        Some((
+                            _,
+                            AttemptEnd::Reset
+                                | AttemptEnd::Migrated
+                                | AttemptEnd::Rejected
+                                | AttemptEnd::Failed
+                        ))
                     )
                 {
                     dial.ended = Some((at, how));
                 }
             }),
-            &What::Over { server, ratio } => {
+            &EventKind::Overloaded { server, ratio } => {
                 let may = self.scenario.each_server().nth(server).map_or(0.0, |s| s.fall_multiple);
                 let seen = format!("server {server}: {ratio:.1} times what it can do, {may} allowed");
-                self.breach(Broken::ColdRushed, 0, at, seen);
+                self.breach(ViolationKind::ColdRushed, 0, at, seen);
             }
-            &What::ServerDied { server } => self.servers[server].begin(at),
-            &What::ServerBack { server } => self.servers[server].end(at),
-            &What::ServerSilent { server, .. } => self.servers[server].begin(at),
-            &What::LeftBehind { server, sessions } => {
+            &EventKind::ServerDied { server } => self.servers[server].begin(at),
+            &EventKind::ServerStarted { server } => self.servers[server].end(at),
+            &EventKind::ServerSilent { server, .. } => self.servers[server].begin(at),
+            &EventKind::SessionsLeftBehind { server, sessions } => {
                 let seen = format!("server {server} went with {sessions} sessions standing");
-                self.breach(Broken::LeftBehind, 0, at, seen);
+                self.breach(ViolationKind::LeftBehind, 0, at, seen);
             }
-            &What::Told { proxy, server, ready } => {
+            &EventKind::EndpointNotified { proxy, server, ready } => {
                 let since = self.told.entry((proxy, server)).or_default();
                 *since = if ready { None } else { since.or(Some(at)) };
             }
             // A planned stop excuses nothing, but where packets pass through nobody can be moved.
-            &What::ProxyGone { proxy, planned } => {
+            &EventKind::ProxyExited { proxy, planned } => {
                 if !planned || self.scenario.rules.passes {
                     self.proxies[proxy].begin(at);
                 }
             }
-            &What::ProxyUp { proxy } => {
+            &EventKind::ProxyUp { proxy } => {
                 self.proxies[proxy].end(at);
                 // It starts from nothing.
                 self.told.retain(|&(p, _), _| p != proxy);
             }
-            What::GaveUp { .. } | What::Ran { .. } | What::LineLate { .. } | What::Fault(_) => {}
+            EventKind::ClientTimedOut { .. }
+            | EventKind::SessionRan { .. }
+            | EventKind::MessageLate { .. }
+            | EventKind::FaultInjected(_) => {}
         }
     }
 
@@ -315,11 +333,11 @@
             let seen = format!(
                 "server {server} dialled {after} ms after proxy {proxy} was told it drains or is gone"
             );
-            self.breach(Broken::AfterDrain, id, at, seen);
+            self.breach(ViolationKind::AfterDrain, id, at, seen);
         }
     }
 
-    fn judge(&mut self, id: u64, s: &Session, end: Timestamp, to: &mut Answers) {
+    fn judge(&mut self, id: u64, s: &Session, end: Timestamp, to: &mut SessionOutcomes) {
         to.opened += 1;
         to.retries += u64::from(s.ask.retry);
         to.dials += s.dials.len() as u64;
@@ -330,36 +348,36 @@
             return;
         }
         if let Some(at) = s.garbled {
-            self.breach(Broken::NotAnAnswer, id, at, "a line that is no answer".into());
+            self.breach(ViolationKind::NotAnAnswer, id, at, "a line that is no answer".into());
         }
         if let Some(at) = s.more {
-            self.breach(Broken::TwoAnswers, id, at, "something came after the final answer".into());
+            self.breach(ViolationKind::TwoAnswers, id, at, "something came after the final answer".into());
         }
         if let [_, (at, second), ..] = s.answers[..] {
-            self.breach(Broken::TwoAnswers, id, at, format!("{second:?} after the final answer"));
+            self.breach(ViolationKind::TwoAnswers, id, at, format!("{second} after the final answer"));
         }
         let Some(&(at, answer)) = s.answers.first() else {
             let until = s.ended.map_or(limit, |(at, _)| at).min(limit);
             if self.proxies[s.proxy].meets(s.at, until) {
                 to.with_proxy += 1;
-            } else if limit >= end || matches!(s.ended, Some((_, End::Left))) {
+            } else if limit >= end || matches!(s.ended, Some((_, ConnectionEnd::Left))) {
                 to.open += 1;
             } else {
                 let seen = match s.ended {
-                    Some((_, how)) => format!("the connection ended ({how:?}) without one"),
+                    Some((_, how)) => format!("the connection ended ({how}) without one"),
                     None => format!("none within {} ms", s.ask.patience / 10),
                 };
-                self.breach(Broken::NoAnswer, id, until, seen);
+                self.breach(ViolationKind::NoAnswer, id, until, seen);
             }
             return;
         };
         if at > limit {
             let late = (at - s.at) / 10;
-            let seen = format!("{answer:?} after {late} ms, {} allowed", s.ask.patience / 10);
-            self.breach(Broken::LateAnswer, id, at, seen);
+            let seen = format!("{answer} after {late} ms, {} allowed", s.ask.patience / 10);
+            self.breach(ViolationKind::LateAnswer, id, at, seen);
         }
         match answer {
-            Answer::Accepted => {
+            ClientResponse::Accepted => {
                 to.accepted += 1;
                 to.took.push(at - s.at);
                 // Who never reads can be told nothing.
@@ -367,42 +385,43 @@
                     self.stood(id, s, at, end, to);
                 }
             }
-            Answer::Refused(_) => {
+            ClientResponse::Rejected(_) => {
                 to.refused += 1;
                 let listener = self.listeners[s.ask.listener];
                 // A repeat of a referenced session is harmless for as long as the first is known.
                 let harmless = |d: &Dial| match listener.kind {
-                    Kind::Repeatable => true,
-                    Kind::OnceOnly => d.never_ran(),
-                    Kind::Referenced => d.never_ran() || at <= d.at + listener.window.0 + MORE,
+                    SessionKind::Repeatable => true,
+                    SessionKind::OnceOnly => d.never_ran(),
+                    SessionKind::Referenced => d.never_ran() || at <= d.at + listener.window.0 + MORE,
                 };
                 if let Some(d) = s.dials.iter().find(|d| !harmless(d)) {
                     let seen = format!("refused though the dial of server {} may have run", d.server);
-                    self.breach(Broken::RefusedThoughItMayHaveRun, id, at, seen);
+                    self.breach(ViolationKind::RefusedThoughItMayHaveRun, id, at, seen);
                 }
             }
-            Answer::TornDown => to.torn_down += 1,
+            ClientResponse::Failed => to.torn_down += 1,
         }
     }
 
     /// A session that was accepted: what became of its connection.
-    fn stood(&mut self, id: u64, s: &Session, at: Timestamp, end: Timestamp, to: &mut Answers) {
+    fn stood(&mut self, id: u64, s: &Session, at: Timestamp, end: Timestamp, to: &mut SessionOutcomes) {
         let Some(dial) = s.dials.iter().rev().find(|d| d.at <= at) else {
-            return self.breach(Broken::AcceptedByNobody, id, at, "no server was dialled".into());
+            return self.breach(ViolationKind::AcceptedByNobody, id, at, "no server was dialled".into());
         };
         // Both ends of the run's connections count a little apart.
-        let server_ended = dial.ended.filter(|(_, how)| matches!(how, DialEnd::Cut | DialEnd::SentAway));
+        let server_ended =
+            dial.ended.filter(|(_, how)| matches!(how, AttemptEnd::Reset | AttemptEnd::Migrated));
         let server_gone = |from, to| self.servers[dial.server].meets(from, to);
         match s.ended {
-            Some((_, End::Moved)) => to.moved += 1,
-            Some((when, how @ (End::Closed | End::Broken))) => {
+            Some((_, ConnectionEnd::Migrated)) => to.moved += 1,
+            Some((when, how @ (ConnectionEnd::Closed | ConnectionEnd::Broken))) => {
                 let from = when.saturating_sub(ENDED_WITHIN + MORE);
                 let excused = server_ended.is_some_and(|(t, _)| t <= when + MORE)
                     || server_gone(from, when)
                     || self.proxies[s.proxy].meets(at, when + MORE);
                 if !excused {
-                    let seen = format!("{how:?} while server {} answered", dial.server);
-                    self.breach(Broken::CutWithoutMove, id, when, seen);
+                    let seen = format!("{how} while server {} answered", dial.server);
+                    self.breach(ViolationKind::CutWithoutMove, id, when, seen);
                 }
             }
             _ => {}
@@ -413,7 +432,7 @@
             if client > until && !self.proxies[s.proxy].meets(at, until) {
                 let seen =
                     format!("its server ended it {} ms before its client heard", (client - ended) / 10);
-                self.breach(Broken::EndedLate, id, client, seen);
+                self.breach(ViolationKind::EndedLate, id, client, seen);
             }
         }
     }
@@ -422,29 +441,39 @@
         let listener = self.listeners[s.ask.listener];
         if s.dials.len() > self.scenario.rules.dials as usize {
             let seen = format!("{} dials, {} allowed", s.dials.len(), self.scenario.rules.dials);
-            self.breach(Broken::TooManyDials, id, s.dials.last().map_or(0, |d| d.at), seen);
+            self.breach(ViolationKind::TooManyDials, id, s.dials.last().map_or(0, |d| d.at), seen);
         }
         for (i, dial) in s.dials.iter().enumerate() {
             let left = (s.at + s.ask.patience + MORE).saturating_sub(dial.at);
             if dial.told * 10 > left {
                 let seen =
                     format!("server {} was told {} ms, the client had {}", dial.server, dial.told, left / 10);
-                self.breach(Broken::ToldTooLong, id, dial.at, seen);
+                self.breach(ViolationKind::ToldTooLong, id, dial.at, seen);
             }
             for earlier in &s.dials[..i] {
                 let between = format!("server {} while that of server {}", dial.server, earlier.server);
                 if earlier.ended.is_none_or(|(t, _)| t > dial.at + MORE) {
-                    self.breach(Broken::TwoDialsOut, id, dial.at, format!("a dial of {between} was out"));
+                    self.breach(
+                        ViolationKind::TwoDialsOut,
+                        id,
+                        dial.at,
+                        format!("a dial of {between} was out"),
+                    );
                 }
                 let again = match listener.kind {
-                    Kind::Repeatable => false,
-                    Kind::OnceOnly => !earlier.never_ran(),
-                    Kind::Referenced => {
+                    SessionKind::Repeatable => false,
+                    SessionKind::OnceOnly => !earlier.never_ran(),
+                    SessionKind::Referenced => {
                         !earlier.never_ran() && dial.at > earlier.at + listener.window.0 + MORE
                     }
                 };
                 if again {
-                    self.breach(Broken::MayRunTwice, id, dial.at, format!("dial of {between} may have run"));
+                    self.breach(
+                        ViolationKind::MayRunTwice,
+                        id,
+                        dial.at,
+                        format!("dial of {between} may have run"),
+                    );
                 }
             }
         }
--- a/crates/larklink-simulation/src/clients.rs
+++ b/crates/larklink-simulation/src/clients.rs
@@ -6,21 +6,21 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1};
 
-use crate::book::{Answer, Ask, End};
-use crate::scenario::{Listener, Retry};
-use crate::spans::{Agenda, SECOND};
+use crate::duration::{EventQueue, SECOND};
+use crate::event_log::{ClientRequest, ClientResponse, ConnectionEnd};
+use crate::scenario::{ListenerSpec, RetryBehavior};
 
 /// What a client does, for whoever carries it.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
-    Open(Ask),
+pub enum ClientAction {
+    Connect(ClientRequest),
     /// Its line of that number.
-    Line {
+    SendMessage {
         id: u64,
         number: u64,
     },
     /// It has not had an answer in time, and a little more for one that is late.
-    GiveUp {
+    TimeOut {
         id: u64,
     },
     /// It has had what it came for.
@@ -30,7 +30,7 @@
     /// A line has been without one back for longer than any connection may be silent.
     Silent {
         id: u64,
-        span: TickDuration,
+        duration: TickDuration,
     },
 }
 
@@ -41,7 +41,7 @@
 /// A connection that brings nothing back from a running server is to be ended within this.
 pub const SILENT: TickDuration = 7 * SECOND;
 
-enum Due {
+enum ClientTimer {
     Comes(usize),
     Tries(usize),
     GivesUp(u64),
@@ -50,12 +50,12 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum State {
+enum ClientSessionState {
     Waiting,
     Standing,
 }
 
-struct Person {
+struct Client {
     listener: usize,
     key: u64,
     group: u64,
@@ -66,9 +66,9 @@
     retry: bool,
 }
 
-struct Session {
+struct ClientSession {
     client: usize,
-    state: State,
+    state: ClientSessionState,
     number: u64,
     /// When the lines went out that are not back yet.
     out: Vec<(u64, TickDuration)>,
@@ -79,7 +79,7 @@
 
 /// Figures of a listener.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Tally {
+pub struct ListenerTally {
     /// Tenths of a millisecond.
     pub asked: Timestamp,
     pub well: TickDuration,
@@ -89,27 +89,27 @@
 }
 
 pub struct Clients {
-    listeners: Vec<Listener>,
-    people: Vec<Person>,
+    listeners: Vec<ListenerSpec>,
+    people: Vec<Client>,
     /// Asked for by id only, never in their order.
-    sessions: HashMap<u64, Session>,
-    agenda: Agenda<Due>,
+    sessions: HashMap<u64, ClientSession>,
+    timers: EventQueue<ClientTimer>,
     chance: ChaCha8Rng,
     /// No new ones from then on.
     length: TickDuration,
-    pub tallies: Vec<Tally>,
+    pub tallies: Vec<ListenerTally>,
     pub waiting: usize,
     pub standing: usize,
 }
 
 impl Clients {
-    pub fn new(listeners: Vec<Listener>, length: TickDuration, chance: ChaCha8Rng) -> Self {
-        let tallies = vec![Tally::default(); listeners.len()];
+    pub fn new(listeners: Vec<ListenerSpec>, length: TickDuration, chance: ChaCha8Rng) -> Self {
+        let tallies = vec![ListenerTally::default(); listeners.len()];
         let mut new = Self {
             listeners,
             people: Vec::new(),
             sessions: HashMap::new(),
-            agenda: Agenda::default(),
+            timers: EventQueue::default(),
             chance,
             length,
             tallies,
@@ -142,8 +142,8 @@
         self.sessions.get(&id).map(|s| self.people[s.client].listener)
     }
 
-    pub fn due(&self) -> Timestamp {
-        self.agenda.due()
+    pub fn next_event_at(&self) -> Timestamp {
+        self.timers.next_at()
     }
 
     fn share(&mut self, of: TickDuration, from: f64, to: f64) -> TickDuration {
@@ -160,7 +160,7 @@
         if rate > 0.0 {
             let at = now + self.exponential(SECOND as f64 / rate);
             if at < self.length {
-                self.agenda.add(at, Due::Comes(listener));
+                self.timers.push(at, ClientTimer::Comes(listener));
             }
         }
     }
@@ -176,7 +176,7 @@
         // Listeners share no groups.
         let group = (drawn + 1) * 0x9e37 + listener as u64;
         let key = self.chance.next_u64();
-        self.people.push(Person {
+        self.people.push(Client {
             listener,
             key,
             group,
@@ -187,36 +187,36 @@
             retry: false,
         });
         self.tallies[listener].asked += until.min(self.length).saturating_sub(at);
-        self.agenda.add(at, Due::Tries(self.people.len() - 1));
+        self.timers.push(at, ClientTimer::Tries(self.people.len() - 1));
     }
 
     /// All that clients do by now.
-    pub fn turn(&mut self, now: Timestamp, acts: &mut Vec<Act>) {
-        while let Some((at, due)) = self.agenda.pop(now) {
+    pub fn advance(&mut self, now: Timestamp, acts: &mut Vec<ClientAction>) {
+        while let Some((at, due)) = self.timers.pop_due(now) {
             match due {
-                Due::Comes(listener) => {
+                ClientTimer::Comes(listener) => {
                     self.comes(at, listener);
                     self.next(at, listener);
                 }
-                Due::Tries(client) => self.tries(now, client, acts),
-                Due::GivesUp(id) => {
-                    if self.sessions.get(&id).is_some_and(|s| s.state == State::Waiting) {
-                        acts.push(Act::GiveUp { id });
+                ClientTimer::Tries(client) => self.tries(now, client, acts),
+                ClientTimer::GivesUp(id) => {
+                    if self.sessions.get(&id).is_some_and(|s| s.state == ClientSessionState::Waiting) {
+                        acts.push(ClientAction::TimeOut { id });
                         self.failed(now, id, 0);
                     }
                 }
-                Due::Line(id) => self.line(now, id, acts),
-                Due::Done(id) => {
+                ClientTimer::Line(id) => self.line(now, id, acts),
+                ClientTimer::Done(id) => {
                     if self.sessions.contains_key(&id) {
                         self.over(now, id);
-                        acts.push(Act::Leave { id });
+                        acts.push(ClientAction::Leave { id });
                     }
                 }
             }
         }
     }
 
-    fn tries(&mut self, now: Timestamp, client: usize, acts: &mut Vec<Act>) {
+    fn tries(&mut self, now: Timestamp, client: usize, acts: &mut Vec<ClientAction>) {
         let id = self.chance.next_u64();
         let p = &mut self.people[client];
         if now >= self.length || now >= p.until {
@@ -224,19 +224,19 @@
         }
         p.tries += 1;
         let patience = self.listeners[p.listener].dial_timeout.0;
-        let ask = Ask {
+        let ask = ClientRequest {
             client,
             id,
             key: p.key,
             group: p.group,
             listener: p.listener,
             patience,
-            again: p.again,
+            reconnecting: p.again,
             retry: p.retry,
         };
-        let session = Session {
+        let session = ClientSession {
             client,
-            state: State::Waiting,
+            state: ClientSessionState::Waiting,
             number: 0,
             out: Vec::new(),
             heard: now,
@@ -244,14 +244,17 @@
         };
         self.sessions.insert(id, session);
         self.waiting += 1;
-        self.agenda.add(now + patience + SEES_LATE, Due::GivesUp(id));
-        acts.push(Act::Open(ask));
+        self.timers.push(now + patience + SEES_LATE, ClientTimer::GivesUp(id));
+        acts.push(ClientAction::Connect(ask));
     }
 
-    fn line(&mut self, now: Timestamp, id: u64, acts: &mut Vec<Act>) {
-        let Some(session) = self.sessions.get_mut(&id).filter(|s| s.state == State::Standing) else { return };
+    fn line(&mut self, now: Timestamp, id: u64, acts: &mut Vec<ClientAction>) {
+        let Some(session) = self.sessions.get_mut(&id).filter(|s| s.state == ClientSessionState::Standing)
+        else {
+            return;
+        };
         let listener = &self.listeners[self.people[session.client].listener];
-        self.agenda.add(now + listener.every.0, Due::Line(id));
+        self.timers.push(now + listener.every.0, ClientTimer::Line(id));
         if let Some(&(_, first)) = session.out.first() {
             // What is out for longer than the target is no service, whether or not it comes back.
             if now - first > listener.line_target.0
@@ -260,41 +263,44 @@
                 self.tallies[self.people[session.client].listener].well += first.saturating_sub(from);
             }
             if now - session.heard > SILENT && listener.deaf_kb == 0 {
-                acts.push(Act::Silent { id, span: now - session.heard });
+                acts.push(ClientAction::Silent { id, duration: now - session.heard });
             }
         }
         if session.out.len() < OUT_AT_ONCE {
             session.number += 1;
             session.out.push((session.number, now));
-            acts.push(Act::Line { id, number: session.number });
+            acts.push(ClientAction::SendMessage { id, number: session.number });
         }
     }
 
     /// A session has had its final answer.
-    pub fn answered(&mut self, now: Timestamp, id: u64, answer: Answer) {
+    pub fn response_received(&mut self, now: Timestamp, id: u64, answer: ClientResponse) {
         match answer {
-            Answer::Accepted => {
-                let Some(session) = self.sessions.get_mut(&id).filter(|s| s.state == State::Waiting) else {
+            ClientResponse::Accepted => {
+                let Some(session) =
+                    self.sessions.get_mut(&id).filter(|s| s.state == ClientSessionState::Waiting)
+                else {
                     return;
                 };
-                (session.state, session.heard, session.well_from) = (State::Standing, now, Some(now));
+                (session.state, session.heard, session.well_from) =
+                    (ClientSessionState::Standing, now, Some(now));
                 let client = session.client;
                 self.waiting -= 1;
                 self.standing += 1;
                 let p = &mut self.people[client];
                 (p.tries, p.retry, p.again) = (0, false, false);
                 let (until, listener) = (p.until, p.listener);
-                self.agenda.add(until.max(now), Due::Done(id));
+                self.timers.push(until.max(now), ClientTimer::Done(id));
                 let first = self.share(self.listeners[listener].every.0, 0.0, 1.0);
-                self.agenda.add(now + first, Due::Line(id));
+                self.timers.push(now + first, ClientTimer::Line(id));
             }
-            Answer::Refused(ms) => self.failed(now, id, ms * 10),
-            Answer::TornDown => self.failed(now, id, 0),
+            ClientResponse::Rejected(ms) => self.failed(now, id, ms * 10),
+            ClientResponse::Failed => self.failed(now, id, 0),
         }
     }
 
     /// A session's line is back: how long it was away, if it was out at all, and if that is late.
-    pub fn back(&mut self, now: Timestamp, id: u64, number: u64) -> Option<(TickDuration, bool)> {
+    pub fn message_returned(&mut self, now: Timestamp, id: u64, number: u64) -> Option<(TickDuration, bool)> {
         let session = self.sessions.get_mut(&id)?;
         session.heard = now;
         let at = session.out.iter().position(|&(n, _)| n == number)?;
@@ -315,18 +321,18 @@
     }
 
     /// A session without an answer that went to a proxy where nobody was, or whose connection ended.
-    pub fn lost(&mut self, now: Timestamp, id: u64) {
+    pub fn ended_without_response(&mut self, now: Timestamp, id: u64) {
         self.failed(now, id, 0);
     }
 
     /// An accepted session's connection has ended: its client comes again.
-    pub fn ended(&mut self, now: Timestamp, id: u64, how: End) {
-        let Some(client) = self.over(now, id).filter(|_| how != End::Left) else { return };
+    pub fn connection_ended(&mut self, now: Timestamp, id: u64, how: ConnectionEnd) {
+        let Some(client) = self.over(now, id).filter(|_| how != ConnectionEnd::Left) else { return };
         let p = &mut self.people[client];
         p.again = true;
         let wait = self.listeners[p.listener].again_after.0;
         let at = now + self.share(wait, 0.5, 1.5);
-        self.agenda.add(at, Due::Tries(client));
+        self.timers.push(at, ClientTimer::Tries(client));
     }
 
     fn failed(&mut self, now: Timestamp, id: u64, at_least: TickDuration) {
@@ -334,25 +340,25 @@
         let p = &mut self.people[client];
         let listener = p.listener;
         let l = &self.listeners[listener];
-        if p.tries >= l.tries || l.retry == Retry::Never {
+        if p.tries >= l.tries || l.retry == RetryBehavior::Never {
             self.tallies[listener].gone_without += 1;
             return;
         }
         p.retry = true;
         let (retry, wait) = (l.retry, l.wait.0.max(at_least));
         let at = match retry {
-            Retry::AtOnce => now + 10,
+            RetryBehavior::AtOnce => now + 10,
             _ => now + self.share(wait, 0.5, 1.5).max(at_least),
         };
-        self.agenda.add(at, Due::Tries(client));
+        self.timers.push(at, ClientTimer::Tries(client));
     }
 
     /// Ends a session, and says whose it was.
     fn over(&mut self, now: Timestamp, id: u64) -> Option<usize> {
         let session = self.sessions.remove(&id)?;
         match session.state {
-            State::Waiting => self.waiting -= 1,
-            State::Standing => self.standing -= 1,
+            ClientSessionState::Waiting => self.waiting -= 1,
+            ClientSessionState::Standing => self.standing -= 1,
         }
         if let Some(from) = session.well_from {
             // A line that is out speaks against the time since it was sent.
@@ -364,8 +370,10 @@
     }
 
     /// Draws that share of those who stand now, in the order of their clients.
-    pub fn drawn(&mut self, share: f64) -> Vec<u64> {
-        let stands = |(&id, s): (&u64, &Session)| (s.state == State::Standing).then_some((s.client, id));
+    pub fn sample_established(&mut self, share: f64) -> Vec<u64> {
+        let stands = |(&id, s): (&u64, &ClientSession)| {
+            (s.state == ClientSessionState::Standing).then_some((s.client, id))
+        };
         let mut all: Vec<_> = self.sessions.iter().filter_map(stands).collect();
         all.sort_unstable();
         all.retain(|_| self.chance.random_bool(share.clamp(0.0, 1.0)));
@@ -382,7 +390,7 @@
 
     /// The share of those who want a session now, by utility, that have one whose lines come back in time.
     pub fn served_now(&self, now: Timestamp) -> f64 {
-        let utility = |p: &Person| self.listeners[p.listener].utility;
+        let utility = |p: &Client| self.listeners[p.listener].utility;
         let wants = self.people.iter().filter(|p| (p.from..p.until.min(self.length)).contains(&now));
         let wanted: f64 = wants.map(utility).sum();
         let well = self.sessions.values().filter(|s| {
@@ -395,7 +403,7 @@
 
     /// Utility of well-served seconds over seconds asked for.
     pub fn service(&self) -> f64 {
-        let sum = |of: fn(&Tally) -> TickDuration| -> f64 {
+        let sum = |of: fn(&ListenerTally) -> TickDuration| -> f64 {
             self.tallies.iter().zip(&self.listeners).map(|(t, l)| of(t) as f64 * l.utility).sum()
         };
         let asked = sum(|t| t.asked);
--- a/crates/larklink-simulation/src/spans.rs
+++ b/crates/larklink-simulation/src/duration.rs
@@ -9,14 +9,14 @@
 
 /// A span, written `250ms`, `1.5s` or `2m`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Span(pub TickDuration);
+pub struct ConfigDuration(pub TickDuration);
 
-impl Span {
-    pub const fn ms(ms: u64) -> Self {
+impl ConfigDuration {
+    pub const fn from_millis(ms: u64) -> Self {
         Self(ms * 10)
     }
 
-    pub fn read(text: &str) -> Result<Self, String> {
+    pub fn parse(text: &str) -> Result<Self, String> {
         let digits = text.find(|c: char| !c.is_ascii_digit() && c != '.').unwrap_or(text.len());
         let (number, unit) = text.split_at(digits);
         let tenths = match unit.trim() {
@@ -34,7 +34,7 @@
     }
 }
 
-impl fmt::Display for Span {
+impl fmt::Display for ConfigDuration {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self.0 {
             t if t >= SECOND => write!(f, "{}s", t as f64 / SECOND as f64),
@@ -43,38 +43,38 @@
     }
 }
 
-impl<'de> Deserialize<'de> for Span {
+impl<'de> Deserialize<'de> for ConfigDuration {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        Self::read(&String::deserialize(d)?).map_err(D::Error::custom)
+        Self::parse(&String::deserialize(d)?).map_err(D::Error::custom)
     }
 }
 
 /// What falls due, in order of time and, at the same time, of entry.
 #[derive(Debug)]
-pub struct Agenda<T> {
+pub struct EventQueue<T> {
     entries: BTreeMap<(TickDuration, u64), T>,
     next: u64,
 }
 
-impl<T> Default for Agenda<T> {
+impl<T> Default for EventQueue<T> {
     fn default() -> Self {
         Self { entries: BTreeMap::new(), next: 0 }
     }
 }
 
-impl<T> Agenda<T> {
-    pub fn add(&mut self, at: Timestamp, what: T) {
+impl<T> EventQueue<T> {
+    pub fn push(&mut self, at: Timestamp, what: T) {
         self.entries.insert((at, self.next), what);
         self.next += 1;
     }
 
     /// When the first falls due; never, if there is none.
-    pub fn due(&self) -> Timestamp {
+    pub fn next_at(&self) -> Timestamp {
         self.entries.first_key_value().map_or(Timestamp::MAX, |((at, _), _)| *at)
     }
 
     /// The first that is due by now, and when it was.
-    pub fn pop(&mut self, now: Timestamp) -> Option<(TickDuration, T)> {
+    pub fn pop_due(&mut self, now: Timestamp) -> Option<(TickDuration, T)> {
         let entry = self.entries.first_entry().filter(|e| e.key().0 <= now)?;
         let ((at, _), what) = entry.remove_entry();
         Some((at, what))
--- a/crates/larklink-simulation/src/list.rs
+++ b/crates/larklink-simulation/src/endpoint_list.rs
@@ -1,16 +1,16 @@
 //! The list of servers as discovery has it: changes show after a lag, and not at all while it stands still.
 use larklink_balancer::{TickDuration, Timestamp};
 
-use crate::spans::Agenda;
+use crate::duration::EventQueue;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Status {
+pub enum EndpointStatus {
     Up,
     Draining,
     Removed,
 }
 
-impl Status {
+impl EndpointStatus {
     pub fn name(self) -> &'static str {
         match self {
             Self::Up => "up",
@@ -22,62 +22,63 @@
 
 /// A server's line: where it stands and when it last started; 0: long ago.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Line {
+pub struct EndpointListEntry {
     pub server: usize,
-    pub status: Status,
+    pub status: EndpointStatus,
     pub started: Timestamp,
 }
 
 #[derive(Default)]
-pub struct List {
+pub struct EndpointList {
     lag: TickDuration,
-    coming: Agenda<Line>,
+    pending: EventQueue<EndpointListEntry>,
     /// Each server's latest line, and the version that brought it.
-    lines: Vec<(u64, Line)>,
+    lines: Vec<(u64, EndpointListEntry)>,
     version: u64,
     still_until: TickDuration,
     lost_until: TickDuration,
 }
 
-impl List {
+impl EndpointList {
     /// All servers are up and warm.
     pub fn new(servers: usize, lag: TickDuration) -> Self {
-        let lines = (0..servers).map(|server| (1, Line { server, status: Status::Up, started: 0 }));
+        let lines = (0..servers)
+            .map(|server| (1, EndpointListEntry { server, status: EndpointStatus::Up, started: 0 }));
         Self { lag, lines: lines.collect(), version: 1, ..Self::default() }
     }
 
     /// A server that is not there from the start.
     pub fn leave_out(&mut self, server: usize) {
-        self.lines[server].1.status = Status::Removed;
+        self.lines[server].1.status = EndpointStatus::Removed;
     }
 
     /// Something is so from now on; it shows after the lag.
-    pub fn change(&mut self, now: Timestamp, line: Line) {
-        self.coming.add(now + self.lag, line);
+    pub fn change(&mut self, now: Timestamp, line: EndpointListEntry) {
+        self.pending.push(now + self.lag, line);
     }
 
-    pub fn stand_still(&mut self, until: Timestamp) {
+    pub fn freeze_until(&mut self, until: Timestamp) {
         self.still_until = until;
     }
 
     /// Out of reach until then: calls are not answered.
-    pub fn lose(&mut self, until: Timestamp) {
+    pub fn make_unreachable(&mut self, until: Timestamp) {
         self.lost_until = until;
     }
 
-    pub fn answers(&self, now: Timestamp) -> bool {
+    pub fn is_reachable(&self, now: Timestamp) -> bool {
         now >= self.lost_until
     }
 
-    pub fn due(&self) -> Timestamp {
-        self.coming.due().max(self.still_until)
+    pub fn next_event_at(&self) -> Timestamp {
+        self.pending.next_at().max(self.still_until)
     }
 
     /// Takes in what shows by now; whether there was anything.
-    pub fn turn(&mut self, now: Timestamp) -> bool {
+    pub fn advance(&mut self, now: Timestamp) -> bool {
         let before = self.version;
         while now >= self.still_until
-            && let Some((_, line)) = self.coming.pop(now)
+            && let Some((_, line)) = self.pending.pop_due(now)
         {
             self.version += 1;
             self.lines[line.server] = (self.version, line);
@@ -90,10 +91,10 @@
     }
 
     /// The lines that are newer than that version; removed servers are no part of the whole list.
-    pub fn after(&self, version: Option<u64>) -> Vec<Line> {
-        let newer = |&&(v, line): &&(u64, Line)| match version {
+    pub fn entries_after(&self, version: Option<u64>) -> Vec<EndpointListEntry> {
+        let newer = |&&(v, line): &&(u64, EndpointListEntry)| match version {
             Some(known) => v > known,
-            None => line.status != Status::Removed,
+            None => line.status != EndpointStatus::Removed,
         };
         self.lines.iter().filter(newer).map(|&(_, line)| line).collect()
     }
--- a/crates/larklink-simulation/src/faults.rs
+++ b/crates/larklink-simulation/src/faults.rs
@@ -3,11 +3,11 @@
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
 
-use crate::scenario::{Fault, Scenario, Trouble};
+use crate::scenario::{FaultKind, FaultSpec, Scenario};
 
 /// What is done to a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Upon {
+pub enum ProxyFault {
     Kill,
     /// Killed in the instant in which it has taken its next connection; it starts again so long after.
     KillAtAccept {
@@ -24,8 +24,8 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Event {
-    Proxy(usize, Upon),
+pub enum FaultEvent {
+    Proxy(usize, ProxyFault),
     Silence {
         server: usize,
         until: Timestamp,
@@ -66,9 +66,12 @@
 }
 
 /// A fault as a band, for plots: from, to, what.
-pub type Band = (TickDuration, TickDuration, String);
+pub type FaultBand = (TickDuration, TickDuration, String);
 
-pub fn timeline(scenario: &Scenario, chance: &mut ChaCha8Rng) -> (Vec<(TickDuration, Event)>, Vec<Band>) {
+pub fn timeline(
+    scenario: &Scenario,
+    chance: &mut ChaCha8Rng,
+) -> (Vec<(TickDuration, FaultEvent)>, Vec<FaultBand>) {
     let (mut events, mut bands) = (Vec::new(), Vec::new());
     for fault in &scenario.faults {
         let fault = fault.get_ref();
@@ -80,7 +83,7 @@
                 (i / fault.together.unwrap_or(1)) as TickDuration * fault.apart.unwrap_or_default().0
             };
             let last = after(struck.len().saturating_sub(1));
-            bands.push((at, at + last + fault.lasts.unwrap_or_default().0, name(fault.what).to_owned()));
+            bands.push((at, at + last + fault.lasts.unwrap_or_default().0, name(fault.kind).to_owned()));
             for (i, &which) in struck.iter().enumerate() {
                 single(scenario, fault, at + after(i), which, &mut events);
             }
@@ -90,28 +93,28 @@
     (events, bands)
 }
 
-fn name(what: Trouble) -> &'static str {
+fn name(what: FaultKind) -> &'static str {
     match what {
-        Trouble::ProxyKilled => "proxy killed",
-        Trouble::ProxyStopped => "proxy stopped",
-        Trouble::ProxyReloaded => "proxy reloaded",
-        Trouble::ProxyReplaced => "proxy replaced",
-        Trouble::ServerSilent => "server silent",
-        Trouble::ServerPaused => "server paused",
-        Trouble::ServerDied => "server died",
-        Trouble::ServerDrains => "server drains",
-        Trouble::ServerDrops => "server drops",
-        Trouble::ServersJoin => "servers join",
-        Trouble::StoreSlow => "store slow",
-        Trouble::ListLost => "list lost",
-        Trouble::ListStill => "list still",
-        Trouble::ClientsDropped => "clients dropped",
+        FaultKind::ProxyKilled => "proxy killed",
+        FaultKind::ProxyStopped => "proxy stopped",
+        FaultKind::ProxyReloaded => "proxy reloaded",
+        FaultKind::ProxyReplaced => "proxy replaced",
+        FaultKind::ServerSilent => "server silent",
+        FaultKind::ServerPaused => "server paused",
+        FaultKind::ServerDied => "server died",
+        FaultKind::ServerDrains => "server drains",
+        FaultKind::ServerDrops => "server drops",
+        FaultKind::ServersJoin => "servers join",
+        FaultKind::StoreSlow => "store slow",
+        FaultKind::ListLost => "list lost",
+        FaultKind::ListStill => "list still",
+        FaultKind::ClientsDropped => "clients dropped",
     }
 }
 
-fn struck(scenario: &Scenario, fault: &Fault, chance: &mut ChaCha8Rng) -> Vec<usize> {
-    use Trouble::*;
-    let all: Vec<usize> = match fault.what {
+fn struck(scenario: &Scenario, fault: &FaultSpec, chance: &mut ChaCha8Rng) -> Vec<usize> {
+    use FaultKind::*;
+    let all: Vec<usize> = match fault.kind {
         StoreSlow | ListLost | ListStill | ClientsDropped => return vec![0],
         ProxyKilled | ProxyStopped | ProxyReloaded | ProxyReplaced => (0..scenario.proxies.count).collect(),
         what => {
@@ -128,57 +131,59 @@
             drawn.truncate(((drawn.len() as f64 * share).round() as usize).max(1));
             drawn
         }
-        (None, None) if fault.what == ServersJoin => all,
+        (None, None) if fault.kind == ServersJoin => all,
         (None, None) => all.into_iter().take(1).collect(),
     }
 }
 
 fn single(
     scenario: &Scenario,
-    fault: &Fault,
+    fault: &FaultSpec,
     at: Timestamp,
     which: usize,
-    events: &mut Vec<(TickDuration, Event)>,
+    events: &mut Vec<(TickDuration, FaultEvent)>,
 ) {
     let lasts = fault.lasts.map(|s| s.0);
     let until = at + lasts.unwrap_or(0);
     let (proxy, server) = (which, which);
-    match fault.what {
-        Trouble::ProxyKilled if fault.at_accept => {
-            events.push((at, Event::Proxy(proxy, Upon::KillAtAccept { back: lasts })));
+    match fault.kind {
+        FaultKind::ProxyKilled if fault.at_accept => {
+            events.push((at, FaultEvent::Proxy(proxy, ProxyFault::KillAtAccept { back: lasts })));
+        }
+        FaultKind::ProxyKilled => {
+            events.push((at, FaultEvent::Proxy(proxy, ProxyFault::Kill)));
+            events.extend(lasts.map(|_| (until, FaultEvent::Proxy(proxy, ProxyFault::Start))));
         }
-        Trouble::ProxyKilled => {
-            events.push((at, Event::Proxy(proxy, Upon::Kill)));
-            events.extend(lasts.map(|_| (until, Event::Proxy(proxy, Upon::Start))));
+        FaultKind::ProxyStopped => {
+            events.push((at, FaultEvent::Proxy(proxy, ProxyFault::Stop { back: lasts })))
         }
-        Trouble::ProxyStopped => events.push((at, Event::Proxy(proxy, Upon::Stop { back: lasts }))),
-        Trouble::ProxyReloaded => events.push((at, Event::Proxy(proxy, Upon::Reload))),
-        Trouble::ProxyReplaced => events.push((at, Event::Proxy(proxy, Upon::Replace))),
-        Trouble::ServerSilent => events.push((at, Event::Silence { server, until })),
-        Trouble::ServerPaused => events.push((at, Event::Pause { server, until })),
-        Trouble::ServerDied => {
-            events.push((at, Event::Die { server }));
-            events.extend(lasts.map(|_| (until, Event::Back { server })));
+        FaultKind::ProxyReloaded => events.push((at, FaultEvent::Proxy(proxy, ProxyFault::Reload))),
+        FaultKind::ProxyReplaced => events.push((at, FaultEvent::Proxy(proxy, ProxyFault::Replace))),
+        FaultKind::ServerSilent => events.push((at, FaultEvent::Silence { server, until })),
+        FaultKind::ServerPaused => events.push((at, FaultEvent::Pause { server, until })),
+        FaultKind::ServerDied => {
+            events.push((at, FaultEvent::Die { server }));
+            events.extend(lasts.map(|_| (until, FaultEvent::Back { server })));
         }
-        Trouble::ServerDrains => {
-            events.push((at, Event::Drain { server }));
-            events.push((until, Event::Gone { server }));
+        FaultKind::ServerDrains => {
+            events.push((at, FaultEvent::Drain { server }));
+            events.push((until, FaultEvent::Gone { server }));
             let back = scenario.each_server().nth(server).map_or(0, |s| s.back_after.0);
-            events.push((until + back, Event::Back { server }));
+            events.push((until + back, FaultEvent::Back { server }));
         }
-        Trouble::ServerDrops => {
-            events.push((at, Event::Drops { server, one_in: fault.factor.unwrap_or(1.0) as u64 }));
-            events.push((until, Event::Drops { server, one_in: 0 }));
+        FaultKind::ServerDrops => {
+            events.push((at, FaultEvent::Drops { server, one_in: fault.factor.unwrap_or(1.0) as u64 }));
+            events.push((until, FaultEvent::Drops { server, one_in: 0 }));
         }
-        Trouble::ServersJoin => events.push((at, Event::Back { server })),
-        Trouble::StoreSlow => {
-            events.push((at, Event::StoreSlow { factor: fault.factor.unwrap_or(1.0) }));
-            events.push((until, Event::StoreSlow { factor: 1.0 }));
+        FaultKind::ServersJoin => events.push((at, FaultEvent::Back { server })),
+        FaultKind::StoreSlow => {
+            events.push((at, FaultEvent::StoreSlow { factor: fault.factor.unwrap_or(1.0) }));
+            events.push((until, FaultEvent::StoreSlow { factor: 1.0 }));
         }
-        Trouble::ListLost => events.push((at, Event::ListLost { until })),
-        Trouble::ListStill => events.push((at, Event::ListStill { until })),
-        Trouble::ClientsDropped => {
-            events.push((at, Event::DropClients { share: fault.share.unwrap_or(1.0) }));
+        FaultKind::ListLost => events.push((at, FaultEvent::ListLost { until })),
+        FaultKind::ListStill => events.push((at, FaultEvent::ListStill { until })),
+        FaultKind::ClientsDropped => {
+            events.push((at, FaultEvent::DropClients { share: fault.share.unwrap_or(1.0) }));
         }
     }
 }
--- a/crates/larklink-simulation/src/goodput.rs
+++ b/crates/larklink-simulation/src/goodput.rs
@@ -5,9 +5,9 @@
 use larklink_balancer::{TickDuration, Timestamp};
 use serde::Serialize;
 
-use crate::book::{Answer, Book, What};
+use crate::duration::SECOND;
+use crate::event_log::{ClientResponse, EventKind, EventLog};
 use crate::scenario::Scenario;
-use crate::spans::SECOND;
 
 /// Goodput is taken over so long, and told of each span that begins a step after the one before.
 const WINDOW: TickDuration = 2 * SECOND;
@@ -17,7 +17,7 @@
 
 /// One span of a run: sessions a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Rate {
+pub struct GoodputRate {
     /// When the span begins, tenths of a millisecond.
     pub from: Timestamp,
     pub accepted: f64,
@@ -35,8 +35,8 @@
     /// How long after `restarted` the last span begins that the run is long enough for.
     pub told: Timestamp,
     /// From the last restart to the end of the run, and the least of any span that began in it.
-    pub after: Rate,
-    pub least: Rate,
+    pub after: GoodputRate,
+    pub least: GoodputRate,
     /// What the store bears, calls a second.
     pub bears: f64,
 }
@@ -80,15 +80,15 @@
 }
 
 impl Asked {
-    fn read(book: &Book) -> Self {
+    fn read(event_log: &EventLog) -> Self {
         let (mut opened, mut accepted, mut until) = (Vec::new(), Vec::new(), BTreeMap::new());
-        for entry in &book.entries {
-            match &entry.what {
-                What::Opened { ask, .. } => {
+        for entry in &event_log.events {
+            match &entry.kind {
+                EventKind::Opened { request: ask, .. } => {
                     opened.push((entry.at, ask.client));
                     until.insert(ask.id, entry.at + ask.patience);
                 }
-                What::Answered { id, answer: Answer::Accepted } => {
+                EventKind::Answered { id, response: ClientResponse::Accepted } => {
                     accepted.extend(until.remove(id).filter(|&until| entry.at <= until).map(|_| entry.at));
                 }
                 _ => {}
@@ -97,14 +97,14 @@
         Self { opened, accepted }
     }
 
-    fn between(&self, from: Timestamp, to: TickDuration) -> Rate {
+    fn between(&self, from: Timestamp, to: TickDuration) -> GoodputRate {
         let span = seconds(to - from);
         let opened = &self.opened[part(&self.opened, |o| o.0 < from)..part(&self.opened, |o| o.0 < to)];
         let mut clients: Vec<_> = opened.iter().map(|o| o.1).collect();
         clients.sort_unstable();
         clients.dedup();
         let accepted = part(&self.accepted, |&at| at < to) - part(&self.accepted, |&at| at < from);
-        Rate { from, accepted: accepted as f64 / span, offered: clients.len() as f64 / span }
+        GoodputRate { from, accepted: accepted as f64 / span, offered: clients.len() as f64 / span }
     }
 }
 
@@ -113,18 +113,18 @@
 }
 
 /// Judges a book; nothing where no proxy was started again, or too late for any span.
-pub fn recovery(scenario: &Scenario, book: &Book) -> Option<Recovery> {
-    let up = |e: &&crate::book::Entry| e.at > 0 && matches!(e.what, What::ProxyUp { .. });
-    let restarted = book.entries.iter().rfind(up)?.at;
+pub fn recovery(scenario: &Scenario, event_log: &EventLog) -> Option<Recovery> {
+    let up = |e: &&crate::event_log::LoggedEvent| e.at > 0 && matches!(e.kind, EventKind::ProxyUp { .. });
+    let restarted = event_log.events.iter().rfind(up)?.at;
     let (length, bears) = (scenario.length.0, scenario.store.rate);
     let last = length.checked_sub(WINDOW).filter(|&last| last >= restarted)?;
-    let asked = Asked::read(book);
+    let asked = Asked::read(event_log);
     let spans: Vec<_> =
         (restarted..=last).step_by(STEP as usize).map(|from| asked.between(from, from + WINDOW)).collect();
-    let back = |r: &&Rate| r.accepted >= BACK * r.offered.min(bears);
+    let back = |r: &&GoodputRate| r.accepted >= BACK * r.offered.min(bears);
     let well = spans.iter().rev().take_while(back).count();
     let took = (well > 0).then(|| spans[spans.len() - well].from - restarted);
-    let share = |r: &Rate| r.accepted / r.offered.min(bears).max(f64::MIN_POSITIVE);
+    let share = |r: &GoodputRate| r.accepted / r.offered.min(bears).max(f64::MIN_POSITIVE);
     let least = spans.iter().copied().min_by(|a, b| share(a).total_cmp(&share(b)))?;
     let after = asked.between(restarted, length);
     Some(Recovery { restarted, took, told: last - restarted, after, least, bears })
--- a/crates/larklink-simulation/src/register.rs
+++ b/crates/larklink-simulation/src/lease_store.rs
@@ -3,7 +3,7 @@
 
 /// A write that took effect.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Took<V> {
+pub struct CommittedWrite<V> {
     pub by: usize,
     pub index: u64,
     pub value: V,
@@ -11,17 +11,17 @@
 
 /// One key of it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Register<V> {
-    history: Vec<Took<V>>,
+pub struct LeaseStore<V> {
+    history: Vec<CommittedWrite<V>>,
 }
 
-impl<V> Default for Register<V> {
+impl<V> Default for LeaseStore<V> {
     fn default() -> Self {
         Self { history: Vec::new() }
     }
 }
 
-impl<V: Clone> Register<V> {
+impl<V: Clone> LeaseStore<V> {
     /// The index of the latest write and what it wrote.
     pub fn read(&self) -> Option<(u64, V)> {
         self.history.last().map(|took| (took.index, took.value.clone()))
@@ -33,12 +33,12 @@
         if cas != latest {
             return None;
         }
-        self.history.push(Took { by, index: latest + 1, value });
+        self.history.push(CommittedWrite { by, index: latest + 1, value });
         Some(latest + 1)
     }
 
     /// All writes, in the order in which they took effect.
-    pub fn history(&self) -> &[Took<V>] {
+    pub fn history(&self) -> &[CommittedWrite<V>] {
         &self.history
     }
 }
--- a/crates/larklink-simulation/src/lib.rs
+++ b/crates/larklink-simulation/src/lib.rs
@@ -3,18 +3,18 @@
 //! what it saw. The time is an argument and chance comes from a seed, so that the same model runs in simulated
 //! time ([`simulate`]) and, carried by `larklink-testbed`, on sockets.
 pub mod audit;
-pub mod book;
 pub mod clients;
-pub mod contest;
-pub mod explore;
+pub mod duration;
+pub mod endpoint_list;
+pub mod event_log;
+pub mod external_load_balancer;
 pub mod faults;
-pub mod front;
 pub mod goodput;
-pub mod list;
-pub mod register;
+pub mod lease_model;
+pub mod lease_store;
 pub mod scenario;
 pub mod server;
+pub mod session_store;
 pub mod simulate;
-pub mod spans;
-pub mod store;
+pub mod state_search;
 pub mod world;
--- a/crates/larklink-simulation/src/scenario.rs
+++ b/crates/larklink-simulation/src/scenario.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use toml::Spanned;
 
-use crate::spans::{SECOND, Span};
+use crate::duration::{ConfigDuration, SECOND};
 
 /// The most proxies of a scenario.
 const MOST_PROXIES: usize = 512;
@@ -19,16 +19,16 @@
     pub about: String,
     pub seed: u64,
     /// For so long new clients come and faults happen.
-    pub length: Span,
-    pub proxies: Proxies,
-    pub rules: Rules,
-    pub servers: Vec<Spanned<Servers>>,
-    pub store: Store,
-    pub list: List,
-    pub front: Front,
-    pub listeners: Vec<Spanned<Listener>>,
-    pub faults: Vec<Spanned<Fault>>,
-    pub must: Must,
+    pub length: ConfigDuration,
+    pub proxies: ProxyFleet,
+    pub rules: ProxyRules,
+    pub servers: Vec<Spanned<ServerGroup>>,
+    pub store: SessionStoreSettings,
+    pub list: EndpointListSettings,
+    pub front: LoadBalancerSettings,
+    pub listeners: Vec<Spanned<ListenerSpec>>,
+    pub faults: Vec<Spanned<FaultSpec>>,
+    pub must: Requirements,
 }
 
 impl Default for Scenario {
@@ -37,23 +37,23 @@
             name: "unnamed".into(),
             about: String::new(),
             seed: 1,
-            length: Span::ms(20_000),
-            proxies: Proxies::default(),
-            rules: Rules::default(),
-            servers: vec![Spanned::new(0..0, Servers::default())],
-            store: Store::default(),
-            list: List::default(),
-            front: Front::default(),
-            listeners: vec![Spanned::new(0..0, Listener::default())],
+            length: ConfigDuration::from_millis(20_000),
+            proxies: ProxyFleet::default(),
+            rules: ProxyRules::default(),
+            servers: vec![Spanned::new(0..0, ServerGroup::default())],
+            store: SessionStoreSettings::default(),
+            list: EndpointListSettings::default(),
+            front: LoadBalancerSettings::default(),
+            listeners: vec![Spanned::new(0..0, ListenerSpec::default())],
             faults: Vec::new(),
-            must: Must::default(),
+            must: Requirements::default(),
         }
     }
 }
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Proxies {
+pub struct ProxyFleet {
     pub count: usize,
     /// Proxies, servers and clients lie in so many zones by turns; the front deals within one.
     pub zones: usize,
@@ -66,7 +66,7 @@
     pub moved: usize,
 }
 
-impl Default for Proxies {
+impl Default for ProxyFleet {
     fn default() -> Self {
         Self { count: 3, zones: 1, memory_mb: 192, descriptors: 4096, doors: false, moved: 0 }
     }
@@ -75,27 +75,27 @@
 /// What proxies are told of the rules, and are judged by.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Rules {
-    pub connect_timeout: Span,
+pub struct ProxyRules {
+    pub connect_timeout: ConfigDuration,
     pub dials: u32,
     /// The longest retry-after; none is given if it is 0.
-    pub retry_after: Span,
-    pub drain_grace: Span,
+    pub retry_after: ConfigDuration,
+    pub drain_grace: ConfigDuration,
     pub probes: bool,
-    pub must_ask_in: Span,
+    pub must_ask_in: ConfigDuration,
     /// Packets pass through: a proxy that stops moves nobody, and its end breaks what it holds.
     pub passes: bool,
 }
 
-impl Default for Rules {
+impl Default for ProxyRules {
     fn default() -> Self {
         Self {
-            connect_timeout: Span::ms(250),
+            connect_timeout: ConfigDuration::from_millis(250),
             dials: 4,
-            retry_after: Span::ms(1500),
-            drain_grace: Span::ms(500),
+            retry_after: ConfigDuration::from_millis(1500),
+            drain_grace: ConfigDuration::from_millis(500),
             probes: true,
-            must_ask_in: Span::ms(10_000),
+            must_ask_in: ConfigDuration::from_millis(10_000),
             passes: false,
         }
     }
@@ -104,47 +104,47 @@
 /// Some servers that are alike.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Servers {
+pub struct ServerGroup {
     pub count: usize,
     pub cores: usize,
     pub speed: f64,
     /// Sessions that one holds.
     pub holds: usize,
     /// Work of a set-up, on a core of speed 1.
-    pub setup_work: Span,
+    pub setup_work: ConfigDuration,
     /// Set-ups are turned away while one would wait for longer than this.
-    pub queue: Span,
+    pub queue: ConfigDuration,
     /// The share of its capacity with which it starts cold, and how long it takes to warm up.
     pub start_capacity: f64,
-    pub warm_up: Span,
+    pub warm_up: ConfigDuration,
     /// Sent more than so many times what it can do while cold, for so long, it is overrun.
     pub fall_multiple: f64,
-    pub fall_after: Span,
+    pub fall_after: ConfigDuration,
     /// Overrun, it dies, and is back after so long.
     pub falls: bool,
-    pub back_after: Span,
-    pub report_every: Span,
+    pub back_after: ConfigDuration,
+    pub report_every: ConfigDuration,
     /// In the list from the start; else they join by a fault.
     pub listed: bool,
     pub weight: f64,
 }
 
-impl Default for Servers {
+impl Default for ServerGroup {
     fn default() -> Self {
         Self {
             count: 6,
             cores: 2,
             speed: 1.0,
             holds: 5000,
-            setup_work: Span::ms(2),
-            queue: Span::ms(1500),
+            setup_work: ConfigDuration::from_millis(2),
+            queue: ConfigDuration::from_millis(1500),
             start_capacity: 0.12,
-            warm_up: Span::ms(20_000),
+            warm_up: ConfigDuration::from_millis(20_000),
             fall_multiple: 4.0,
-            fall_after: Span::ms(1000),
+            fall_after: ConfigDuration::from_millis(1000),
             falls: true,
-            back_after: Span::ms(2000),
-            report_every: Span::ms(200),
+            back_after: ConfigDuration::from_millis(2000),
+            report_every: ConfigDuration::from_millis(200),
             listed: true,
             weight: 1.0,
         }
@@ -153,48 +153,48 @@
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Store {
+pub struct SessionStoreSettings {
     /// Calls a second.
     pub rate: f64,
     /// A call that would wait for longer fails.
-    pub bound: Span,
+    pub bound: ConfigDuration,
 }
 
-impl Default for Store {
+impl Default for SessionStoreSettings {
     fn default() -> Self {
-        Self { rate: 2000.0, bound: Span::ms(2000) }
+        Self { rate: 2000.0, bound: ConfigDuration::from_millis(2000) }
     }
 }
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct List {
+pub struct EndpointListSettings {
     /// A change shows after so long.
-    pub lag: Span,
+    pub lag: ConfigDuration,
 }
 
-impl Default for List {
+impl Default for EndpointListSettings {
     fn default() -> Self {
-        Self { lag: Span::ms(200) }
+        Self { lag: ConfigDuration::from_millis(200) }
     }
 }
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Front {
+pub struct LoadBalancerSettings {
     /// A dead proxy gets connections for so long.
-    pub notices_after: Span,
+    pub notices_after: ConfigDuration,
 }
 
-impl Default for Front {
+impl Default for LoadBalancerSettings {
     fn default() -> Self {
-        Self { notices_after: Span::ms(2000) }
+        Self { notices_after: ConfigDuration::from_millis(2000) }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum SessionKind {
     Repeatable,
     Referenced,
     OnceOnly,
@@ -202,7 +202,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Retry {
+pub enum RetryBehavior {
     /// As soon as it has failed.
     AtOnce,
     /// After `wait`, or the retry-after if that is longer, half to one and a half times.
@@ -212,58 +212,58 @@
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Listener {
+pub struct ListenerSpec {
     pub name: String,
-    pub kind: Kind,
+    pub kind: SessionKind,
     /// For referenced sessions: repeats are known for so long.
-    pub window: Span,
-    pub handshake_target: Span,
-    pub dial_timeout: Span,
+    pub window: ConfigDuration,
+    pub handshake_target: ConfigDuration,
+    pub dial_timeout: ConfigDuration,
     /// Clients that are there from the start, spread over the first `spread`.
     pub standing: usize,
-    pub spread: Span,
+    pub spread: ConfigDuration,
     /// Clients that come, a second.
     pub rate: f64,
     /// The mean of how long one stays.
-    pub life: Span,
+    pub life: ConfigDuration,
     /// A line goes out so often, and is wanted back within the target.
-    pub every: Span,
-    pub line_target: Span,
+    pub every: ConfigDuration,
+    pub line_target: ConfigDuration,
     /// The work of a session, in cores of speed 1.
     pub load: f64,
     pub utility: f64,
-    pub retry: Retry,
-    pub wait: Span,
+    pub retry: RetryBehavior,
+    pub wait: ConfigDuration,
     /// Times that a client tries before it gives up for good.
     pub tries: u32,
     /// After a break or a move a client comes again after half to one and a half times this.
-    pub again_after: Span,
+    pub again_after: ConfigDuration,
     /// Clients that share a group key, in the mean.
     pub group: usize,
     /// A deaf client asks its server for so many kilobytes and never reads.
     pub deaf_kb: usize,
 }
 
-impl Default for Listener {
+impl Default for ListenerSpec {
     fn default() -> Self {
         Self {
             name: "pick-list".into(),
-            kind: Kind::Repeatable,
-            window: Span::ms(1000),
-            handshake_target: Span::ms(500),
-            dial_timeout: Span::ms(3000),
+            kind: SessionKind::Repeatable,
+            window: ConfigDuration::from_millis(1000),
+            handshake_target: ConfigDuration::from_millis(500),
+            dial_timeout: ConfigDuration::from_millis(3000),
             standing: 200,
-            spread: Span::ms(3000),
+            spread: ConfigDuration::from_millis(3000),
             rate: 20.0,
-            life: Span::ms(15_000),
-            every: Span::ms(1000),
-            line_target: Span::ms(100),
+            life: ConfigDuration::from_millis(15_000),
+            every: ConfigDuration::from_millis(1000),
+            line_target: ConfigDuration::from_millis(100),
             load: 0.004,
             utility: 1.0,
-            retry: Retry::After,
-            wait: Span::ms(500),
+            retry: RetryBehavior::After,
+            wait: ConfigDuration::from_millis(500),
             tries: 8,
-            again_after: Span::ms(200),
+            again_after: ConfigDuration::from_millis(200),
             group: 4,
             deaf_kb: 0,
         }
@@ -272,7 +272,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Trouble {
+pub enum FaultKind {
     /// SIGKILL; starts again after `for`, if that is given.
     ProxyKilled,
     /// SIGTERM; starts again after `for`, once it has ended.
@@ -299,21 +299,22 @@
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Fault {
-    pub what: Trouble,
-    pub at: Span,
+pub struct FaultSpec {
+    #[serde(rename = "what")]
+    pub kind: FaultKind,
+    pub at: ConfigDuration,
     #[serde(rename = "for")]
-    pub lasts: Option<Span>,
+    pub lasts: Option<ConfigDuration>,
     /// Which proxies or servers, by number from 0; else a share of them, drawn; else the first.
     pub which: Option<Vec<usize>>,
     pub share: Option<f64>,
     /// Times slower, or one in so many.
     pub factor: Option<f64>,
     /// Each of them so long after the one before; so many of them together, if that is given.
-    pub apart: Option<Span>,
+    pub apart: Option<ConfigDuration>,
     pub together: Option<usize>,
     /// Again so often, so many times in all.
-    pub every: Option<Span>,
+    pub every: Option<ConfigDuration>,
     pub times: Option<u32>,
     /// A proxy is killed in the instant in which it has taken its next connection.
     #[serde(default)]
@@ -323,7 +324,7 @@
 /// What must hold at the end, beside the rules.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Must {
+pub struct Requirements {
     /// Utility of well-served seconds over seconds asked for.
     pub service: Option<f64>,
     /// Share of sessions that were accepted.
@@ -331,21 +332,21 @@
     /// The same of each shape of proxies, where `proxies.moved` makes two of them.
     pub each_shape: Option<f64>,
     /// TickDuration to the answer that 99 in 100 accepted sessions do not exceed.
-    pub answer_p99: Option<Span>,
+    pub answer_p99: Option<ConfigDuration>,
     /// Within so long of the last restart of a proxy, goodput is at nine tenths of what the store bears, or of what is
     /// offered if that is less, and stays there.
-    pub recovers: Option<Span>,
+    pub recovers: Option<ConfigDuration>,
 }
 
 /// Something wrong in a scenario, at a line of its file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Problem {
+pub struct ScenarioProblem {
     pub line: usize,
     pub key: String,
     pub reason: String,
 }
 
-impl fmt::Display for Problem {
+impl fmt::Display for ScenarioProblem {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self.key.as_str() {
             "" => write!(f, "{}: {}", self.line, self.reason),
@@ -359,7 +360,7 @@
     ///
     /// # Errors
     /// All that is wrong with it; of its form only what comes first.
-    pub fn read(text: &str) -> Result<Self, Vec<Problem>> {
+    pub fn parse(text: &str) -> Result<Self, Vec<ScenarioProblem>> {
         let scenario: Self = toml::from_str(text).map_err(|e| {
             let at = e.span().map_or(0, |s| s.start);
             vec![problem(text, at, "", e.message().trim())]
@@ -388,20 +389,20 @@
     }
 
     /// Each server's kind, in order.
-    pub fn each_server(&self) -> impl Iterator<Item = &Servers> {
+    pub fn each_server(&self) -> impl Iterator<Item = &ServerGroup> {
         self.servers.iter().flat_map(|s| std::iter::repeat_n(s.get_ref(), s.get_ref().count))
     }
 
     /// Sessions that stand at once in the mean, at most, and those that come a second.
     pub fn standing(&self) -> usize {
-        let of = |l: &Listener| {
+        let of = |l: &ListenerSpec| {
             let coming = l.rate * self.length.0.min(l.life.0) as f64 / 10_000.0;
             l.standing + coming.ceil() as usize
         };
         self.listeners.iter().map(|l| of(l.get_ref())).sum()
     }
 
-    fn check(&self, text: &str) -> Vec<Problem> {
+    fn check(&self, text: &str) -> Vec<ScenarioProblem> {
         let mut found = Vec::new();
         let whole = 0..text.len();
         let mut wrong = |within: &Range<usize>, key: &str, reason: String| {
@@ -458,9 +459,9 @@
                 wrong(top, key, "a share lies between 0 and 1".into());
             }
         }
-        let restarts = |f: &Spanned<Fault>| {
+        let restarts = |f: &Spanned<FaultSpec>| {
             let f = f.get_ref();
-            matches!(f.what, Trouble::ProxyKilled | Trouble::ProxyStopped) && f.lasts.is_some()
+            matches!(f.kind, FaultKind::ProxyKilled | FaultKind::ProxyStopped) && f.lasts.is_some()
         };
         if must.recovers.is_some() && !self.faults.iter().any(restarts) {
             wrong(top, "must.recovers", "no proxy is stopped or killed and started again".into());
@@ -495,7 +496,7 @@
         }
         for (i, l) in self.listeners.iter().enumerate() {
             let (within, l) = (&l.span(), l.get_ref());
-            let same = |other: &Spanned<Listener>| other.get_ref().name == l.name;
+            let same = |other: &Spanned<ListenerSpec>| other.get_ref().name == l.name;
             if self.listeners[..i].iter().any(same) {
                 wrong(within, "name", format!("a second listener {:?}", l.name));
             }
@@ -527,17 +528,17 @@
         found
     }
 
-    fn check_fault(&self, f: &Fault, servers: usize, wrong: &mut dyn FnMut(&str, String)) {
-        use Trouble::*;
+    fn check_fault(&self, f: &FaultSpec, servers: usize, wrong: &mut dyn FnMut(&str, String)) {
+        use FaultKind::*;
         if f.at >= self.length {
             wrong("at", format!("{} is not before the end, {}", f.at, self.length));
         }
-        let count = match f.what {
+        let count = match f.kind {
             ProxyKilled | ProxyStopped | ProxyReloaded | ProxyReplaced => Some(self.proxies.count),
             StoreSlow | ListLost | ListStill | ClientsDropped => None,
             _ => Some(servers),
         };
-        if f.what == ProxyReplaced && !self.proxies.doors {
+        if f.kind == ProxyReplaced && !self.proxies.doors {
             wrong("what", "a process is replaced only where proxies.doors = true".into());
         }
         match (&f.which, f.share, count) {
@@ -553,12 +554,12 @@
         if f.share.is_some_and(|s| !(s > 0.0 && s <= 1.0)) {
             wrong("share", "a share over 0, up to 1".into());
         }
-        let needs_for = matches!(f.what, ServerSilent | ServerPaused | ServerDrains | ServerDrops)
-            || matches!(f.what, StoreSlow | ListLost | ListStill);
+        let needs_for = matches!(f.kind, ServerSilent | ServerPaused | ServerDrains | ServerDrops)
+            || matches!(f.kind, StoreSlow | ListLost | ListStill);
         if needs_for && f.lasts.is_none_or(|l| l.0 == 0) {
             wrong("for", "missing: how long it lasts".into());
         }
-        let takes_factor = matches!(f.what, StoreSlow | ServerDrops);
+        let takes_factor = matches!(f.kind, StoreSlow | ServerDrops);
         if takes_factor != f.factor.is_some() {
             let reason = if takes_factor { "missing: how much" } else { "this trouble has none" };
             wrong("factor", reason.into());
@@ -566,7 +567,7 @@
         if f.factor.is_some_and(|x| !(x >= 1.0 && x.is_finite())) {
             wrong("factor", "1 or more".into());
         }
-        if f.at_accept && f.what != ProxyKilled {
+        if f.at_accept && f.kind != ProxyKilled {
             wrong("at_accept", "only a proxy that is killed can be so".into());
         }
         if f.together == Some(0) {
@@ -578,7 +579,7 @@
         if f.times.is_some_and(|t| t > 1) && f.every.is_none_or(|e| e.0 == 0) {
             wrong("every", "missing: how often".into());
         }
-        if f.what == ServersJoin {
+        if f.kind == ServersJoin {
             let unlisted: Vec<_> = self.each_server().map(|s| !s.listed).collect();
             let which = f.which.clone().unwrap_or_default();
             if which.iter().any(|&w| unlisted.get(w) == Some(&false)) || !unlisted.contains(&true) {
@@ -610,12 +611,12 @@
     start
 }
 
-fn problem(text: &str, at: usize, key: &str, reason: &str) -> Problem {
+fn problem(text: &str, at: usize, key: &str, reason: &str) -> ScenarioProblem {
     let before = text.get(..at).unwrap_or(text);
     let line = before.matches('\n').count() + 1;
     let key = match key {
         "" => text.lines().nth(line - 1).and_then(|l| l.split_once('=')).map_or("", |(k, _)| k.trim()),
         key => key,
     };
-    Problem { line, key: key.to_owned(), reason: reason.to_owned() }
+    ScenarioProblem { line, key: key.to_owned(), reason: reason.to_owned() }
 }
--- a/crates/larklink-simulation/src/server.rs
+++ b/crates/larklink-simulation/src/server.rs
@@ -5,15 +5,15 @@
 
 use larklink_balancer::{TickDuration, Timestamp};
 
-use crate::spans::{Agenda, SECOND};
-use crate::store::Store;
+use crate::duration::{EventQueue, SECOND};
+use crate::session_store::SessionStore;
 
 /// A connection to a server, numbered by whoever carries it.
-pub type Conn = u64;
+pub type ConnectionId = u64;
 
 /// What a server is made of. Work is in microseconds of a core that is warm and of speed 1.
 #[derive(Clone, Debug)]
-pub struct Profile {
+pub struct ServerProfile {
     pub cores: usize,
     pub speed: f64,
     pub holds: usize,
@@ -32,7 +32,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum ServerState {
     Up,
     Draining,
     /// Connections stand, nothing is read or written.
@@ -42,7 +42,7 @@
 
 /// What a server tells of its load when probed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     pub held: usize,
     /// Share of the last span that its cores worked.
     pub used: f64,
@@ -52,59 +52,59 @@
 
 /// What a server says on a connection or does to it.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Say {
-    Up,
-    Busy,
-    Error,
+pub enum ServerMessage {
+    Accepted,
+    AtCapacity,
+    Failed,
     /// The session's load, microseconds of work a second.
     Load(f64),
-    Line(Vec<u8>),
-    Move,
-    Pong(Report),
+    Message(Vec<u8>),
+    Migrate,
+    HealthReport(LoadReport),
     /// The connection breaks.
-    Cut,
+    Reset,
 }
 
 /// What is to be carried out, and what goes into the book.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
-    Say(Conn, Say),
+pub enum ServerOutput {
+    Send(ConnectionId, ServerMessage),
     /// A set-up was done for a connection that is gone: it ran all the same.
-    RanLate(u64),
+    RanAfterAbandoned(u64),
     Ran(u64),
     /// Sent more than its multiple for too long, by so much.
-    Over(f64),
+    Overloaded(f64),
     Died,
     /// Takes connections (again).
-    Back,
+    Started,
 }
 
-enum Due {
-    Stored(Conn, bool),
-    Ready(Conn),
-    Line(Conn, Vec<u8>),
-    Pong(Conn),
+enum ServerTimer {
+    Stored(ConnectionId, bool),
+    Ready(ConnectionId),
+    Line(ConnectionId, Vec<u8>),
+    Pong(ConnectionId),
     Back,
     Wakes,
 }
 
-struct Held {
+struct ServerSession {
     session: u64,
     load: f64,
     stands: bool,
 }
 
 pub struct Server {
-    profile: Profile,
-    life: Life,
+    profile: ServerProfile,
+    state: ServerState,
     /// When it last started cold; nothing if it was warm from the first.
     cold_since: Option<TickDuration>,
     /// When each core is free.
     cores: Vec<f64>,
-    held: BTreeMap<Conn, Held>,
+    held: BTreeMap<ConnectionId, ServerSession>,
     /// Sessions of connections that were given up while their set-up was under way.
-    orphans: BTreeMap<Conn, u64>,
-    agenda: Agenda<Due>,
+    orphans: BTreeMap<ConnectionId, u64>,
+    timers: EventQueue<ServerTimer>,
     paused_until: TickDuration,
     silent_until: TickDuration,
     /// One in so many of those just taken is dropped; 0: none.
@@ -114,7 +114,7 @@
     received: VecDeque<(TickDuration, f64)>,
     sum: f64,
     over: bool,
-    report: Report,
+    report: LoadReport,
     reported: TickDuration,
     worked: f64,
     asked: f64,
@@ -123,15 +123,15 @@
 }
 
 impl Server {
-    pub fn new(profile: Profile) -> Self {
+    pub fn new(profile: ServerProfile) -> Self {
         Self {
             cores: vec![0.0; profile.cores],
             profile,
-            life: Life::Up,
+            state: ServerState::Up,
             cold_since: None,
             held: BTreeMap::new(),
             orphans: BTreeMap::new(),
-            agenda: Agenda::default(),
+            timers: EventQueue::default(),
             paused_until: 0,
             silent_until: 0,
             drops: 0,
@@ -139,7 +139,7 @@
             received: VecDeque::new(),
             sum: 0.0,
             over: false,
-            report: Report::default(),
+            report: LoadReport::default(),
             reported: 0,
             worked: 0.0,
             asked: 0.0,
@@ -147,11 +147,11 @@
         }
     }
 
-    pub fn life(&self) -> Life {
-        self.life
+    pub fn state(&self) -> ServerState {
+        self.state
     }
 
-    pub fn held(&self) -> usize {
+    pub fn sessions_held(&self) -> usize {
         self.held.values().filter(|h| h.stands).count()
     }
 
@@ -178,64 +178,71 @@
 
     /// Whether it answers those who connect.
     pub fn listens(&self) -> bool {
-        matches!(self.life, Life::Up | Life::Draining)
+        matches!(self.state, ServerState::Up | ServerState::Draining)
     }
 
     /// A session's first line has come.
-    pub fn head(
+    pub fn receive_request(
         &mut self,
         now: Timestamp,
-        conn: Conn,
+        conn: ConnectionId,
         session: u64,
         load: f64,
-        store: &mut Store,
-        out: &mut Vec<Out>,
+        store: &mut SessionStore,
+        out: &mut Vec<ServerOutput>,
     ) {
-        match self.life {
-            Life::Dead => return out.push(Out::Say(conn, Say::Cut)),
-            Life::Silent => return,
-            Life::Draining => return out.push(Out::Say(conn, Say::Busy)),
-            Life::Up => {}
+        match self.state {
+            ServerState::Dead => return out.push(ServerOutput::Send(conn, ServerMessage::Reset)),
+            ServerState::Silent => return,
+            ServerState::Draining => return out.push(ServerOutput::Send(conn, ServerMessage::AtCapacity)),
+            ServerState::Up => {}
         }
         self.receive(now, self.profile.setup_work, out);
-        if self.life == Life::Dead {
-            return out.push(Out::Say(conn, Say::Cut));
+        if self.state == ServerState::Dead {
+            return out.push(ServerOutput::Send(conn, ServerMessage::Reset));
         }
         let waits = self.cores.iter().copied().fold(f64::MAX, f64::min) - now as f64;
         if self.held.len() >= self.profile.holds || waits > self.profile.queue as f64 {
-            return out.push(Out::Say(conn, Say::Busy));
+            return out.push(ServerOutput::Send(conn, ServerMessage::AtCapacity));
         }
         self.taken += 1;
         if self.drops > 0 && self.taken.is_multiple_of(self.drops) {
-            return out.push(Out::Say(conn, Say::Cut));
+            return out.push(ServerOutput::Send(conn, ServerMessage::Reset));
         }
-        self.held.insert(conn, Held { session, load, stands: false });
+        self.held.insert(conn, ServerSession { session, load, stands: false });
         match store.call(now) {
-            Ok(at) => self.agenda.add(at, Due::Stored(conn, true)),
-            Err(at) => self.agenda.add(at, Due::Stored(conn, false)),
+            Ok(at) => self.timers.push(at, ServerTimer::Stored(conn, true)),
+            Err(at) => self.timers.push(at, ServerTimer::Stored(conn, false)),
         }
     }
 
     /// A line of an accepted session has come; it is sent back when its work is done.
-    pub fn line(&mut self, now: Timestamp, conn: Conn, work: f64, text: Vec<u8>, out: &mut Vec<Out>) {
+    pub fn receive_message(
+        &mut self,
+        now: Timestamp,
+        conn: ConnectionId,
+        work: f64,
+        text: Vec<u8>,
+        out: &mut Vec<ServerOutput>,
+    ) {
         if !self.held.contains_key(&conn) || !self.listens() {
             return;
         }
         self.receive(now, work, out);
-        if self.life != Life::Dead {
+        if self.state != ServerState::Dead {
             let at = self.work(now, work);
-            self.agenda.add(at, Due::Line(conn, text));
+            self.timers.push(at, ServerTimer::Line(conn, text));
         }
     }
 
-    pub fn probe(&mut self, now: Timestamp, conn: Conn) {
+    pub fn check_health(&mut self, now: Timestamp, conn: ConnectionId) {
         if self.listens() {
-            self.agenda.add(now, Due::Pong(conn));
+            self.timers.push(now, ServerTimer::Pong(conn));
         }
     }
 
     /// A connection has ended from the other side.
-    pub fn closed(&mut self, conn: Conn) {
+    pub fn connection_closed(&mut self, conn: ConnectionId) {
         if let Some(held) = self.held.remove(&conn).filter(|h| !h.stands) {
             self.orphans.insert(conn, held.session);
         }
@@ -253,7 +260,7 @@
     }
 
     /// Notes work that was sent here; too much of it for too long, and a cold server falls over.
-    fn receive(&mut self, now: Timestamp, work: f64, out: &mut Vec<Out>) {
+    fn receive(&mut self, now: Timestamp, work: f64, out: &mut Vec<ServerOutput>) {
         self.asked += work;
         self.received.push_back((now, work));
         self.sum += work;
@@ -268,60 +275,68 @@
         let ratio = self.sum / may.max(1e-9);
         let over = self.cold(now) && ratio > self.profile.fall_multiple;
         if over && !self.over {
-            out.push(Out::Over(ratio));
+            out.push(ServerOutput::Overloaded(ratio));
             if self.profile.falls {
-                self.die(now, out);
-                self.agenda.add(now + self.profile.back_after, Due::Back);
+                self.stop(now, out);
+                self.timers.push(now + self.profile.back_after, ServerTimer::Back);
             }
         }
         self.over = over;
     }
 
-    pub fn die(&mut self, now: Timestamp, out: &mut Vec<Out>) {
-        if self.life == Life::Dead {
+    pub fn stop(&mut self, now: Timestamp, out: &mut Vec<ServerOutput>) {
+        if self.state == ServerState::Dead {
             return;
         }
-        self.life = Life::Dead;
-        self.agenda.clear();
+        self.state = ServerState::Dead;
+        self.timers.clear();
         (self.received, self.sum) = (VecDeque::new(), 0.0);
         self.orphans.clear();
-        out.extend(std::mem::take(&mut self.held).into_keys().map(|conn| Out::Say(conn, Say::Cut)));
-        out.push(Out::Died);
+        out.extend(
+            std::mem::take(&mut self.held)
+                .into_keys()
+                .map(|conn| ServerOutput::Send(conn, ServerMessage::Reset)),
+        );
+        out.push(ServerOutput::Died);
         self.cores.fill(now as f64);
     }
 
     /// Starts anew: cold from now on.
-    pub fn start(&mut self, now: Timestamp, out: &mut Vec<Out>) {
-        self.die(now, out);
-        (self.life, self.cold_since, self.over) = (Life::Up, Some(now), false);
+    pub fn start(&mut self, now: Timestamp, out: &mut Vec<ServerOutput>) {
+        self.stop(now, out);
+        (self.state, self.cold_since, self.over) = (ServerState::Up, Some(now), false);
         (self.paused_until, self.silent_until) = (0, 0);
-        out.push(Out::Back);
+        out.push(ServerOutput::Started);
     }
 
     pub fn drain(&mut self) {
-        if self.life == Life::Up {
-            self.life = Life::Draining;
+        if self.state == ServerState::Up {
+            self.state = ServerState::Draining;
         }
     }
 
     /// Sends all that still stand away.
-    pub fn send_away(&mut self, out: &mut Vec<Out>) {
-        out.extend(std::mem::take(&mut self.held).into_keys().map(|conn| Out::Say(conn, Say::Move)));
+    pub fn migrate_sessions(&mut self, out: &mut Vec<ServerOutput>) {
+        out.extend(
+            std::mem::take(&mut self.held)
+                .into_keys()
+                .map(|conn| ServerOutput::Send(conn, ServerMessage::Migrate)),
+        );
     }
 
     /// Does nothing until then, and then answers what waited.
     pub fn pause(&mut self, until: Timestamp) {
         self.paused_until = self.paused_until.max(until);
-        self.agenda.add(until, Due::Wakes);
+        self.timers.push(until, ServerTimer::Wakes);
         self.cores.iter_mut().for_each(|free| *free = free.max(until as f64));
     }
 
     /// Cut off until then; its connections break when it is back.
     pub fn silence(&mut self, until: Timestamp) {
         if self.listens() {
-            self.life = Life::Silent;
+            self.state = ServerState::Silent;
             self.silent_until = until;
-            self.agenda.add(until, Due::Wakes);
+            self.timers.push(until, ServerTimer::Wakes);
         }
     }
 
@@ -330,62 +345,64 @@
         self.drops = n;
     }
 
-    pub fn due(&self) -> Timestamp {
-        match self.life {
-            Life::Silent => self.silent_until,
-            _ => self.agenda.due().max(self.paused_until),
+    pub fn next_event_at(&self) -> Timestamp {
+        match self.state {
+            ServerState::Silent => self.silent_until,
+            _ => self.timers.next_at().max(self.paused_until),
         }
     }
 
     /// All that is done by now.
-    pub fn turn(&mut self, now: Timestamp, out: &mut Vec<Out>) {
-        if self.life == Life::Silent {
+    pub fn advance(&mut self, now: Timestamp, out: &mut Vec<ServerOutput>) {
+        if self.state == ServerState::Silent {
             if now < self.silent_until {
                 return;
             }
             // What it held breaks now; it has been running all the time and is as warm as it was.
-            self.die(now, out);
-            self.life = Life::Up;
-            out.push(Out::Back);
+            self.stop(now, out);
+            self.state = ServerState::Up;
+            out.push(ServerOutput::Started);
         }
         if now < self.paused_until {
             return;
         }
         self.measure(now);
-        while let Some((at, due)) = self.agenda.pop(now) {
+        while let Some((at, due)) = self.timers.pop_due(now) {
             match due {
-                Due::Stored(conn, true) => {
+                ServerTimer::Stored(conn, true) => {
                     // Given up or not, it is worked at.
                     if self.held.contains_key(&conn) || self.orphans.contains_key(&conn) {
                         let ready = self.work(at.max(self.paused_until), self.profile.setup_work);
-                        self.agenda.add(ready, Due::Ready(conn));
+                        self.timers.push(ready, ServerTimer::Ready(conn));
                     }
                 }
-                Due::Stored(conn, false) => {
+                ServerTimer::Stored(conn, false) => {
                     self.orphans.remove(&conn);
                     if self.held.remove(&conn).is_some() {
-                        out.push(Out::Say(conn, Say::Error));
+                        out.push(ServerOutput::Send(conn, ServerMessage::Failed));
                     }
                 }
-                Due::Ready(conn) => match (self.held.get_mut(&conn), self.orphans.remove(&conn)) {
+                ServerTimer::Ready(conn) => match (self.held.get_mut(&conn), self.orphans.remove(&conn)) {
                     (Some(held), _) => {
                         held.stands = true;
                         let load = held.load;
-                        out.push(Out::Ran(held.session));
-                        out.push(Out::Say(conn, Say::Up));
-                        out.push(Out::Say(conn, Say::Load(load)));
+                        out.push(ServerOutput::Ran(held.session));
+                        out.push(ServerOutput::Send(conn, ServerMessage::Accepted));
+                        out.push(ServerOutput::Send(conn, ServerMessage::Load(load)));
                     }
-                    (None, Some(session)) => out.push(Out::RanLate(session)),
+                    (None, Some(session)) => out.push(ServerOutput::RanAfterAbandoned(session)),
                     (None, None) => {}
                 },
-                Due::Line(conn, text) => {
+                ServerTimer::Line(conn, text) => {
                     if self.held.contains_key(&conn) {
-                        out.push(Out::Say(conn, Say::Line(text)));
+                        out.push(ServerOutput::Send(conn, ServerMessage::Message(text)));
                     }
                 }
-                Due::Pong(conn) => out.push(Out::Say(conn, Say::Pong(self.report))),
-                Due::Back => self.start(now, out),
-                Due::Wakes => {}
+                ServerTimer::Pong(conn) => {
+                    out.push(ServerOutput::Send(conn, ServerMessage::HealthReport(self.report)))
+                }
+                ServerTimer::Back => self.start(now, out),
+                ServerTimer::Wakes => {}
             }
         }
     }
@@ -400,7 +417,7 @@
         // What it holds asks for so much, whatever has come of it yet; set-ups come on top.
         let asked = (load * span as f64 / SECOND as f64).max(self.asked);
         self.report =
-            Report { held: self.held.len(), used: (self.worked / could).min(1.0), asked: asked / could };
+            LoadReport { held: self.held.len(), used: (self.worked / could).min(1.0), asked: asked / could };
         (self.worked, self.asked, self.reported) = (0.0, 0.0, now);
     }
 }
--- a/crates/larklink-simulation/src/store.rs
+++ b/crates/larklink-simulation/src/session_store.rs
@@ -2,10 +2,10 @@
 //! long a call may wait. It goes on working at calls whose sessions have been given up.
 use larklink_balancer::{TickDuration, Timestamp};
 
-use crate::spans::SECOND;
+use crate::duration::SECOND;
 
 #[derive(Clone, Debug)]
-pub struct Store {
+pub struct SessionStore {
     /// Calls a second when it is well.
     rate: f64,
     /// A call that would wait for longer fails after this.
@@ -17,12 +17,12 @@
     pub failed: u64,
 }
 
-impl Store {
+impl SessionStore {
     pub fn new(rate: f64, bound: TickDuration) -> Self {
         Self { rate, bound, slower: 1.0, free: 0.0, calls: 0, failed: 0 }
     }
 
-    pub fn slow(&mut self, factor: f64) {
+    pub fn set_slowdown(&mut self, factor: f64) {
         self.slower = factor.max(1e-3);
     }
 
--- a/crates/larklink-simulation/src/simulate.rs
+++ b/crates/larklink-simulation/src/simulate.rs
@@ -10,15 +10,15 @@
 use larklink_engine::settings::ProxySettings;
 
 use crate::audit::{Findings, audit};
-use crate::book::{Answer, Ask, Book, DialEnd, End, What};
-use crate::clients::Act;
-use crate::faults::Upon;
+use crate::clients::ClientAction;
+use crate::duration::{EventQueue, SECOND};
+use crate::endpoint_list::{EndpointListEntry, EndpointStatus};
+use crate::event_log::{AttemptEnd, ClientRequest, ClientResponse, ConnectionEnd, EventKind, EventLog};
+use crate::faults::ProxyFault;
 use crate::goodput::{Recovery, recovery};
-use crate::list::{Line, Status};
-use crate::scenario::{Kind, Scenario};
-use crate::server::{Conn, Say};
-use crate::spans::{Agenda, SECOND};
-use crate::world::{Deed, World};
+use crate::scenario::{Scenario, SessionKind};
+use crate::server::{ConnectionId, ServerMessage};
+use crate::world::{World, WorldAction};
 
 /// From one end of a connection to the other.
 const HOP: TickDuration = 2;
@@ -36,7 +36,7 @@
 
 /// A run's book, what the audit found in it, and its service.
 pub struct Run {
-    pub book: Book,
+    pub event_log: EventLog,
     pub findings: Findings,
     pub service: f64,
     pub recovery: Option<Recovery>,
@@ -49,15 +49,15 @@
     Probe { proxy: usize, sent: Timestamp },
 }
 
-enum Hop {
-    Open(usize, Ask),
-    ToServer(usize, Conn),
-    FromServer(usize, Conn, Say),
-    ToClient(u64, Told),
+enum ScheduledEvent {
+    Open(usize, ClientRequest),
+    ToServer(usize, ConnectionId),
+    FromServer(usize, ConnectionId, ServerMessage),
+    ToClient(u64, ClientMessage),
     ClientLine(u64, u64),
     /// A dial that its proxy gives up at its limit, and one whose connection does not come up.
-    Limit(Conn),
-    Unmade(Conn),
+    Limit(ConnectionId),
+    Unmade(ConnectionId),
     List(usize),
     Start(usize),
     /// A proxy that stops sends a session away, and looks whether it has ended.
@@ -67,20 +67,20 @@
 }
 
 #[derive(Clone)]
-enum Told {
-    Answer(Answer),
-    Move,
-    Ended,
-    Line(u64),
+enum ClientMessage {
+    Response(ClientResponse),
+    Migrate,
+    ConnectionEnded,
+    Message(u64),
 }
 
-struct Flow {
+struct ProxySession {
     proxy: usize,
     number: u32,
-    ask: Ask,
-    conn: Option<Conn>,
+    ask: ClientRequest,
+    conn: Option<ConnectionId>,
     /// The connection on which it was accepted.
-    stands: Option<Conn>,
+    stands: Option<ConnectionId>,
     told: u64,
     /// A dial of it that is over may have run.
     may_have_run: bool,
@@ -115,14 +115,14 @@
     }
 }
 
-struct Sim<'a> {
+struct Simulation<'a> {
     scenario: &'a Scenario,
     world: World,
     proxies: Vec<Proxy>,
-    flows: BTreeMap<u64, Flow>,
-    peers: BTreeMap<Conn, (usize, Peer)>,
-    next_conn: Conn,
-    hops: Agenda<Hop>,
+    flows: BTreeMap<u64, ProxySession>,
+    peers: BTreeMap<ConnectionId, (usize, Peer)>,
+    next_conn: ConnectionId,
+    scheduled: EventQueue<ScheduledEvent>,
     seed: u64,
 }
 
@@ -132,9 +132,9 @@
     let grades = scenario.listeners.iter().map(|l| {
         let l = l.get_ref();
         let kind = match l.kind {
-            Kind::Repeatable => "idempotent",
-            Kind::Referenced => "deduplicated",
-            Kind::OnceOnly => "at_most_once",
+            SessionKind::Repeatable => "idempotent",
+            SessionKind::Referenced => "deduplicated",
+            SessionKind::OnceOnly => "at_most_once",
         };
         serde_json::json!({"name": l.name, "idempotency": kind, "group": "all", "window_ns": ns(l.window.0),
             "aim_ns": ns(l.handshake_target.0), "deadline_ns": ns(l.dial_timeout.0)})
@@ -165,14 +165,14 @@
 /// Runs a scenario from a seed.
 pub fn run(scenario: &Scenario, seed: u64) -> Run {
     let world = World::new(scenario, seed);
-    let mut sim = Sim {
+    let mut sim = Simulation {
         scenario,
         world,
         proxies: Vec::new(),
         flows: BTreeMap::new(),
         peers: BTreeMap::new(),
         next_conn: 1,
-        hops: Agenda::default(),
+        scheduled: EventQueue::default(),
         seed,
     };
     for proxy in 0..scenario.proxies.count {
@@ -184,10 +184,10 @@
     let end = scenario.end();
     let mut now = 0;
     while now <= end {
-        while let Some((_, hop)) = sim.hops.pop(now) {
+        while let Some((_, hop)) = sim.scheduled.pop_due(now) {
             sim.hop(now, hop);
         }
-        let deeds = sim.world.turn(now);
+        let deeds = sim.world.advance(now);
         sim.carry(now, deeds);
         for proxy in 0..sim.proxies.len() {
             sim.poll(now, proxy);
@@ -195,16 +195,16 @@
         let engine =
             |p: &Proxy| if p.alive { p.engine.next_wakeup().saturating_sub(ORIGIN) } else { Timestamp::MAX };
         let cores = sim.proxies.iter().map(engine).min().unwrap_or(Timestamp::MAX);
-        now = sim.world.due().min(sim.hops.due()).min(cores).max(now + 1);
+        now = sim.world.next_event_at().min(sim.scheduled.next_at()).min(cores).max(now + 1);
     }
     sim.world.clients.finish(end);
     let service = sim.world.clients.service();
-    let findings = audit(scenario, &sim.world.book, end);
-    let recovery = recovery(scenario, &sim.world.book);
-    Run { book: sim.world.book, findings, service, recovery }
+    let findings = audit(scenario, &sim.world.event_log, end);
+    let recovery = recovery(scenario, &sim.world.event_log);
+    Run { event_log: sim.world.event_log, findings, service, recovery }
 }
 
-impl Sim<'_> {
+impl Simulation<'_> {
     fn engine(&self, now: Timestamp, proxy: usize) -> Engine {
         let facts = settings(self.scenario, proxy).to_string();
         let facts = ProxySettings::read(facts.as_bytes()).expect("settings of our own make");
@@ -213,23 +213,23 @@
     }
 
     fn hear_list(&mut self, now: Timestamp, proxy: usize) {
-        if !self.proxies[proxy].alive || !self.world.list.answers(now) {
+        if !self.proxies[proxy].alive || !self.world.endpoint_list.is_reachable(now) {
             return;
         }
         let known = self.proxies[proxy].known;
-        let (version, lines) = self.world.tell(now, proxy, known);
+        let (version, lines) = self.world.notify_proxy(now, proxy, known);
         let scope = if known.is_some() { ListScope::Changes } else { ListScope::Complete };
         let weights: Vec<f64> = self.scenario.each_server().map(|s| s.weight).collect();
         let zones = self.scenario.proxies.zones;
-        let entry = |line: &Line| EndpointEntry {
+        let entry = |line: &EndpointListEntry| EndpointEntry {
             endpoint: 0,
             id: line.server as u32 + 1,
             zone: (line.server % zones) as u16,
             cell: 0,
             state: match line.status {
-                Status::Up => EndpointState::Ready,
-                Status::Draining => EndpointState::Draining,
-                Status::Removed => EndpointState::Removed,
+                EndpointStatus::Up => EndpointState::Ready,
+                EndpointStatus::Draining => EndpointState::Draining,
+                EndpointStatus::Removed => EndpointState::Removed,
             },
             weight: weights[line.server],
             started_at: if line.started == 0 { 0 } else { ORIGIN + line.started },
@@ -247,39 +247,43 @@
         }
     }
 
-    fn carry(&mut self, now: Timestamp, deeds: Vec<Deed>) {
+    fn carry(&mut self, now: Timestamp, deeds: Vec<WorldAction>) {
         for deed in deeds {
             match deed {
-                Deed::Say { server, conn, say } => {
-                    self.hops.add(now + HOP, Hop::FromServer(server, conn, say))
+                WorldAction::Send { server, connection: conn, message: say } => {
+                    self.scheduled.push(now + HOP, ScheduledEvent::FromServer(server, conn, say))
                 }
-                Deed::Down { server } => {
+                WorldAction::StopListening { server } => {
                     let broken: Vec<_> =
                         self.peers.iter().filter(|(_, (s, _))| *s == server).map(|(&conn, _)| conn).collect();
                     for conn in broken {
-                        self.hops.add(now + HOP, Hop::FromServer(server, conn, Say::Cut));
+                        self.scheduled
+                            .push(now + HOP, ScheduledEvent::FromServer(server, conn, ServerMessage::Reset));
                     }
                 }
-                Deed::Listen { .. } | Deed::Proxy(_, Upon::Reload | Upon::Replace) => {}
-                Deed::Client(act) => self.client(now, act),
-                Deed::Drop(ids) => ids.into_iter().for_each(|id| self.client_gone(now, id)),
-                Deed::Proxy(proxy, Upon::KillAtAccept { back }) => {
+                WorldAction::Listen { .. }
+                | WorldAction::Proxy(_, ProxyFault::Reload | ProxyFault::Replace) => {}
+                WorldAction::Client(act) => self.client(now, act),
+                WorldAction::DisconnectClients(ids) => {
+                    ids.into_iter().for_each(|id| self.client_gone(now, id))
+                }
+                WorldAction::Proxy(proxy, ProxyFault::KillAtAccept { back }) => {
                     let p = &mut self.proxies[proxy];
                     (p.armed, p.back) = (p.alive, back);
                 }
-                Deed::Proxy(proxy, Upon::Kill) => self.end_proxy(now, proxy, false),
-                Deed::Proxy(proxy, Upon::Stop { back }) => self.stop_proxy(now, proxy, back),
-                Deed::Proxy(proxy, Upon::Start) => self.start_proxy(now, proxy),
-                Deed::ListChanged => {
+                WorldAction::Proxy(proxy, ProxyFault::Kill) => self.end_proxy(now, proxy, false),
+                WorldAction::Proxy(proxy, ProxyFault::Stop { back }) => self.stop_proxy(now, proxy, back),
+                WorldAction::Proxy(proxy, ProxyFault::Start) => self.start_proxy(now, proxy),
+                WorldAction::EndpointListChanged => {
                     for proxy in 0..self.proxies.len() {
-                        self.hops.add(now + HOP, Hop::List(proxy));
+                        self.scheduled.push(now + HOP, ScheduledEvent::List(proxy));
                     }
                 }
             }
         }
         // A list that was out of reach is read as soon as it answers.
-        if self.proxies.iter().any(|p| p.alive && p.known != Some(self.world.list.version())) {
-            self.hops.add(now + SECOND / 10, Hop::Wakes);
+        if self.proxies.iter().any(|p| p.alive && p.known != Some(self.world.endpoint_list.version())) {
+            self.scheduled.push(now + SECOND / 10, ScheduledEvent::Wakes);
         }
     }
 
@@ -308,7 +312,7 @@
             .filter(|id| self.flows.get(id).is_some_and(|f| f.stands.is_some()))
             .collect();
         stand.into_iter().for_each(|id| self.move_by_chance(now, proxy, id));
-        self.hops.add(now + STILL_COMING, Hop::Stops(proxy));
+        self.scheduled.push(now + STILL_COMING, ScheduledEvent::Stops(proxy));
     }
 
     /// Where its proxy stops, a session that stands leaves within its share of the time; its id is drawn by chance.
@@ -316,7 +320,7 @@
         if let Some((_, until)) = self.proxies[proxy].stops {
             let share = (id % 1024) as f64 / 1024.0 * MOVED_BY;
             let wait = until.saturating_sub(now) as f64 * share;
-            self.hops.add(now + wait as TickDuration, Hop::SendAway(id));
+            self.scheduled.push(now + wait as TickDuration, ScheduledEvent::SendAway(id));
         }
     }
 
@@ -333,14 +337,14 @@
             self.end_proxy(now, proxy, true);
             self.start_again(now, proxy);
         } else {
-            self.hops.add(now + LOOK, Hop::Stops(proxy));
+            self.scheduled.push(now + LOOK, ScheduledEvent::Stops(proxy));
         }
     }
 
     /// It starts again when it is to, after its end.
     fn start_again(&mut self, now: Timestamp, proxy: usize) {
         if let Some(back) = self.proxies[proxy].back.take() {
-            self.hops.add(now + back, Hop::Start(proxy));
+            self.scheduled.push(now + back, ScheduledEvent::Start(proxy));
         }
     }
 
@@ -351,7 +355,12 @@
         let may_have_run = flow.may_have_run || flow.conn.is_some();
         self.close_dial(now, id);
         self.proxies[proxy].engine.client_left(number);
-        self.answer(now, proxy, number, if may_have_run { Answer::TornDown } else { Answer::Refused(0) });
+        self.answer(
+            now,
+            proxy,
+            number,
+            if may_have_run { ClientResponse::Failed } else { ClientResponse::Rejected(0) },
+        );
     }
 
     fn send_away(&mut self, now: Timestamp, id: u64) {
@@ -360,7 +369,7 @@
         if self.proxies[proxy].flows.remove(&number).is_some() {
             self.proxies[proxy].engine.client_left(number);
             self.close_dial(now, id);
-            self.hops.add(now + HOP, Hop::ToClient(id, Told::Move));
+            self.scheduled.push(now + HOP, ScheduledEvent::ToClient(id, ClientMessage::Migrate));
         }
     }
 
@@ -368,26 +377,28 @@
         let p = &mut self.proxies[proxy];
         p.alive = false;
         let flows = std::mem::take(&mut p.flows);
-        self.world.proxy_gone(now, proxy, planned);
+        self.world.proxy_exited(now, proxy, planned);
         for id in flows.into_values() {
-            let how = if planned { Told::Move } else { Told::Ended };
+            let how = if planned { ClientMessage::Migrate } else { ClientMessage::ConnectionEnded };
             self.close_dial(now, id);
-            self.hops.add(now + HOP, Hop::ToClient(id, how));
+            self.scheduled.push(now + HOP, ScheduledEvent::ToClient(id, how));
         }
         self.peers.retain(|_, (_, peer)| !matches!(peer, Peer::Probe { proxy: p, .. } if *p == proxy));
     }
 
-    fn client(&mut self, now: Timestamp, act: Act) {
+    fn client(&mut self, now: Timestamp, act: ClientAction) {
         match act {
-            Act::Open(ask) => {
-                if let Some(proxy) = self.world.deal(now, &ask) {
-                    self.world.book.note(now, What::Opened { ask: ask.clone(), proxy });
-                    self.hops.add(now + HOP, Hop::Open(proxy, ask));
+            ClientAction::Connect(ask) => {
+                if let Some(proxy) = self.world.assign_proxy(now, &ask) {
+                    self.world.event_log.record(now, EventKind::Opened { request: ask.clone(), proxy });
+                    self.scheduled.push(now + HOP, ScheduledEvent::Open(proxy, ask));
                 }
             }
-            Act::Line { id, number } => self.hops.add(now + HOP, Hop::ClientLine(id, number)),
-            Act::GiveUp { id } | Act::Leave { id } => self.client_gone(now, id),
-            Act::Silent { .. } => {}
+            ClientAction::SendMessage { id, number } => {
+                self.scheduled.push(now + HOP, ScheduledEvent::ClientLine(id, number))
+            }
+            ClientAction::TimeOut { id } | ClientAction::Leave { id } => self.client_gone(now, id),
+            ClientAction::Silent { .. } => {}
         }
     }
 
@@ -405,54 +416,54 @@
     fn close_dial(&mut self, now: Timestamp, id: u64) {
         let conn = self.flows.get_mut(&id).and_then(|f| f.conn.take());
         if let Some((conn, (server, _))) = conn.and_then(|c| self.peers.remove(&c).map(|p| (c, p))) {
-            self.world.dial_ended(now, server, conn, id, DialEnd::GivenUp);
+            self.world.attempt_ended(now, server, conn, id, AttemptEnd::Abandoned);
         }
     }
 
-    fn hop(&mut self, now: Timestamp, hop: Hop) {
+    fn hop(&mut self, now: Timestamp, hop: ScheduledEvent) {
         match hop {
-            Hop::Wakes => (0..self.proxies.len()).for_each(|p| self.hear_list(now, p)),
-            Hop::Start(proxy) => self.start_proxy(now, proxy),
-            Hop::SendAway(id) => self.send_away(now, id),
-            Hop::Stops(proxy) => self.stopping(now, proxy),
-            Hop::List(proxy) => self.hear_list(now, proxy),
-            Hop::Open(proxy, ask) => self.open(now, proxy, ask),
-            Hop::ToServer(server, conn) => self.reach_server(now, server, conn),
-            Hop::FromServer(server, conn, say) => self.server_says(now, server, conn, say),
-            Hop::Limit(conn) => self.settle(now, conn, AttemptOutcome::TimedOut),
-            Hop::Unmade(conn) => self.settle(now, conn, AttemptOutcome::ConnectFailed),
-            Hop::ClientLine(id, number) => {
+            ScheduledEvent::Wakes => (0..self.proxies.len()).for_each(|p| self.hear_list(now, p)),
+            ScheduledEvent::Start(proxy) => self.start_proxy(now, proxy),
+            ScheduledEvent::SendAway(id) => self.send_away(now, id),
+            ScheduledEvent::Stops(proxy) => self.stopping(now, proxy),
+            ScheduledEvent::List(proxy) => self.hear_list(now, proxy),
+            ScheduledEvent::Open(proxy, ask) => self.open(now, proxy, ask),
+            ScheduledEvent::ToServer(server, conn) => self.reach_server(now, server, conn),
+            ScheduledEvent::FromServer(server, conn, say) => self.server_says(now, server, conn, say),
+            ScheduledEvent::Limit(conn) => self.settle(now, conn, AttemptOutcome::TimedOut),
+            ScheduledEvent::Unmade(conn) => self.settle(now, conn, AttemptOutcome::ConnectFailed),
+            ScheduledEvent::ClientLine(id, number) => {
                 let at = self.flows.get(&id).and_then(|f| f.conn);
                 if let Some((conn, (server, _))) = at.and_then(|c| self.peers.get(&c).map(|p| (c, *p))) {
                     let text = number.to_le_bytes().to_vec();
-                    let deeds = self.world.line(now, server, conn, id, None, text);
+                    let deeds = self.world.message_to_server(now, server, conn, id, None, text);
                     self.carry(now, deeds);
                 }
             }
-            Hop::ToClient(id, told) => self.tell_client(now, id, told),
+            ScheduledEvent::ToClient(id, told) => self.tell_client(now, id, told),
         }
     }
 
-    fn tell_client(&mut self, now: Timestamp, id: u64, told: Told) {
+    fn tell_client(&mut self, now: Timestamp, id: u64, told: ClientMessage) {
         match told {
-            Told::Answer(answer) => self.world.answered(now, id, answer),
-            Told::Line(number) => {
-                self.world.back(now, id, number, None);
+            ClientMessage::Response(answer) => self.world.response_received(now, id, answer),
+            ClientMessage::Message(number) => {
+                self.world.message_returned(now, id, number, None);
             }
-            Told::Move => {
+            ClientMessage::Migrate => {
                 self.flows.remove(&id);
-                self.world.ended(now, id, End::Moved);
+                self.world.connection_ended(now, id, ConnectionEnd::Migrated);
             }
-            Told::Ended => {
+            ClientMessage::ConnectionEnded => {
                 self.flows.remove(&id);
-                self.world.ended(now, id, End::Broken);
+                self.world.connection_ended(now, id, ConnectionEnd::Broken);
             }
         }
     }
 
-    fn open(&mut self, now: Timestamp, proxy: usize, ask: Ask) {
+    fn open(&mut self, now: Timestamp, proxy: usize, ask: ClientRequest) {
         if !self.proxies[proxy].alive {
-            return self.world.nobody_there(now, ask.id, proxy);
+            return self.world.proxy_unreachable(now, ask.id, proxy);
         }
         let session = SessionRequest {
             listener: ask.listener,
@@ -460,7 +471,7 @@
             client_key: ask.key,
             dial_timeout: ask.patience,
             established: false,
-            reconnecting: ask.again,
+            reconnecting: ask.reconnecting,
             client_retry: ask.retry,
         };
         let p = &mut self.proxies[proxy];
@@ -468,8 +479,10 @@
         p.next += 1;
         p.flows.insert(number, ask.id);
         let told = ask.patience / 10;
-        self.flows
-            .insert(ask.id, Flow { proxy, number, ask, conn: None, stands: None, told, may_have_run: false });
+        self.flows.insert(
+            ask.id,
+            ProxySession { proxy, number, ask, conn: None, stands: None, told, may_have_run: false },
+        );
         if std::mem::take(&mut self.proxies[proxy].armed) {
             self.end_proxy(now, proxy, false);
             return self.start_again(now, proxy);
@@ -489,71 +502,77 @@
                 let flow = self.flows.get_mut(&id).expect("a flow of its proxy");
                 (flow.conn, flow.told) = (Some(conn), limit / 10);
                 self.reach(now, server, conn, limit.min(self.scenario.rules.connect_timeout.0));
-                self.hops.add(now + limit, Hop::Limit(conn));
+                self.scheduled.push(now + limit, ScheduledEvent::Limit(conn));
             }
             ProxyAction::Reject { session, retry_after } => {
-                self.answer(now, proxy, session, Answer::Refused(retry_after.div_ceil(10)));
+                self.answer(now, proxy, session, ClientResponse::Rejected(retry_after.div_ceil(10)));
             }
-            ProxyAction::Fail { session } => self.answer(now, proxy, session, Answer::TornDown),
+            ProxyAction::Fail { session } => self.answer(now, proxy, session, ClientResponse::Failed),
             ProxyAction::Migrate { session } => {
                 if let Some(id) = self.proxies[proxy].flows.remove(&session) {
                     self.close_dial(now, id);
-                    self.hops.add(now + HOP, Hop::ToClient(id, Told::Move));
+                    self.scheduled.push(now + HOP, ScheduledEvent::ToClient(id, ClientMessage::Migrate));
                 }
             }
             ProxyAction::CheckHealth { endpoint: server } => {
                 let server = server as usize - 1;
                 let conn = self.connect(server, Peer::Probe { proxy, sent: now });
                 self.reach(now, server, conn, self.scenario.rules.connect_timeout.0);
-                self.hops.add(now + self.scenario.rules.connect_timeout.0, Hop::Limit(conn));
+                self.scheduled.push(now + self.scenario.rules.connect_timeout.0, ScheduledEvent::Limit(conn));
             }
             ProxyAction::LimitSendDeadline { .. } | ProxyAction::PollEndpointList | ProxyAction::Log(_) => {}
         }
     }
 
-    fn connect(&mut self, server: usize, peer: Peer) -> Conn {
+    fn connect(&mut self, server: usize, peer: Peer) -> ConnectionId {
         self.next_conn += 1;
         self.peers.insert(self.next_conn, (server, peer));
         self.next_conn
     }
 
     /// A dead server refuses at once; a silent one never answers.
-    fn reach(&mut self, now: Timestamp, server: usize, conn: Conn, connect: TickDuration) {
-        match self.world.servers[server].life() {
-            crate::server::Life::Dead => self.hops.add(now + 2 * HOP, Hop::Unmade(conn)),
-            crate::server::Life::Silent => self.hops.add(now + connect, Hop::Unmade(conn)),
-            _ => self.hops.add(now + HOP, Hop::ToServer(server, conn)),
+    fn reach(&mut self, now: Timestamp, server: usize, conn: ConnectionId, connect: TickDuration) {
+        match self.world.servers[server].state() {
+            crate::server::ServerState::Dead => {
+                self.scheduled.push(now + 2 * HOP, ScheduledEvent::Unmade(conn))
+            }
+            crate::server::ServerState::Silent => {
+                self.scheduled.push(now + connect, ScheduledEvent::Unmade(conn))
+            }
+            _ => self.scheduled.push(now + HOP, ScheduledEvent::ToServer(server, conn)),
         }
     }
 
-    fn answer(&mut self, now: Timestamp, proxy: usize, session: u32, answer: Answer) {
+    fn answer(&mut self, now: Timestamp, proxy: usize, session: u32, answer: ClientResponse) {
         if let Some(id) = self.proxies[proxy].flows.remove(&session) {
             self.flows.remove(&id);
-            self.hops.add(now + HOP, Hop::ToClient(id, Told::Answer(answer)));
+            self.scheduled.push(now + HOP, ScheduledEvent::ToClient(id, ClientMessage::Response(answer)));
         }
     }
 
-    fn reach_server(&mut self, now: Timestamp, server: usize, conn: Conn) {
+    fn reach_server(&mut self, now: Timestamp, server: usize, conn: ConnectionId) {
         match self.peers.get(&conn) {
-            Some((_, Peer::Probe { .. })) => self.world.servers[server].probe(now, conn),
+            Some((_, Peer::Probe { .. })) => self.world.servers[server].check_health(now, conn),
             Some(&(_, Peer::Session { id, .. })) => {
                 let Some(flow) = self.flows.get(&id) else { return };
                 let (told, listener) = (flow.told, flow.ask.listener);
-                let deeds = self.world.dialled(now, server, conn, id, told, listener);
+                let deeds = self.world.attempt_started(now, server, conn, id, told, listener);
                 self.carry(now, deeds);
             }
             None => {}
         }
     }
 
-    fn server_says(&mut self, now: Timestamp, server: usize, conn: Conn, say: Say) {
+    fn server_says(&mut self, now: Timestamp, server: usize, conn: ConnectionId, say: ServerMessage) {
         let Some(&(_, peer)) = self.peers.get(&conn) else { return };
         let (proxy, number, dial, id) = match peer {
             Peer::Session { proxy, number, dial, id } => (proxy, number, dial, id),
             Peer::Probe { proxy, sent } => {
                 self.peers.remove(&conn);
                 let (how, values) = match say {
-                    Say::Pong(r) => (AttemptOutcome::Succeeded, vec![r.held as f64, r.used, r.asked]),
+                    ServerMessage::HealthReport(r) => {
+                        (AttemptOutcome::Succeeded, vec![r.held as f64, r.used, r.asked])
+                    }
                     _ => (AttemptOutcome::Reset, Vec::new()),
                 };
                 let engine = &mut self.proxies[proxy].engine;
@@ -568,29 +587,35 @@
         };
         let engine = &mut self.proxies[proxy].engine;
         match say {
-            Say::Up => {
+            ServerMessage::Accepted => {
                 engine.established(ORIGIN + now, number, dial);
                 let Some(flow) = self.flows.get_mut(&id) else { return };
                 flow.stands = Some(conn);
                 self.move_by_chance(now, proxy, id);
-                self.world.book.note(now, What::DialEnded { id, server, conn, how: DialEnd::Accepted });
-                self.hops.add(now + HOP, Hop::ToClient(id, Told::Answer(Answer::Accepted)));
+                self.world.event_log.record(
+                    now,
+                    EventKind::AttemptEnded { id, server, connection: conn, end: AttemptEnd::Accepted },
+                );
+                self.scheduled.push(
+                    now + HOP,
+                    ScheduledEvent::ToClient(id, ClientMessage::Response(ClientResponse::Accepted)),
+                );
             }
-            Say::Pong(_) => {}
-            Say::Load(load) => engine.observe(ORIGIN + now, number, dial, Observation::Load(load)),
-            Say::Line(text) => {
+            ServerMessage::HealthReport(_) => {}
+            ServerMessage::Load(load) => engine.observe(ORIGIN + now, number, dial, Observation::Load(load)),
+            ServerMessage::Message(text) => {
                 let number = u64::from_le_bytes(text.try_into().unwrap_or_default());
-                self.hops.add(now + HOP, Hop::ToClient(id, Told::Line(number)));
+                self.scheduled.push(now + HOP, ScheduledEvent::ToClient(id, ClientMessage::Message(number)));
             }
-            Say::Busy => self.settle(now, conn, AttemptOutcome::AtCapacity),
-            Say::Error => self.settle(now, conn, AttemptOutcome::Failed),
-            Say::Cut => self.settle(now, conn, AttemptOutcome::Reset),
-            Say::Move => self.settle(now, conn, AttemptOutcome::Cancelled),
+            ServerMessage::AtCapacity => self.settle(now, conn, AttemptOutcome::AtCapacity),
+            ServerMessage::Failed => self.settle(now, conn, AttemptOutcome::Failed),
+            ServerMessage::Reset => self.settle(now, conn, AttemptOutcome::Reset),
+            ServerMessage::Migrate => self.settle(now, conn, AttemptOutcome::Cancelled),
         }
     }
 
     /// A dial, or an accepted session's connection, has ended so.
-    fn settle(&mut self, now: Timestamp, conn: Conn, how: AttemptOutcome) {
+    fn settle(&mut self, now: Timestamp, conn: ConnectionId, how: AttemptOutcome) {
         let Some(&(server, peer)) = self.peers.get(&conn) else { return };
         let Peer::Session { proxy, number, dial, id } = peer else {
             self.peers.remove(&conn);
@@ -611,15 +636,15 @@
         }
         self.peers.remove(&conn);
         let seen = match how {
-            AttemptOutcome::AtCapacity => Some(DialEnd::TurnedAway),
-            AttemptOutcome::Failed => Some(DialEnd::Failed),
-            AttemptOutcome::Reset => Some(DialEnd::Cut),
-            AttemptOutcome::Cancelled => Some(DialEnd::SentAway),
-            AttemptOutcome::TimedOut => Some(DialEnd::GivenUp),
+            AttemptOutcome::AtCapacity => Some(AttemptEnd::Rejected),
+            AttemptOutcome::Failed => Some(AttemptEnd::Failed),
+            AttemptOutcome::Reset => Some(AttemptEnd::Reset),
+            AttemptOutcome::Cancelled => Some(AttemptEnd::Migrated),
+            AttemptOutcome::TimedOut => Some(AttemptEnd::Abandoned),
             _ => None,
         };
         if let Some(seen) = seen {
-            self.world.dial_ended(now, server, conn, id, seen);
+            self.world.attempt_ended(now, server, conn, id, seen);
         }
         if let Some(flow) = self.flows.get_mut(&id) {
             flow.conn = None;
@@ -629,8 +654,12 @@
         if let Some(action) = action {
             self.act(now, proxy, action);
         } else if stood && self.proxies[proxy].flows.remove(&number).is_some() {
-            let told = if how == AttemptOutcome::Cancelled { Told::Move } else { Told::Ended };
-            self.hops.add(now + HOP, Hop::ToClient(id, told));
+            let told = if how == AttemptOutcome::Cancelled {
+                ClientMessage::Migrate
+            } else {
+                ClientMessage::ConnectionEnded
+            };
+            self.scheduled.push(now + HOP, ScheduledEvent::ToClient(id, told));
         }
     }
 }
--- a/crates/larklink-simulation/src/world.rs
+++ b/crates/larklink-simulation/src/world.rs
@@ -3,57 +3,59 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::book::{Answer, Ask, Book, DialEnd, End, Way, What};
-use crate::clients::{Act, Clients};
-use crate::faults::{Band, Event, Upon, timeline};
-use crate::front::Front;
-use crate::list::{Line, List, Status};
+use crate::clients::{ClientAction, Clients};
+use crate::duration::SECOND;
+use crate::endpoint_list::{EndpointList, EndpointListEntry, EndpointStatus};
+use crate::event_log::{
+    AttemptEnd, ClientRequest, ClientResponse, ConnectionEnd, Direction, EventKind, EventLog,
+};
+use crate::external_load_balancer::ExternalLoadBalancer;
+use crate::faults::{FaultBand, FaultEvent, ProxyFault, timeline};
 use crate::scenario::Scenario;
-use crate::server::{Conn, Out, Profile, Say, Server};
-use crate::spans::SECOND;
-use crate::store::Store;
+use crate::server::{ConnectionId, Server, ServerMessage, ServerOutput, ServerProfile};
+use crate::session_store::SessionStore;
 
 /// A line may be held for so long, and what is measured on sockets is so much late.
 const HELD: TickDuration = SECOND + SECOND / 20;
 
 /// What the carrier is to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Deed {
+pub enum WorldAction {
     /// On a connection to a server.
-    Say {
+    Send {
         server: usize,
-        conn: Conn,
-        say: Say,
+        connection: ConnectionId,
+        message: ServerMessage,
     },
     /// Nobody listens there any more, and all its connections break.
-    Down {
+    StopListening {
         server: usize,
     },
     /// It listens (again).
     Listen {
         server: usize,
     },
-    Client(Act),
+    Client(ClientAction),
     /// These clients lose their connections.
-    Drop(Vec<u64>),
-    Proxy(usize, Upon),
+    DisconnectClients(Vec<u64>),
+    Proxy(usize, ProxyFault),
     /// The list has a newer version.
-    ListChanged,
+    EndpointListChanged,
 }
 
 pub struct World {
     pub servers: Vec<Server>,
-    pub store: Store,
+    pub session_store: SessionStore,
     pub clients: Clients,
-    pub front: Front,
-    pub list: List,
-    pub book: Book,
-    pub bands: Vec<Band>,
-    faults: std::iter::Peekable<std::vec::IntoIter<(TickDuration, Event)>>,
+    pub load_balancer: ExternalLoadBalancer,
+    pub endpoint_list: EndpointList,
+    pub event_log: EventLog,
+    pub fault_bands: Vec<FaultBand>,
+    faults: std::iter::Peekable<std::vec::IntoIter<(TickDuration, FaultEvent)>>,
 }
 
-fn profile(s: &crate::scenario::Servers) -> Profile {
-    Profile {
+fn profile(s: &crate::scenario::ServerGroup) -> ServerProfile {
+    ServerProfile {
         cores: s.cores,
         speed: s.speed,
         holds: s.holds,
@@ -81,107 +83,121 @@
         let (faults, bands) = timeline(scenario, &mut chance(1));
         let listeners = scenario.listeners.iter().map(|l| l.get_ref().clone()).collect();
         let mut servers: Vec<_> = scenario.each_server().map(|s| Server::new(profile(s))).collect();
-        let mut list = List::new(servers.len(), scenario.list.lag.0);
+        let mut endpoint_list = EndpointList::new(servers.len(), scenario.list.lag.0);
         for (i, _) in scenario.each_server().enumerate().filter(|(_, s)| !s.listed) {
-            servers[i].die(0, &mut Vec::new());
-            list.leave_out(i);
+            servers[i].stop(0, &mut Vec::new());
+            endpoint_list.leave_out(i);
         }
         Self {
             servers,
-            list,
-            store: Store::new(scenario.store.rate, scenario.store.bound.0),
+            endpoint_list,
+            session_store: SessionStore::new(scenario.store.rate, scenario.store.bound.0),
             clients: Clients::new(listeners, scenario.length.0, chance(2)),
-            front: Front::new(scenario.proxies.count, scenario.proxies.zones, scenario.front.notices_after.0),
-            book: Book::default(),
-            bands,
+            load_balancer: ExternalLoadBalancer::new(
+                scenario.proxies.count,
+                scenario.proxies.zones,
+                scenario.front.notices_after.0,
+            ),
+            event_log: EventLog::default(),
+            fault_bands: bands,
             faults: faults.into_iter().peekable(),
         }
     }
 
-    pub fn due(&mut self) -> Timestamp {
-        let servers = self.servers.iter().map(Server::due).min().unwrap_or(Timestamp::MAX);
+    pub fn next_event_at(&mut self) -> Timestamp {
+        let servers = self.servers.iter().map(Server::next_event_at).min().unwrap_or(Timestamp::MAX);
         let fault = self.faults.peek().map_or(Timestamp::MAX, |&(at, _)| at);
-        servers.min(fault).min(self.clients.due()).min(self.list.due())
+        servers.min(fault).min(self.clients.next_event_at()).min(self.endpoint_list.next_event_at())
     }
 
     /// All that happens by now.
-    pub fn turn(&mut self, now: Timestamp) -> Vec<Deed> {
+    pub fn advance(&mut self, now: Timestamp) -> Vec<WorldAction> {
         let mut deeds = Vec::new();
         while let Some((_, event)) = self.faults.next_if(|&(at, _)| at <= now) {
-            self.book.note(now, What::Fault(format!("{event:?}")));
+            self.event_log.record(now, EventKind::FaultInjected(format!("{event:?}")));
             self.strike(now, event, &mut deeds);
         }
         let mut out = Vec::new();
         for server in 0..self.servers.len() {
-            self.servers[server].turn(now, &mut out);
+            self.servers[server].advance(now, &mut out);
             self.carry(now, server, &mut out, &mut deeds);
         }
         let mut acts = Vec::new();
-        self.clients.turn(now, &mut acts);
+        self.clients.advance(now, &mut acts);
         for act in acts {
             match act {
-                Act::GiveUp { id } => self.book.note(now, What::GaveUp { id }),
-                Act::Leave { id } => self.book.note(now, What::Ended { id, how: End::Left }),
-                Act::Silent { id, span } => self.book.note(now, What::SilentFor { id, span }),
+                ClientAction::TimeOut { id } => self.event_log.record(now, EventKind::ClientTimedOut { id }),
+                ClientAction::Leave { id } => {
+                    self.event_log.record(now, EventKind::ConnectionEnded { id, end: ConnectionEnd::Left })
+                }
+                ClientAction::Silent { id, duration: span } => {
+                    self.event_log.record(now, EventKind::ConnectionSilent { id, duration: span })
+                }
                 _ => {}
             }
-            deeds.push(Deed::Client(act));
+            deeds.push(WorldAction::Client(act));
         }
-        if self.list.turn(now) {
-            deeds.push(Deed::ListChanged);
+        if self.endpoint_list.advance(now) {
+            deeds.push(WorldAction::EndpointListChanged);
         }
         deeds
     }
 
-    fn strike(&mut self, now: Timestamp, event: Event, deeds: &mut Vec<Deed>) {
+    fn strike(&mut self, now: Timestamp, event: FaultEvent, deeds: &mut Vec<WorldAction>) {
         let mut out = Vec::new();
         match event {
-            Event::Proxy(proxy, upon) => {
-                if matches!(upon, Upon::Stop { .. }) {
-                    self.front.take_out(proxy);
+            FaultEvent::Proxy(proxy, upon) => {
+                if matches!(upon, ProxyFault::Stop { .. }) {
+                    self.load_balancer.remove_proxy(proxy);
                 }
-                deeds.push(Deed::Proxy(proxy, upon));
+                deeds.push(WorldAction::Proxy(proxy, upon));
             }
-            Event::Silence { server, until } => {
+            FaultEvent::Silence { server, until } => {
                 if self.servers[server].listens() {
                     self.servers[server].silence(until);
-                    self.book.note(now, What::ServerSilent { server, until });
+                    self.event_log.record(now, EventKind::ServerSilent { server, until });
                 }
             }
-            Event::Pause { server, until } => self.servers[server].pause(until),
-            Event::Die { server } => {
-                self.servers[server].die(now, &mut out);
+            FaultEvent::Pause { server, until } => self.servers[server].pause(until),
+            FaultEvent::Die { server } => {
+                self.servers[server].stop(now, &mut out);
                 self.carry(now, server, &mut out, deeds);
             }
-            Event::Back { server } => {
+            FaultEvent::Back { server } => {
                 self.servers[server].start(now, &mut out);
                 self.carry(now, server, &mut out, deeds);
             }
-            Event::Drain { server } => {
+            FaultEvent::Drain { server } => {
                 self.servers[server].drain();
-                self.list
-                    .change(now, Line { server, status: Status::Draining, started: self.started(server) });
+                self.endpoint_list.change(
+                    now,
+                    EndpointListEntry {
+                        server,
+                        status: EndpointStatus::Draining,
+                        started: self.started(server),
+                    },
+                );
             }
-            Event::Gone { server } => {
-                let sessions = self.servers[server].held();
+            FaultEvent::Gone { server } => {
+                let sessions = self.servers[server].sessions_held();
                 if sessions > 0 {
-                    self.book.note(now, What::LeftBehind { server, sessions });
+                    self.event_log.record(now, EventKind::SessionsLeftBehind { server, sessions });
                 }
-                self.servers[server].send_away(&mut out);
-                self.servers[server].die(now, &mut out);
+                self.servers[server].migrate_sessions(&mut out);
+                self.servers[server].stop(now, &mut out);
                 self.carry(now, server, &mut out, deeds);
             }
-            Event::Drops { server, one_in } => self.servers[server].drop_one_in(one_in),
-            Event::StoreSlow { factor } => self.store.slow(factor),
-            Event::ListLost { until } => self.list.lose(until),
-            Event::ListStill { until } => self.list.stand_still(until),
-            Event::DropClients { share } => {
-                let ids = self.clients.drawn(share);
+            FaultEvent::Drops { server, one_in } => self.servers[server].drop_one_in(one_in),
+            FaultEvent::StoreSlow { factor } => self.session_store.set_slowdown(factor),
+            FaultEvent::ListLost { until } => self.endpoint_list.make_unreachable(until),
+            FaultEvent::ListStill { until } => self.endpoint_list.freeze_until(until),
+            FaultEvent::DropClients { share } => {
+                let ids = self.clients.sample_established(share);
                 for &id in &ids {
-                    self.book.note(now, What::Ended { id, how: End::Left });
-                    self.clients.ended(now, id, End::Broken);
+                    self.event_log.record(now, EventKind::ConnectionEnded { id, end: ConnectionEnd::Left });
+                    self.clients.connection_ended(now, id, ConnectionEnd::Broken);
                 }
-                deeds.push(Deed::Drop(ids));
+                deeds.push(WorldAction::DisconnectClients(ids));
             }
         }
     }
@@ -190,144 +206,182 @@
         self.servers[server].started().unwrap_or(0)
     }
 
-    fn carry(&mut self, now: Timestamp, server: usize, out: &mut Vec<Out>, deeds: &mut Vec<Deed>) {
+    fn carry(
+        &mut self,
+        now: Timestamp,
+        server: usize,
+        out: &mut Vec<ServerOutput>,
+        deeds: &mut Vec<WorldAction>,
+    ) {
         for one in out.drain(..) {
             match one {
-                Out::Say(conn, say) => deeds.push(Deed::Say { server, conn, say }),
-                Out::Ran(id) => self.book.note(now, What::Ran { id, server }),
-                Out::RanLate(id) => self.book.note(now, What::RanLate { id, server }),
-                Out::Over(ratio) => self.book.note(now, What::Over { server, ratio }),
-                Out::Died => {
-                    self.book.note(now, What::ServerDied { server });
-                    self.list
-                        .change(now, Line { server, status: Status::Removed, started: self.started(server) });
-                    deeds.push(Deed::Down { server });
+                ServerOutput::Send(conn, say) => {
+                    deeds.push(WorldAction::Send { server, connection: conn, message: say })
+                }
+                ServerOutput::Ran(id) => self.event_log.record(now, EventKind::SessionRan { id, server }),
+                ServerOutput::RanAfterAbandoned(id) => {
+                    self.event_log.record(now, EventKind::RanAfterAbandoned { id, server })
+                }
+                ServerOutput::Overloaded(ratio) => {
+                    self.event_log.record(now, EventKind::Overloaded { server, ratio })
                 }
-                Out::Back => {
-                    self.book.note(now, What::ServerBack { server });
-                    self.list.change(now, Line { server, status: Status::Up, started: self.started(server) });
-                    deeds.push(Deed::Listen { server });
+                ServerOutput::Died => {
+                    self.event_log.record(now, EventKind::ServerDied { server });
+                    self.endpoint_list.change(
+                        now,
+                        EndpointListEntry {
+                            server,
+                            status: EndpointStatus::Removed,
+                            started: self.started(server),
+                        },
+                    );
+                    deeds.push(WorldAction::StopListening { server });
+                }
+                ServerOutput::Started => {
+                    self.event_log.record(now, EventKind::ServerStarted { server });
+                    self.endpoint_list.change(
+                        now,
+                        EndpointListEntry {
+                            server,
+                            status: EndpointStatus::Up,
+                            started: self.started(server),
+                        },
+                    );
+                    deeds.push(WorldAction::Listen { server });
                 }
             }
         }
     }
 
     /// A first line has come to a server, telling that its sender waits for so many milliseconds.
-    pub fn dialled(
+    pub fn attempt_started(
         &mut self,
         now: Timestamp,
         server: usize,
-        conn: Conn,
+        conn: ConnectionId,
         id: u64,
         told: u64,
         listener: usize,
-    ) -> Vec<Deed> {
-        self.book.note(now, What::Dial { id, server, conn, told });
+    ) -> Vec<WorldAction> {
+        self.event_log
+            .record(now, EventKind::AttemptStarted { id, server, connection: conn, timeout_ms: told });
         let (mut out, mut deeds) = (Vec::new(), Vec::new());
         let load = self.clients.load(listener);
-        self.servers[server].head(now, conn, id, load, &mut self.store, &mut out);
+        self.servers[server].receive_request(now, conn, id, load, &mut self.session_store, &mut out);
         self.carry(now, server, &mut out, &mut deeds);
         deeds
     }
 
     /// How a dial or an accepted session's connection ended at its server.
-    pub fn dial_ended(&mut self, now: Timestamp, server: usize, conn: Conn, id: u64, how: DialEnd) {
-        if how == DialEnd::GivenUp {
-            self.servers[server].closed(conn);
+    pub fn attempt_ended(
+        &mut self,
+        now: Timestamp,
+        server: usize,
+        conn: ConnectionId,
+        id: u64,
+        how: AttemptEnd,
+    ) {
+        if how == AttemptEnd::Abandoned {
+            self.servers[server].connection_closed(conn);
         }
-        self.book.note(now, What::DialEnded { id, server, conn, how });
+        self.event_log.record(now, EventKind::AttemptEnded { id, server, connection: conn, end: how });
     }
 
     /// A session's line has come to its server, sent then.
-    pub fn line(
+    pub fn message_to_server(
         &mut self,
         now: Timestamp,
         server: usize,
-        conn: Conn,
+        conn: ConnectionId,
         id: u64,
         sent: Option<Timestamp>,
         text: Vec<u8>,
-    ) -> Vec<Deed> {
-        self.held(now, id, Way::ToServer, sent);
+    ) -> Vec<WorldAction> {
+        self.record_delay(now, id, Direction::ToServer, sent);
         let work = self.clients.listener_of(id).map_or(0.0, |l| self.clients.line_work(l));
         let (mut out, mut deeds) = (Vec::new(), Vec::new());
-        self.servers[server].line(now, conn, work, text, &mut out);
+        self.servers[server].receive_message(now, conn, work, text, &mut out);
         self.carry(now, server, &mut out, &mut deeds);
         deeds
     }
 
-    fn held(&mut self, now: Timestamp, id: u64, way: Way, sent: Option<Timestamp>) {
+    fn record_delay(&mut self, now: Timestamp, id: u64, way: Direction, sent: Option<Timestamp>) {
         let took = sent.map_or(0, |at| now.saturating_sub(at));
         if took > HELD {
-            self.book.note(now, What::Held { id, way, took });
+            self.event_log.record(now, EventKind::MessageDelayed { id, direction: way, took });
         }
     }
 
-    pub fn answered(&mut self, now: Timestamp, id: u64, answer: Answer) {
-        self.book.note(now, What::Answered { id, answer });
-        self.clients.answered(now, id, answer);
+    pub fn response_received(&mut self, now: Timestamp, id: u64, answer: ClientResponse) {
+        self.event_log.record(now, EventKind::Answered { id, response: answer });
+        self.clients.response_received(now, id, answer);
     }
 
     /// A session's line is back at its client, sent back by its server then.
-    pub fn back(
+    pub fn message_returned(
         &mut self,
         now: Timestamp,
         id: u64,
         number: u64,
         sent: Option<Timestamp>,
     ) -> Option<TickDuration> {
-        self.held(now, id, Way::ToClient, sent);
-        let (took, late) = self.clients.back(now, id, number)?;
+        self.record_delay(now, id, Direction::ToClient, sent);
+        let (took, late) = self.clients.message_returned(now, id, number)?;
         if late {
-            self.book.note(now, What::LineLate { id, took });
+            self.event_log.record(now, EventKind::MessageLate { id, took });
         }
         Some(took)
     }
 
     /// A connection ended before it had an answer.
-    pub fn unanswered(&mut self, now: Timestamp, id: u64, how: End) {
-        self.book.note(now, What::Ended { id, how });
-        self.clients.lost(now, id);
+    pub fn ended_without_response(&mut self, now: Timestamp, id: u64, how: ConnectionEnd) {
+        self.event_log.record(now, EventKind::ConnectionEnded { id, end: how });
+        self.clients.ended_without_response(now, id);
     }
 
-    pub fn nobody_there(&mut self, now: Timestamp, id: u64, proxy: usize) {
-        self.book.note(now, What::NobodyThere { id, proxy });
-        self.clients.lost(now, id);
+    pub fn proxy_unreachable(&mut self, now: Timestamp, id: u64, proxy: usize) {
+        self.event_log.record(now, EventKind::ProxyUnreachable { id, proxy });
+        self.clients.ended_without_response(now, id);
     }
 
     /// An accepted session's connection ended.
-    pub fn ended(&mut self, now: Timestamp, id: u64, how: End) {
-        self.book.note(now, What::Ended { id, how });
-        self.clients.ended(now, id, how);
+    pub fn connection_ended(&mut self, now: Timestamp, id: u64, how: ConnectionEnd) {
+        self.event_log.record(now, EventKind::ConnectionEnded { id, end: how });
+        self.clients.connection_ended(now, id, how);
     }
 
     /// The proxy to which the front deals a session; where nobody is in front, its client tries again like one
     /// without an answer.
-    pub fn deal(&mut self, now: Timestamp, ask: &Ask) -> Option<usize> {
-        let proxy = self.front.deal(now, ask.key);
+    pub fn assign_proxy(&mut self, now: Timestamp, ask: &ClientRequest) -> Option<usize> {
+        let proxy = self.load_balancer.next_proxy(now, ask.key);
         if proxy.is_none() {
-            self.clients.lost(now, ask.id);
+            self.clients.ended_without_response(now, ask.id);
         }
         proxy
     }
 
     pub fn proxy_up(&mut self, now: Timestamp, proxy: usize) {
-        self.front.answered(proxy);
-        self.book.note(now, What::ProxyUp { proxy });
+        self.load_balancer.proxy_answered(proxy);
+        self.event_log.record(now, EventKind::ProxyUp { proxy });
     }
 
-    pub fn proxy_gone(&mut self, now: Timestamp, proxy: usize, planned: bool) {
-        self.front.died(now, proxy);
-        self.book.note(now, What::ProxyGone { proxy, planned });
+    pub fn proxy_exited(&mut self, now: Timestamp, proxy: usize, planned: bool) {
+        self.load_balancer.proxy_died(now, proxy);
+        self.event_log.record(now, EventKind::ProxyExited { proxy, planned });
     }
 
     /// The lines of the list that are newer than what a proxy has, as they are written to it.
-    pub fn tell(&mut self, now: Timestamp, proxy: usize, after: Option<u64>) -> (u64, Vec<Line>) {
-        let lines = self.list.after(after);
+    pub fn notify_proxy(
+        &mut self,
+        now: Timestamp,
+        proxy: usize,
+        after: Option<u64>,
+    ) -> (u64, Vec<EndpointListEntry>) {
+        let lines = self.endpoint_list.entries_after(after);
         for line in &lines {
-            let ready = line.status == Status::Up;
-            self.book.note(now, What::Told { proxy, server: line.server, ready });
+            let ready = line.status == EndpointStatus::Up;
+            self.event_log.record(now, EventKind::EndpointNotified { proxy, server: line.server, ready });
         }
-        (self.list.version(), lines)
+        (self.endpoint_list.version(), lines)
     }
 }
--- a/crates/larklink-simulation/tests/format_fixtures.rs
+++ b/crates/larklink-simulation/tests/format_fixtures.rs
@@ -1,32 +1,34 @@
 //! The forms in which scenarios are read and findings written, held against files: every key, byte for byte.
-use larklink_simulation::audit::{Answers, Breach, Broken, Findings, Shape};
-use larklink_simulation::book::{Answer, Ask, Book, DialEnd, End, Way, What};
-use larklink_simulation::scenario::{Kind, Retry, Scenario, Trouble};
+use larklink_simulation::audit::{Findings, SessionOutcomes, ShapeOutcomes, Violation, ViolationKind};
+use larklink_simulation::event_log::{
+    AttemptEnd, ClientRequest, ClientResponse, ConnectionEnd, Direction, EventKind, EventLog,
+};
+use larklink_simulation::scenario::{FaultKind, RetryBehavior, Scenario, SessionKind};
 
 /// What can be broken, in the order of its numbers, and the rule that it breaks.
-const BROKEN: [(Broken, u8); 18] = [
-    (Broken::NoAnswer, 1),
-    (Broken::TwoAnswers, 1),
-    (Broken::LateAnswer, 1),
-    (Broken::NotAnAnswer, 1),
-    (Broken::TwoDialsOut, 2),
-    (Broken::MayRunTwice, 2),
-    (Broken::RefusedThoughItMayHaveRun, 2),
-    (Broken::AcceptedByNobody, 1),
-    (Broken::TooManyDials, 2),
-    (Broken::ToldTooLong, 0),
-    (Broken::AfterDrain, 3),
-    (Broken::ColdRushed, 4),
-    (Broken::CutWithoutMove, 0),
-    (Broken::LineHeld, 0),
-    (Broken::LineChanged, 0),
-    (Broken::EndedLate, 0),
-    (Broken::SilentTooLong, 0),
-    (Broken::LeftBehind, 0),
+const BROKEN: [(ViolationKind, u8); 18] = [
+    (ViolationKind::NoAnswer, 1),
+    (ViolationKind::TwoAnswers, 1),
+    (ViolationKind::LateAnswer, 1),
+    (ViolationKind::NotAnAnswer, 1),
+    (ViolationKind::TwoDialsOut, 2),
+    (ViolationKind::MayRunTwice, 2),
+    (ViolationKind::RefusedThoughItMayHaveRun, 2),
+    (ViolationKind::AcceptedByNobody, 1),
+    (ViolationKind::TooManyDials, 2),
+    (ViolationKind::ToldTooLong, 0),
+    (ViolationKind::AfterDrain, 3),
+    (ViolationKind::ColdRushed, 4),
+    (ViolationKind::CutWithoutMove, 0),
+    (ViolationKind::LineHeld, 0),
+    (ViolationKind::LineChanged, 0),
+    (ViolationKind::EndedLate, 0),
+    (ViolationKind::SilentTooLong, 0),
+    (ViolationKind::LeftBehind, 0),
 ];
 
-fn answers() -> Answers {
-    Answers {
+fn answers() -> SessionOutcomes {
+    SessionOutcomes {
         opened: 1,
         accepted: 2,
         refused: 3,
@@ -43,16 +45,16 @@
     }
 }
 
-fn breach(at: u64, (what, _): (Broken, u8)) -> Breach {
+fn breach(at: u64, (what, _): (ViolationKind, u8)) -> Violation {
     let session = if at == 0 { String::new() } else { format!("{:x}", at * 0xabc) };
-    Breach { what, rule: what.rule(), session, at, seen: format!("\u{e9} \"seen\" {at}") }
+    Violation { kind: what, rule: what.rule(), session, at, observed: format!("\u{e9} \"seen\" {at}") }
 }
 
 fn findings() -> Findings {
     Findings {
-        listeners: vec![answers(), Answers::default()],
-        shapes: [Shape { opened: 14, accepted: 15 }, Shape { opened: 16, accepted: 17 }],
-        breaches: (0..).zip(BROKEN).map(|(at, broken)| breach(at, broken)).collect(),
+        listeners: vec![answers(), SessionOutcomes::default()],
+        shapes: [ShapeOutcomes { opened: 14, accepted: 15 }, ShapeOutcomes { opened: 16, accepted: 17 }],
+        violations: (0..).zip(BROKEN).map(|(at, broken)| breach(at, broken)).collect(),
     }
 }
 
@@ -65,62 +67,82 @@
     }
     // In this order they are counted.
     assert!(BROKEN.windows(2).all(|pair| pair[0].0 < pair[1].0));
-    assert_eq!(Shape::NAMES, ["old", "moved"]);
+    assert_eq!(ShapeOutcomes::NAMES, ["old", "moved"]);
 }
 
 /// One of each thing that is noted, with each way in which it can be.
-fn book() -> Book {
+fn event_log() -> EventLog {
     let id = u64::MAX;
-    let ask =
-        |again, retry| Ask { client: 1, id: 2, key: 3, group: 4, listener: 5, patience: 6, again, retry };
+    let ask = |again, retry| ClientRequest {
+        client: 1,
+        id: 2,
+        key: 3,
+        group: 4,
+        listener: 5,
+        patience: 6,
+        reconnecting: again,
+        retry,
+    };
     let mut all = vec![
-        What::Opened { ask: ask(true, false), proxy: 7 },
-        What::Opened { ask: ask(false, true), proxy: 0 },
-        What::NobodyThere { id, proxy: 8 },
+        EventKind::Opened { request: ask(true, false), proxy: 7 },
+        EventKind::Opened { request: ask(false, true), proxy: 0 },
+        EventKind::ProxyUnreachable { id, proxy: 8 },
     ];
-    let answers = [Answer::Accepted, Answer::Refused(0), Answer::Refused(1500), Answer::TornDown];
-    all.extend(answers.map(|answer| What::Answered { id, answer }));
-    all.extend([What::More { id }, What::Garbled { id }]);
-    all.extend([End::Moved, End::Closed, End::Broken, End::Left].map(|how| What::Ended { id, how }));
-    all.extend([What::GaveUp { id }, What::LineLate { id, took: 9 }]);
-    all.extend([Way::ToServer, Way::ToClient].map(|way| What::Held { id, way, took: 10 }));
-    all.extend([What::Changed { id }, What::SilentFor { id, span: 11 }]);
-    all.push(What::Dial { id, server: 12, conn: 13, told: 14 });
+    let answers = [
+        ClientResponse::Accepted,
+        ClientResponse::Rejected(0),
+        ClientResponse::Rejected(1500),
+        ClientResponse::Failed,
+    ];
+    all.extend(answers.map(|answer| EventKind::Answered { id, response: answer }));
+    all.extend([EventKind::ExtraMessage { id }, EventKind::MalformedResponse { id }]);
+    all.extend(
+        [ConnectionEnd::Migrated, ConnectionEnd::Closed, ConnectionEnd::Broken, ConnectionEnd::Left]
+            .map(|how| EventKind::ConnectionEnded { id, end: how }),
+    );
+    all.extend([EventKind::ClientTimedOut { id }, EventKind::MessageLate { id, took: 9 }]);
+    all.extend([Direction::ToServer, Direction::ToClient].map(|way| EventKind::MessageDelayed {
+        id,
+        direction: way,
+        took: 10,
+    }));
+    all.extend([EventKind::MessageAltered { id }, EventKind::ConnectionSilent { id, duration: 11 }]);
+    all.push(EventKind::AttemptStarted { id, server: 12, connection: 13, timeout_ms: 14 });
     let ends = [
-        DialEnd::TurnedAway,
-        DialEnd::Failed,
-        DialEnd::Accepted,
-        DialEnd::Cut,
-        DialEnd::SentAway,
-        DialEnd::GivenUp,
+        AttemptEnd::Rejected,
+        AttemptEnd::Failed,
+        AttemptEnd::Accepted,
+        AttemptEnd::Reset,
+        AttemptEnd::Migrated,
+        AttemptEnd::Abandoned,
     ];
-    all.extend(ends.map(|how| What::DialEnded { id, server: 15, conn: 16, how }));
+    all.extend(ends.map(|how| EventKind::AttemptEnded { id, server: 15, connection: 16, end: how }));
     all.extend([
-        What::Ran { id, server: 17 },
-        What::RanLate { id, server: 18 },
-        What::Over { server: 19, ratio: 2.5 },
-        What::ServerDied { server: 20 },
-        What::ServerBack { server: 21 },
-        What::ServerSilent { server: 22, until: 23 },
-        What::LeftBehind { server: 24, sessions: 25 },
-        What::Told { proxy: 26, server: 27, ready: true },
-        What::ProxyUp { proxy: 28 },
-        What::ProxyGone { proxy: 29, planned: false },
-        What::Fault("\u{e9} \"fault\"".into()),
+        EventKind::SessionRan { id, server: 17 },
+        EventKind::RanAfterAbandoned { id, server: 18 },
+        EventKind::Overloaded { server: 19, ratio: 2.5 },
+        EventKind::ServerDied { server: 20 },
+        EventKind::ServerStarted { server: 21 },
+        EventKind::ServerSilent { server: 22, until: 23 },
+        EventKind::SessionsLeftBehind { server: 24, sessions: 25 },
+        EventKind::EndpointNotified { proxy: 26, server: 27, ready: true },
+        EventKind::ProxyUp { proxy: 28 },
+        EventKind::ProxyExited { proxy: 29, planned: false },
+        EventKind::FaultInjected("\u{e9} \"fault\"".into()),
     ]);
-    let mut book = Book::default();
-    (0..).zip(all).for_each(|(at, what)| book.note(at, what));
-    book
+    let mut event_log = EventLog::default();
+    (0..).zip(all).for_each(|(at, what)| event_log.record(at, what));
+    event_log
 }
 
 #[test]
 fn a_book_is_written_as_in_the_file() {
-    assert_eq!(book().lines(), include_str!("fixtures/book.jsonl"));
+    assert_eq!(event_log().to_json_lines(), include_str!("fixtures/book.jsonl"));
 }
 
 #[test]
 fn every_key_of_a_scenario_is_read_from_the_file() {
-    let s = Scenario::read(include_str!("fixtures/scenario.toml")).unwrap();
+    let s = Scenario::parse(include_str!("fixtures/scenario.toml")).unwrap();
     assert_eq!(
         (s.name.as_str(), s.about.as_str(), s.seed, s.length.0),
         ("all of it", "Every key.", 77, 900_000)
@@ -150,33 +172,33 @@
 
 #[test]
 fn every_key_of_its_listeners_is_read_from_the_file() {
-    let s = Scenario::read(include_str!("fixtures/scenario.toml")).unwrap();
+    let s = Scenario::parse(include_str!("fixtures/scenario.toml")).unwrap();
     let [one, other, last] = &s.listeners[..] else { panic!("{:?}", s.listeners) };
     let l = one.get_ref();
-    assert_eq!((l.name.as_str(), l.kind, l.window.0), ("pay_1.x", Kind::Referenced, 40_000));
+    assert_eq!((l.name.as_str(), l.kind, l.window.0), ("pay_1.x", SessionKind::Referenced, 40_000));
     assert_eq!((l.handshake_target.0, l.dial_timeout.0), (2500, 50_000));
     assert_eq!((l.standing, l.spread.0, l.rate, l.life.0), (9, 1000, 2.5, 450_000));
     assert_eq!((l.every.0, l.line_target.0, l.load, l.utility), (20_000, 800, 0.125, 3.5));
-    assert_eq!((l.retry, l.wait.0, l.tries, l.again_after.0), (Retry::AtOnce, 9000, 3, 600));
+    assert_eq!((l.retry, l.wait.0, l.tries, l.again_after.0), (RetryBehavior::AtOnce, 9000, 3, 600));
     assert_eq!((l.group, l.deaf_kb), (2, 64));
     let l = other.get_ref();
-    assert_eq!((l.name.as_str(), l.kind, l.window.0), ("pick-list", Kind::OnceOnly, 10_000));
+    assert_eq!((l.name.as_str(), l.kind, l.window.0), ("pick-list", SessionKind::OnceOnly, 10_000));
     assert_eq!((l.handshake_target.0, l.dial_timeout.0), (5000, 30_000));
     assert_eq!((l.standing, l.spread.0, l.rate, l.life.0), (200, 30_000, 20.0, 150_000));
     assert_eq!((l.every.0, l.line_target.0, l.load, l.utility), (10_000, 1000, 0.004, 1.0));
-    assert_eq!((l.retry, l.wait.0, l.tries, l.again_after.0), (Retry::Never, 5000, 8, 2000));
+    assert_eq!((l.retry, l.wait.0, l.tries, l.again_after.0), (RetryBehavior::Never, 5000, 8, 2000));
     assert_eq!((l.group, l.deaf_kb), (4, 0));
     let l = last.get_ref();
-    assert_eq!((l.name.as_str(), l.kind, l.retry), ("last", Kind::Repeatable, Retry::After));
+    assert_eq!((l.name.as_str(), l.kind, l.retry), ("last", SessionKind::Repeatable, RetryBehavior::After));
 }
 
 #[test]
 fn every_key_of_its_faults_is_read_from_the_file() {
-    use Trouble::*;
-    let s = Scenario::read(include_str!("fixtures/scenario.toml")).unwrap();
+    use FaultKind::*;
+    let s = Scenario::parse(include_str!("fixtures/scenario.toml")).unwrap();
     // What, when, for how long, and by what factor.
     let seen: Vec<_> = s.faults.iter().map(|f| f.get_ref()).collect();
-    let seen: Vec<_> = seen.iter().map(|f| (f.what, f.at.0, f.lasts.map(|l| l.0), f.factor)).collect();
+    let seen: Vec<_> = seen.iter().map(|f| (f.kind, f.at.0, f.lasts.map(|l| l.0), f.factor)).collect();
     assert_eq!(
         seen,
         [
--- a/crates/larklink-simulation/tests/lease.rs
+++ b/crates/larklink-simulation/tests/lease.rs
@@ -2,8 +2,8 @@
 //! mistaken laws that both must find.
 use larklink_balancer::{TickDuration, Timestamp};
 use larklink_coordination::lease::{Law, Sound, Terms};
-use larklink_simulation::contest::{Contest, Move};
-use larklink_simulation::explore::{Explored, Model, explore};
+use larklink_simulation::lease_model::{LeaseModel, ModelStep};
+use larklink_simulation::state_search::{SearchResult, StateModel, search};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -44,37 +44,37 @@
     }
 }
 
-fn all<L: Law + Clone>(rates: &[u32], depth: usize, strays: usize) -> Explored<Move> {
-    explore(Contest::<L>::new(&terms(), rates, STEP, strays), depth)
+fn all<L: Law + Clone>(rates: &[u32], depth: usize, max_abandoned: usize) -> SearchResult<ModelStep> {
+    search(LeaseModel::<L>::new(&terms(), rates, STEP, max_abandoned), depth)
 }
 
 /// So many drawn moves from a seed: what broke, and the contest at its end. Calls are lost, given up and late, members
 /// stopped for longer than a span; in the last third nothing fails.
-fn drawn<L: Law + Clone>(seed: u64, rates: &[u32], moves: usize) -> (Option<String>, Contest<L>) {
+fn drawn<L: Law + Clone>(seed: u64, rates: &[u32], moves: usize) -> (Option<String>, LeaseModel<L>) {
     let (mut chance, terms) = (ChaCha8Rng::seed_from_u64(seed), Terms { span: 1000, ..terms() });
-    let mut contest = Contest::<L>::new(&terms, rates, 10, 4).with_stops();
+    let mut model = LeaseModel::<L>::new(&terms, rates, 10, 4).with_pauses();
     if seed % 2 == 1 {
-        contest = contest.untold();
+        model = model.without_write_index();
     }
     for n in 0..moves {
         let calm = n * 3 > moves * 2;
-        let open: Vec<_> = contest
-            .moves()
+        let open: Vec<_> = model
+            .steps()
             .into_iter()
             .filter(|to| match to {
-                Move::Lost(_) | Move::GivesUp(_) => !calm && chance.random_bool(0.1),
-                Move::Stops(_) => !calm && chance.random_bool(0.02),
-                Move::GoesOn(_) => calm || chance.random_bool(0.02),
-                Move::Effect(_) | Move::Arrives(_) => calm || chance.random_bool(0.3),
-                Move::Tick => true,
+                ModelStep::Lose(_) | ModelStep::TimeOut(_) => !calm && chance.random_bool(0.1),
+                ModelStep::Pause(_) => !calm && chance.random_bool(0.02),
+                ModelStep::Resume(_) => calm || chance.random_bool(0.02),
+                ModelStep::TakeEffect(_) | ModelStep::Deliver(_) => calm || chance.random_bool(0.3),
+                ModelStep::AdvanceTime => true,
             })
             .collect();
-        contest.go(&open[chance.random_range(0..open.len())]);
-        if let Some(what) = contest.broken() {
-            return (Some(what), contest);
+        model.apply(&open[chance.random_range(0..open.len())]);
+        if let Some(what) = model.violation() {
+            return (Some(what), model);
         }
     }
-    (None, contest)
+    (None, model)
 }
 
 #[test]
@@ -82,7 +82,7 @@
     for (rates, depth) in [(&[SLOW, FAST][..], 12), (&[FAST, SLOW], 12), (&[SLOW, FAST, FAST], 9)] {
         let found = all::<Sound>(rates, depth, 2);
         println!("{} members, {depth} moves: {} states", rates.len(), found.states);
-        assert!(found.broken.is_none(), "{:?}", found.broken);
+        assert!(found.violation.is_none(), "{:?}", found.violation);
         assert!(found.states > 50_000, "{} states are few", found.states);
     }
 }
@@ -93,12 +93,13 @@
 fn no_deeper_interleaving_has_two_that_act() {
     let found = all::<Sound>(&[SLOW, FAST], 16, 2);
     println!("{} states", found.states);
-    assert!(found.broken.is_none(), "{:?}", found.broken);
+    assert!(found.violation.is_none(), "{:?}", found.violation);
     told("silence is no", all::<SilenceIsNo>(&[SLOW, FAST], 16, 2));
 }
 
-fn told(law: &str, found: Explored<Move>) {
-    let (what, way) = found.broken.unwrap_or_else(|| panic!("{law}: not found in {} states", found.states));
+fn told(law: &str, found: SearchResult<ModelStep>) {
+    let (what, way) =
+        found.violation.unwrap_or_else(|| panic!("{law}: not found in {} states", found.states));
     println!("{law}: {} states, {} moves: {what}: {way:?}", found.states, way.len());
 }
 
@@ -113,10 +114,10 @@
     let rates = |members: usize| (0..members).map(|n| [SLOW, 1_000_000, FAST][n % 3]).collect::<Vec<_>>();
     for (members, seeds) in [(3, 60), (5, 40), (25, 8)] {
         for seed in 0..seeds {
-            let (broken, contest) = drawn::<Sound>(seed, &rates(members), 6000);
+            let (broken, model) = drawn::<Sound>(seed, &rates(members), 6000);
             assert_eq!(broken, None, "seed {seed}, {members} members");
-            assert!(!contest.actors().is_empty(), "nobody holds it, seed {seed}, {members} members");
-            let terms: Vec<_> = contest.terms().iter().map(|(_, term)| *term).collect();
+            assert!(!model.holders().is_empty(), "nobody holds it, seed {seed}, {members} members");
+            let terms: Vec<_> = model.terms().iter().map(|(_, term)| *term).collect();
             assert!(terms.is_sorted_by(|a, b| a < b), "a holder changed without a new term: {terms:?}");
         }
     }
@@ -125,20 +126,21 @@
 /// What was given back is taken at once: no span passes.
 #[test]
 fn who_resigns_is_followed_without_a_wait() {
-    let mut contest = Contest::<Sound>::new(&terms(), &[SLOW, FAST], STEP, 0);
-    let calm = |contest: &mut Contest<Sound>| {
-        while contest.actors().is_empty() {
-            let to = contest.moves().into_iter().find(|to| *to != Move::Tick).expect("a call is out");
-            contest.go(&to);
+    let mut model = LeaseModel::<Sound>::new(&terms(), &[SLOW, FAST], STEP, 0);
+    let calm = |model: &mut LeaseModel<Sound>| {
+        while model.holders().is_empty() {
+            let to =
+                model.steps().into_iter().find(|to| *to != ModelStep::AdvanceTime).expect("a call is out");
+            model.apply(&to);
         }
     };
-    calm(&mut contest);
-    let first = contest.actors()[0];
-    contest.resign(first.0);
-    assert!(contest.actors().is_empty(), "it acts no more, whatever the register knows");
-    calm(&mut contest);
-    let next = contest.actors()[0];
-    assert!(next.0 != first.0 && next.1 > first.1 && contest.time() == 0, "{first:?}, {next:?}");
+    calm(&mut model);
+    let first = model.holders()[0];
+    model.resign(first.0);
+    assert!(model.holders().is_empty(), "it acts no more, whatever the lease_store knows");
+    calm(&mut model);
+    let next = model.holders()[0];
+    assert!(next.0 != first.0 && next.1 > first.1 && model.time() == 0, "{first:?}, {next:?}");
 }
 
 #[test]
--- a/crates/larklink-simulation/tests/rolling.rs
+++ b/crates/larklink-simulation/tests/rolling.rs
@@ -1,17 +1,17 @@
 //! Goodput after a restart: its figure on books written by hand, and the shipped rolling restart in simulated time, where
 //! the session store serves its queue in order and works at what is given up all the same.
-use larklink_simulation::book::{Answer, Ask, Book, What};
+use larklink_simulation::duration::SECOND;
+use larklink_simulation::event_log::{ClientRequest, ClientResponse, EventKind, EventLog};
 use larklink_simulation::goodput::{Recovery, recovery};
 use larklink_simulation::scenario::Scenario;
 use larklink_simulation::simulate::{Run, run};
-use larklink_simulation::spans::SECOND;
 
 const SHIPPED: &str = include_str!("../../../scenarios/rolling-restart.toml");
 /// The scenario's own demand.
 const WITHIN: u64 = 5 * SECOND;
 
 fn scenario(text: &str) -> Scenario {
-    Scenario::read(text).unwrap_or_else(|wrong| panic!("{wrong:?}"))
+    Scenario::parse(text).unwrap_or_else(|wrong| panic!("{wrong:?}"))
 }
 
 /// The shipped day with so many proxies, of which a tenth is restarted at a time, and such a dial timeout. Three hundred
@@ -36,7 +36,7 @@
 /// All that is wrong with a rolling restart from that seed.
 fn wrong(proxies: usize, dial_timeout: &str, seed: u64) -> Option<String> {
     let Run { recovery, findings, .. } = run(&rolling(proxies, dial_timeout), seed);
-    assert!(findings.breaches.is_empty(), "{:?}", findings.counts());
+    assert!(findings.violations.is_empty(), "{:?}", findings.counts());
     let recovery = recovery.expect("proxies were restarted");
     let told = |wrong| format!("{proxies} proxies, {dial_timeout}, seed {seed}: {wrong}: {recovery}");
     recovery.unmet(WITHIN).map(told)
@@ -59,33 +59,35 @@
 
 /// A book of one restart at 2 s, in a run of 12 s before a store that bears 10 calls a second: each 50 ms a client asks,
 /// and is accepted by what `accepts` says of its time, so long after it asked.
-fn book(accepts: impl Fn(u64) -> Option<u64>) -> Book {
-    let mut book = Book::default();
-    book.note(0, What::ProxyUp { proxy: 0 });
-    let mut entries = vec![(2 * SECOND, What::ProxyUp { proxy: 0 })];
+fn event_log(accepts: impl Fn(u64) -> Option<u64>) -> EventLog {
+    let mut event_log = EventLog::default();
+    event_log.record(0, EventKind::ProxyUp { proxy: 0 });
+    let mut entries = vec![(2 * SECOND, EventKind::ProxyUp { proxy: 0 })];
     for n in 0..240 {
         let (at, id) = (n * SECOND / 20, n + 1);
-        let ask = Ask {
+        let ask = ClientRequest {
             client: n as usize,
             id,
             key: 1,
             group: 1,
             listener: 0,
             patience: SECOND,
-            again: false,
+            reconnecting: false,
             retry: false,
         };
-        entries.push((at, What::Opened { ask, proxy: 0 }));
-        entries
-            .extend(accepts(at).map(|after| (at + after, What::Answered { id, answer: Answer::Accepted })));
+        entries.push((at, EventKind::Opened { request: ask, proxy: 0 }));
+        entries.extend(
+            accepts(at)
+                .map(|after| (at + after, EventKind::Answered { id, response: ClientResponse::Accepted })),
+        );
     }
     entries.sort_by_key(|e| e.0);
-    entries.into_iter().for_each(|(at, what)| book.note(at, what));
-    book
+    entries.into_iter().for_each(|(at, what)| event_log.record(at, what));
+    event_log
 }
 
 fn judged(rate: f64, accepts: impl Fn(u64) -> Option<u64>) -> Option<Recovery> {
-    recovery(&scenario(&format!("length = '12s'\n[store]\nrate = {rate}\n")), &book(accepts))
+    recovery(&scenario(&format!("length = '12s'\n[store]\nrate = {rate}\n")), &event_log(accepts))
 }
 
 /// Every other one of 20 that ask each second is accepted from then on.
@@ -109,9 +111,9 @@
 
 #[test]
 fn who_tries_often_is_offered_once() {
-    let mut all = book(|_| None);
-    for entry in &mut all.entries {
-        if let What::Opened { ask, .. } = &mut entry.what {
+    let mut all = event_log(|_| None);
+    for entry in &mut all.events {
+        if let EventKind::Opened { request: ask, .. } = &mut entry.kind {
             ask.client %= 4;
         }
     }
@@ -130,14 +132,14 @@
     let short = unmet(&|_| None, 9 * SECOND).unwrap();
     assert!(short.contains("too short"), "{short}");
     assert!(
-        recovery(&scenario("length = '3s'\n"), &book(|_| Some(10))).is_none(),
+        recovery(&scenario("length = '3s'\n"), &event_log(|_| Some(10))).is_none(),
         "no span after the restart"
     );
     for (text, key) in [
         ("[must]\nrecovers = '5s'\n", "must.recovers"),
         ("[[faults]]\nwhat = 'proxy-stopped'\nat = '1s'\ntogether = 0\n", "together"),
     ] {
-        assert!(Scenario::read(text).unwrap_err().iter().any(|p| p.key == key), "{text}");
+        assert!(Scenario::parse(text).unwrap_err().iter().any(|p| p.key == key), "{text}");
     }
 }
 
@@ -146,15 +148,19 @@
 fn all_proxies_are_restarted_a_tenth_at_a_time() {
     let run = run(&rolling(30, "900ms"), 1);
     let mut up = [0; 30];
-    for entry in run.book.entries.iter().filter(|e| e.at > 0) {
-        match entry.what {
-            What::ProxyUp { proxy } => up[proxy] += 1,
-            What::ProxyGone { planned, .. } => assert!(planned),
+    for entry in run.event_log.events.iter().filter(|e| e.at > 0) {
+        match entry.kind {
+            EventKind::ProxyUp { proxy } => up[proxy] += 1,
+            EventKind::ProxyExited { planned, .. } => assert!(planned),
             _ => {}
         }
     }
     assert_eq!(up, [1; 30]);
-    let stops = run.book.entries.iter().filter(|e| matches!(&e.what, What::Fault(f) if f.contains("Stop")));
+    let stops = run
+        .event_log
+        .events
+        .iter()
+        .filter(|e| matches!(&e.kind, EventKind::FaultInjected(f) if f.contains("Stop")));
     let mut at: Vec<_> = stops.map(|e| e.at).collect();
     assert_eq!(at.len(), 30);
     at.dedup();
--- a/crates/larklink-simulation/tests/world.rs
+++ b/crates/larklink-simulation/tests/world.rs
@@ -1,19 +1,19 @@
 //! The world alone, in simulated time: seeded runs that check after every step, and a case for each hard thing.
 use std::ops::Range;
 
-use larklink_simulation::audit::Broken;
-use larklink_simulation::book::{DialEnd, Entry, What};
-use larklink_simulation::front::Front;
+use larklink_simulation::audit::ViolationKind;
+use larklink_simulation::duration::{ConfigDuration, SECOND};
+use larklink_simulation::event_log::{AttemptEnd, EventKind, LoggedEvent};
+use larklink_simulation::external_load_balancer::ExternalLoadBalancer;
 use larklink_simulation::scenario::Scenario;
-use larklink_simulation::server::{Life, Out, Profile, Say, Server};
+use larklink_simulation::server::{Server, ServerMessage, ServerOutput, ServerProfile, ServerState};
+use larklink_simulation::session_store::SessionStore;
 use larklink_simulation::simulate::{Run, run};
-use larklink_simulation::spans::{SECOND, Span};
-use larklink_simulation::store::Store;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-fn profile() -> Profile {
-    Profile {
+fn profile() -> ServerProfile {
+    ServerProfile {
         cores: 2,
         speed: 1.0,
         holds: 50,
@@ -30,11 +30,11 @@
 }
 
 fn scenario(text: &str) -> Scenario {
-    Scenario::read(text).unwrap_or_else(|wrong| panic!("{wrong:?}"))
+    Scenario::parse(text).unwrap_or_else(|wrong| panic!("{wrong:?}"))
 }
 
 fn clean(run: &Run) {
-    let some: Vec<_> = run.findings.breaches.iter().take(5).collect();
+    let some: Vec<_> = run.findings.violations.iter().take(5).collect();
     assert!(some.is_empty(), "{:?} {some:#?}", run.findings.counts());
 }
 
@@ -47,39 +47,39 @@
         steps in prop::collection::vec((0u64..400, 0u8..6, 100f64..20_000.0), 1..300),
         cold in any::<bool>(),
     ) {
-        let mut server = Server::new(Profile { falls: false, ..profile() });
+        let mut server = Server::new(ServerProfile { falls: false, ..profile() });
         let (mut now, mut conn, mut out) = (SECOND, 0, Vec::new());
         if cold {
             server.start(now, &mut out);
         }
-        let mut store = Store::new(500.0, SECOND);
+        let mut store = SessionStore::new(500.0, SECOND);
         let (mut lines, mut answered) = (0, 0);
         for (wait, kind, work) in steps {
             now += wait;
             match kind {
                 0 | 1 => {
                     conn += 1;
-                    server.head(now, conn, conn, 1000.0, &mut store, &mut out);
+                    server.receive_request(now, conn, conn, 1000.0, &mut store, &mut out);
                 }
-                2 => server.closed(conn),
+                2 => server.connection_closed(conn),
                 3 => server.pause(now + wait),
                 _ => {
                     lines += 1;
-                    server.line(now, conn, work, vec![1], &mut out);
+                    server.receive_message(now, conn, work, vec![1], &mut out);
                 }
             }
-            server.turn(now, &mut out);
-            answered += out.iter().filter(|o| matches!(o, Out::Say(_, Say::Line(_)))).count();
+            server.advance(now, &mut out);
+            answered += out.iter().filter(|o| matches!(o, ServerOutput::Send(_, ServerMessage::Message(_)))).count();
             prop_assert!(answered <= lines, "each line comes back once at most");
-            prop_assert!(server.held() <= 50);
+            prop_assert!(server.sessions_held() <= 50);
             out.clear();
         }
         // What it has taken on is done by then and not before: two cores at full speed at the best.
         let begun = SECOND;
         let mut end = now;
-        while server.due() != u64::MAX {
-            end = end.max(server.due());
-            server.turn(end, &mut out);
+        while server.next_event_at() != u64::MAX {
+            end = end.max(server.next_event_at());
+            server.advance(end, &mut out);
         }
         let could = (end - begun) as f64 / SECOND as f64 * 2e6;
         prop_assert!(server.done <= could + 1.0, "{} done of {could}", server.done);
@@ -87,8 +87,8 @@
 
     #[test]
     fn a_store_serves_no_faster_than_its_rate(waits in prop::collection::vec(0u64..50, 1..500), slow in 1f64..10.0) {
-        let mut store = Store::new(1000.0, SECOND);
-        store.slow(slow);
+        let mut store = SessionStore::new(1000.0, SECOND);
+        store.set_slowdown(slow);
         let (mut now, mut last, mut n) = (0, 0, 0);
         for wait in waits {
             now += wait;
@@ -115,10 +115,10 @@
         let run = run(&s, seed);
         for l in &run.findings.listeners {
             let ends = l.accepted + l.refused + l.torn_down + l.with_proxy + l.nobody_there + l.open;
-            let without = run.findings.counts().get(&Broken::NoAnswer).copied().unwrap_or(0);
+            let without = run.findings.counts().get(&ViolationKind::NoAnswer).copied().unwrap_or(0);
             prop_assert_eq!(l.opened, ends + without as u64);
         }
-        prop_assert!(run.findings.breaches.iter().all(|b| b.rule == 0), "{:?}", run.findings.breaches.first());
+        prop_assert!(run.findings.violations.iter().all(|b| b.rule == 0), "{:?}", run.findings.violations.first());
     }
 }
 
@@ -127,22 +127,22 @@
     let s =
         scenario("length = '5s'\n[[faults]]\nwhat = 'server-silent'\nat = '2s'\nfor = '2s'\nshare = 0.2\n");
     let (one, two, other) = (run(&s, 3), run(&s, 3), run(&s, 4));
-    assert_eq!(one.book.lines(), two.book.lines());
-    assert_ne!(one.book.lines(), other.book.lines());
+    assert_eq!(one.event_log.to_json_lines(), two.event_log.to_json_lines());
+    assert_ne!(one.event_log.to_json_lines(), other.event_log.to_json_lines());
 }
 
 /// A zone whose only proxy is dead waits until the front has noticed, and then until it is back; the other goes on.
 #[test]
 fn the_front_deals_within_a_zone() {
-    let mut front = Front::new(3, 2, SECOND);
-    assert_eq!(front.deal(0, 0), None, "none has answered yet");
-    (0..3).for_each(|proxy| front.answered(proxy));
-    let dealt: Vec<_> = (0..4).map(|_| front.deal(0, 4)).collect();
+    let mut front = ExternalLoadBalancer::new(3, 2, SECOND);
+    assert_eq!(front.next_proxy(0, 0), None, "none has answered yet");
+    (0..3).for_each(|proxy| front.proxy_answered(proxy));
+    let dealt: Vec<_> = (0..4).map(|_| front.next_proxy(0, 4)).collect();
     assert_eq!(dealt, [Some(0), Some(2), Some(0), Some(2)]);
-    front.died(0, 1);
-    assert_eq!((front.deal(SECOND - 1, 5), front.deal(SECOND, 5)), (Some(1), None));
-    front.take_out(0);
-    assert_eq!((front.deal(SECOND, 4), front.deal(SECOND, 4)), (Some(2), Some(2)));
+    front.proxy_died(0, 1);
+    assert_eq!((front.next_proxy(SECOND - 1, 5), front.next_proxy(SECOND, 5)), (Some(1), None));
+    front.remove_proxy(0);
+    assert_eq!((front.next_proxy(SECOND, 4), front.next_proxy(SECOND, 4)), (Some(2), Some(2)));
     let text =
         "length = '6s'\n[proxies]\ncount = 4\nzones = 2\n[[faults]]\nwhat = 'proxy-killed'\nat = '2s'\n";
     clean(&run(&scenario(text), 1));
@@ -175,18 +175,18 @@
     };
     let run = run(&scenario(&day("at_accept = true\n")), 1);
     clean(&run);
-    let at = |of: fn(&What) -> bool| {
-        run.book.entries.iter().filter(move |e| e.at > 0 && of(&e.what)).map(|e| e.at)
+    let at = |of: fn(&EventKind) -> bool| {
+        run.event_log.events.iter().filter(move |e| e.at > 0 && of(&e.kind)).map(|e| e.at)
     };
-    let gone = at(|what| matches!(what, What::ProxyGone { planned: false, .. })).collect::<Vec<_>>();
+    let gone = at(|what| matches!(what, EventKind::ProxyExited { planned: false, .. })).collect::<Vec<_>>();
     let [end] = gone[..] else { panic!("{gone:?}") };
     assert!(end > 2 * SECOND, "{end}");
-    let opened = at(|what| matches!(what, What::Opened { proxy: 0, .. }));
+    let opened = at(|what| matches!(what, EventKind::Opened { proxy: 0, .. }));
     assert!(opened.into_iter().any(|at| at + 2 == end), "no connection came at {end}");
-    assert_eq!(at(|what| matches!(what, What::ProxyUp { .. })).collect::<Vec<_>>(), [end + SECOND / 2]);
+    assert_eq!(at(|what| matches!(what, EventKind::ProxyUp { .. })).collect::<Vec<_>>(), [end + SECOND / 2]);
     assert_eq!(run.findings.listeners[0].with_proxy, 1);
     let wrong =
-        Scenario::read("[[faults]]\nwhat = 'proxy-stopped'\nat = '1s'\nat_accept = true\n").unwrap_err();
+        Scenario::parse("[[faults]]\nwhat = 'proxy-stopped'\nat = '1s'\nat_accept = true\n").unwrap_err();
     assert!(wrong.iter().any(|p| p.key == "at_accept"), "{wrong:?}");
 }
 
@@ -198,16 +198,16 @@
          at = '2s'\nfor = '2s'\n[[faults]]\nwhat = 'server-died'\nat = '2500ms'\n",
     );
     let run = run(&s, 1);
-    let at = |of: fn(&What) -> Option<usize>| {
-        let some = run.book.entries.iter().filter(|e| e.at > 0);
-        some.filter_map(|e| of(&e.what).map(|proxy| (proxy, e.at))).collect::<Vec<_>>()
+    let at = |of: fn(&EventKind) -> Option<usize>| {
+        let some = run.event_log.events.iter().filter(|e| e.at > 0);
+        some.filter_map(|e| of(&e.kind).map(|proxy| (proxy, e.at))).collect::<Vec<_>>()
     };
     let gone = at(|what| match what {
-        What::ProxyGone { proxy, planned: true } => Some(*proxy),
+        EventKind::ProxyExited { proxy, planned: true } => Some(*proxy),
         _ => None,
     });
     let ups = at(|what| match what {
-        What::ProxyUp { proxy } => Some(*proxy),
+        EventKind::ProxyUp { proxy } => Some(*proxy),
         _ => None,
     });
     // A stop takes as long as the daemon's may, and what it held has to be moved by then; 2 s later it is back.
@@ -222,7 +222,7 @@
 #[test]
 fn a_set_up_after_a_pause_runs_late_and_answers_nobody() {
     let text = "length = '8s'\n[servers.0]\n";
-    assert!(Scenario::read(text).is_err(), "servers are a list");
+    assert!(Scenario::parse(text).is_err(), "servers are a list");
     let s = scenario(
         "length = '8s'\n[[servers]]\ncount = 1\n[rules]\nprobes = false\n[[listeners]]\nkind = 'once-only'\n\
          dial_timeout = '600ms'\n[[faults]]\nwhat = 'server-paused'\nat = '3s'\nfor = '2s'\n",
@@ -235,25 +235,26 @@
 
 #[test]
 fn a_cold_server_that_is_rushed_falls_over_once_and_comes_back_cold() {
-    let (mut server, mut store, mut out) = (Server::new(profile()), Store::new(1e6, SECOND), Vec::new());
+    let (mut server, mut store, mut out) =
+        (Server::new(profile()), SessionStore::new(1e6, SECOND), Vec::new());
     let mut now = SECOND;
     server.start(now, &mut out);
     out.clear();
     // A tenth of two cores is 100 set-ups a second; four times that for a second is the most it bears.
     for conn in 0..900 {
         now += 5;
-        server.head(now, conn, conn, 0.0, &mut store, &mut out);
-        server.turn(now, &mut out);
+        server.receive_request(now, conn, conn, 0.0, &mut store, &mut out);
+        server.advance(now, &mut out);
     }
-    let over = out.iter().filter(|o| matches!(o, Out::Over(ratio) if *ratio > 4.0)).count();
-    assert_eq!((over, server.life()), (1, Life::Dead));
-    server.turn(now + SECOND, &mut out);
-    assert_eq!(server.life(), Life::Up);
+    let over = out.iter().filter(|o| matches!(o, ServerOutput::Overloaded(ratio) if *ratio > 4.0)).count();
+    assert_eq!((over, server.state()), (1, ServerState::Dead));
+    server.advance(now + SECOND, &mut out);
+    assert_eq!(server.state(), ServerState::Up);
     assert!(server.warmth(now + SECOND) < 0.2);
     // The same to a warm one is nothing.
     let (mut warm, mut out) = (Server::new(profile()), Vec::new());
-    (0..900).for_each(|conn| warm.head(SECOND + conn * 5, conn, conn, 0.0, &mut store, &mut out));
-    assert!(!out.iter().any(|o| matches!(o, Out::Over(_))));
+    (0..900).for_each(|conn| warm.receive_request(SECOND + conn * 5, conn, conn, 0.0, &mut store, &mut out));
+    assert!(!out.iter().any(|o| matches!(o, ServerOutput::Overloaded(_))));
 }
 
 #[test]
@@ -284,8 +285,8 @@
 
 /// The sessions that these servers accepted.
 fn accepted(run: &Run, servers: Range<usize>) -> usize {
-    let ends = |e: &&Entry| matches!(e.what, What::DialEnded { server, how: DialEnd::Accepted, .. } if servers.contains(&server));
-    run.book.entries.iter().filter(ends).count()
+    let ends = |e: &&LoggedEvent| matches!(e.kind, EventKind::AttemptEnded { server, end: AttemptEnd::Accepted, .. } if servers.contains(&server));
+    run.event_log.events.iter().filter(ends).count()
 }
 
 #[test]
@@ -323,7 +324,7 @@
 #[test]
 fn a_bad_scenario_is_refused_with_line_key_and_reason() {
     let wrong = |text: &str| -> Vec<String> {
-        Scenario::read(text).unwrap_err().iter().map(ToString::to_string).collect()
+        Scenario::parse(text).unwrap_err().iter().map(ToString::to_string).collect()
     };
     for (text, at) in [
         ("seed = 1\nlenght = '3s'\n", "2: lenght: unknown field"),
@@ -346,5 +347,5 @@
         assert!(found.iter().any(|f| f.starts_with(at)), "{text:?}: {found:?}");
     }
     assert_eq!(wrong("length = '0s'\n[proxies]\ncount = 0\n[must]\nservice = 2.0\n").len(), 3);
-    assert_eq!(Span::read("1.5s"), Ok(Span(15_000)));
+    assert_eq!(ConfigDuration::parse("1.5s"), Ok(ConfigDuration(15_000)));
 }
--- a/crates/larklink-testbed/src/clients.rs
+++ b/crates/larklink-testbed/src/clients.rs
@@ -6,7 +6,7 @@
 use async_channel::Receiver;
 use async_io::{Async, Timer};
 use futures_lite::FutureExt;
-use larklink_simulation::book::{Answer, Ask, End, What};
+use larklink_simulation::event_log::{ClientRequest, ClientResponse, ConnectionEnd, EventKind};
 
 use crate::stage::{Order, Stage};
 use crate::wire::{Lines, Next, answer, client_line, next, numbers, open_line};
@@ -15,9 +15,9 @@
 const MORE: Duration = Duration::from_millis(400);
 
 /// Opens a session, at the proxy that the front deals it to.
-pub fn start(stage: &Rc<Stage>, ask: Ask) {
+pub fn start(stage: &Rc<Stage>, ask: ClientRequest) {
     let now = stage.now();
-    let Some(proxy) = stage.world.borrow_mut().deal(now, &ask) else { return };
+    let Some(proxy) = stage.world.borrow_mut().assign_proxy(now, &ask) else { return };
     let (to, orders) = async_channel::unbounded();
     stage.clients.borrow_mut().insert(ask.id, to);
     let stage = Rc::clone(stage);
@@ -29,35 +29,35 @@
     });
 }
 
-async fn client(stage: &Rc<Stage>, ask: Ask, proxy: usize, orders: &Receiver<Order>) {
+async fn client(stage: &Rc<Stage>, ask: ClientRequest, proxy: usize, orders: &Receiver<Order>) {
     let (id, listener) = (ask.id, ask.listener);
     let text = open_line(&ask, &stage.scenario.listeners[listener].get_ref().name);
     let stream = Async::<TcpStream>::connect(stage.front_at[proxy]).await;
     // What follows from its line is to stand behind it in the book.
-    stage.world.borrow_mut().book.note(stage.now(), What::Opened { ask, proxy });
+    stage.world.borrow_mut().event_log.record(stage.now(), EventKind::Opened { request: ask, proxy });
     let Ok(stream) = stream else {
-        return stage.world.borrow_mut().nobody_there(stage.now(), id, proxy);
+        return stage.world.borrow_mut().proxy_unreachable(stage.now(), id, proxy);
     };
     stage.connected(proxy);
     let mut lines = Lines::new(stream);
     if lines.say(&text).await.is_err() {
-        return stage.world.borrow_mut().unanswered(stage.now(), id, End::Broken);
+        return stage.world.borrow_mut().ended_without_response(stage.now(), id, ConnectionEnd::Broken);
     }
     match next(&mut lines, orders).await {
         Next::Order(Order::Drop) => return lines.cut(),
         Next::Order(_) => return,
         Next::Line(Ok(Some(line))) => match answer(&line) {
-            Some(Answer::Accepted) => {
-                stage.world.borrow_mut().answered(stage.now(), id, Answer::Accepted);
+            Some(ClientResponse::Accepted) => {
+                stage.world.borrow_mut().response_received(stage.now(), id, ClientResponse::Accepted);
             }
             other => {
                 let now = stage.now();
                 match other {
-                    Some(answer) => stage.world.borrow_mut().answered(now, id, answer),
+                    Some(answer) => stage.world.borrow_mut().response_received(now, id, answer),
                     None => {
                         let mut world = stage.world.borrow_mut();
-                        world.book.note(now, What::Garbled { id });
-                        world.clients.lost(now, id);
+                        world.event_log.record(now, EventKind::MalformedResponse { id });
+                        world.clients.ended_without_response(now, id);
                     }
                 }
                 stage.stir();
@@ -65,8 +65,8 @@
             }
         },
         Next::Line(end) => {
-            let how = if end.is_ok() { End::Closed } else { End::Broken };
-            return stage.world.borrow_mut().unanswered(stage.now(), id, how);
+            let how = if end.is_ok() { ConnectionEnd::Closed } else { ConnectionEnd::Broken };
+            return stage.world.borrow_mut().ended_without_response(stage.now(), id, how);
         }
     }
     stage.stir();
@@ -84,7 +84,7 @@
         false
     };
     if line.or(limit).await {
-        stage.world.borrow_mut().book.note(stage.now(), What::More { id });
+        stage.world.borrow_mut().event_log.record(stage.now(), EventKind::ExtraMessage { id });
     }
 }
 
@@ -99,7 +99,7 @@
             Order::Leave => return,
         }
     }
-    stage.world.borrow_mut().ended(stage.now(), id, End::Broken);
+    stage.world.borrow_mut().connection_ended(stage.now(), id, ConnectionEnd::Broken);
 }
 
 /// A session that was accepted, to its end.
@@ -127,26 +127,28 @@
                         Some(at) => {
                             out.drain(..=at);
                             let back = numbers.get(2).copied();
-                            let took = stage.world.borrow_mut().back(now, id, numbers[0], back);
+                            let took = stage.world.borrow_mut().message_returned(now, id, numbers[0], back);
                             if let Some(took) = took {
                                 let _ = stage.trips.borrow_mut()[listener].record(took);
                             }
                         }
-                        None => stage.world.borrow_mut().book.note(now, What::Changed { id }),
+                        None => {
+                            stage.world.borrow_mut().event_log.record(now, EventKind::MessageAltered { id })
+                        }
                     }
                 } else if answer(&line).is_some() {
-                    stage.world.borrow_mut().book.note(now, What::More { id });
+                    stage.world.borrow_mut().event_log.record(now, EventKind::ExtraMessage { id });
                 } else if !line.starts_with(b"LOAD ") && line != b"BYE" {
-                    stage.world.borrow_mut().book.note(now, What::Changed { id });
+                    stage.world.borrow_mut().event_log.record(now, EventKind::MessageAltered { id });
                 }
             }
             Next::Line(end) => {
                 let how = match end {
-                    _ if moved => End::Moved,
-                    Ok(_) => End::Closed,
-                    Err(_) => End::Broken,
+                    _ if moved => ConnectionEnd::Migrated,
+                    Ok(_) => ConnectionEnd::Closed,
+                    Err(_) => ConnectionEnd::Broken,
                 };
-                stage.world.borrow_mut().ended(stage.now(), id, how);
+                stage.world.borrow_mut().connection_ended(stage.now(), id, how);
                 return stage.stir();
             }
         }
