--- a/crates/larklink-testbed/src/daemons.rs
+++ b/crates/larklink-testbed/src/daemons.rs
@@ -11,7 +11,7 @@
 use async_channel::Receiver;
 use async_io::{Async, Timer};
 use futures_lite::FutureExt;
-use larklink_simulation::faults::Upon;
+use larklink_simulation::faults::ProxyFault;
 use larklink_simulation::simulate;
 use rustix::process::{Pid, Signal, kill_process, set_parent_process_death_signal};
 
@@ -143,7 +143,7 @@
 
     fn write_config(&self, stage: &Stage) -> std::io::Result<()> {
         let scenario = &stage.scenario;
-        let lines = stage.world.borrow().list.after(None);
+        let lines = stage.world.borrow().endpoint_list.entries_after(None);
         let known: Vec<_> = lines.iter().map(|line| entry(stage, line)).collect();
         let seed = scenario.seed.wrapping_mul(64).wrapping_add(self.number as u64);
         let config = serde_json::json!({
@@ -208,7 +208,7 @@
 pub async fn keep(
     stage: Rc<Stage>,
     slots: Rc<RefCell<Vec<Slot>>>,
-    orders: Receiver<(usize, Upon)>,
+    orders: Receiver<(usize, ProxyFault)>,
     operators: Rc<Operators>,
 ) -> String {
     loop {
@@ -218,28 +218,28 @@
             None
         };
         match order.or(tick).await {
-            Some((proxy, Upon::Kill)) => {
+            Some((proxy, ProxyFault::Kill)) => {
                 // First the book: who is cut off by it is to find it there.
-                stage.world.borrow_mut().proxy_gone(stage.now(), proxy, false);
+                stage.world.borrow_mut().proxy_exited(stage.now(), proxy, false);
                 slots.borrow_mut()[proxy].end();
             }
             // The stage waits for the connection, and orders the kill then.
-            Some((_, Upon::KillAtAccept { .. })) => {}
-            Some((proxy, Upon::Start)) => {
+            Some((_, ProxyFault::KillAtAccept { .. })) => {}
+            Some((proxy, ProxyFault::Start)) => {
                 if let Err(wrong) = start(&stage, &slots, proxy).await {
                     return wrong;
                 }
             }
-            Some((proxy, Upon::Stop { back })) => {
+            Some((proxy, ProxyFault::Stop { back })) => {
                 let (stage, slots) = (Rc::clone(&stage), Rc::clone(&slots));
                 Rc::clone(&stage).spawn(stop(stage, slots, proxy, back));
             }
-            Some((proxy, Upon::Replace)) => {
+            Some((proxy, ProxyFault::Replace)) => {
                 if let Err(wrong) = replace(&stage, &slots, proxy, &operators).await {
                     return wrong;
                 }
             }
-            Some((proxy, Upon::Reload)) => {
+            Some((proxy, ProxyFault::Reload)) => {
                 let mut slots = slots.borrow_mut();
                 slots[proxy].reloads += 1;
                 let _ = slots[proxy].write_config(&stage);
@@ -345,9 +345,9 @@
     }
     process.kill();
     slots.borrow_mut()[proxy].end();
-    stage.world.borrow_mut().proxy_gone(stage.now(), proxy, true);
+    stage.world.borrow_mut().proxy_exited(stage.now(), proxy, true);
     if let Some(back) = back {
         Timer::after(Duration::from_micros(back * 100)).await;
-        let _ = stage.daemons.try_send((proxy, Upon::Start));
+        let _ = stage.daemons.try_send((proxy, ProxyFault::Start));
     }
 }
--- a/crates/larklink-testbed/src/discovery.rs
+++ b/crates/larklink-testbed/src/discovery.rs
@@ -5,7 +5,7 @@
 
 use async_io::{Async, Timer};
 use futures_lite::{AsyncWriteExt, FutureExt};
-use larklink_simulation::list::Line;
+use larklink_simulation::endpoint_list::EndpointListEntry;
 
 use crate::stage::Stage;
 use crate::wire::{Lines, listen};
@@ -41,7 +41,8 @@
             loop {
                 let there = {
                     let world = stage.world.borrow();
-                    world.list.answers(stage.now()) && after.is_none_or(|v| world.list.version() > v)
+                    world.endpoint_list.is_reachable(stage.now())
+                        && after.is_none_or(|v| world.endpoint_list.version() > v)
                 };
                 if there {
                     return;
@@ -55,7 +56,7 @@
             }
             Timer::after(Duration::from_millis(wait)).await;
             // Out of reach, it does not answer at all.
-            while !stage.world.borrow().list.answers(stage.now()) {
+            while !stage.world.borrow().endpoint_list.is_reachable(stage.now()) {
                 Timer::after(LOOKS_EVERY).await;
             }
         };
@@ -72,13 +73,13 @@
 
 fn body(stage: &Stage, proxy: usize, after: Option<u64>) -> String {
     let now = stage.now();
-    let (version, lines) = stage.world.borrow_mut().tell(now, proxy, after);
+    let (version, lines) = stage.world.borrow_mut().notify_proxy(now, proxy, after);
     let entries: Vec<_> = lines.iter().map(|line| entry(stage, line)).collect();
     serde_json::json!({"index": version, "snapshot": after.is_none(), "endpoints": entries}).to_string()
 }
 
 /// A server's line in discovery's form.
-pub fn entry(stage: &Stage, line: &Line) -> serde_json::Value {
+pub fn entry(stage: &Stage, line: &EndpointListEntry) -> serde_json::Value {
     let weight = stage.scenario.each_server().nth(line.server).map_or(1.0, |s| s.weight);
     serde_json::json!({
         "name": format!("s-{}", line.server), "address": stage.server_at[line.server].to_string(),
--- a/crates/larklink-testbed/src/doors.rs
+++ b/crates/larklink-testbed/src/doors.rs
@@ -7,9 +7,9 @@
 
 use async_io::{Async, Timer};
 use futures_lite::FutureExt;
-use larklink_simulation::book::Answer;
-use larklink_simulation::scenario::Kind;
-use larklink_simulation::server::Life;
+use larklink_simulation::event_log::ClientResponse;
+use larklink_simulation::scenario::SessionKind;
+use larklink_simulation::server::ServerState;
 
 use crate::stage::Stage;
 use crate::wire::{Lines, answer, head, listen};
@@ -92,15 +92,15 @@
         let Some(first) = client.next().await? else { return Ok(()) };
         let text = format!("{}\r\n", String::from_utf8_lossy(&first));
         let direct = match self.planted {
-            Planted::DialsDraining => self.server(|life, _| life == Life::Draining),
-            Planted::Rushes => self.server(|life, warmth| life == Life::Up && warmth < 0.5),
+            Planted::DialsDraining => self.server(|life, _| life == ServerState::Draining),
+            Planted::Rushes => self.server(|life, warmth| life == ServerState::Up && warmth < 0.5),
             _ => None,
         };
         if let Some(at) = direct {
             let mut server = Lines::new(Async::<TcpStream>::connect(at).await?);
             server.say(&text).await?;
             if let Some(line) = server.next().await?
-                && answer(&line) == Some(Answer::Accepted)
+                && answer(&line) == Some(ClientResponse::Accepted)
             {
                 client.say(&(String::from_utf8_lossy(&line) + "\r\n")).await?;
                 return copy(client, server, None).await;
@@ -113,7 +113,7 @@
         daemon.say(&text).await?;
         if self.planted == Planted::DialsTwo && self.every(20) {
             // Long enough for both to be out, and no longer.
-            let at = self.server(|life, _| life == Life::Up);
+            let at = self.server(|life, _| life == ServerState::Up);
             if let Some(at) = at {
                 let second = Lines::new(Async::<TcpStream>::connect(at).await?);
                 second.say(&text).await?;
@@ -130,9 +130,9 @@
         let said = answer(&line);
         let once = head(&first).is_some_and(|(_, name, _)| {
             let listeners = &self.stage.scenario.listeners;
-            listeners.iter().any(|l| l.get_ref().name == name && l.get_ref().kind == Kind::OnceOnly)
+            listeners.iter().any(|l| l.get_ref().name == name && l.get_ref().kind == SessionKind::OnceOnly)
         });
-        if self.planted == Planted::SendsAgain && once && said == Some(Answer::TornDown) {
+        if self.planted == Planted::SendsAgain && once && said == Some(ClientResponse::Failed) {
             daemon = Lines::new(Async::<TcpStream>::connect(self.daemon).await?);
             daemon.say(&text).await?;
             return copy(client, daemon, None).await;
@@ -152,9 +152,9 @@
     }
 
     /// The first server that is so, by life and warmth.
-    fn server(&self, fits: impl Fn(Life, f64) -> bool) -> Option<SocketAddr> {
+    fn server(&self, fits: impl Fn(ServerState, f64) -> bool) -> Option<SocketAddr> {
         let (world, now) = (self.stage.world.borrow(), self.stage.now());
-        let at = world.servers.iter().position(|s| fits(s.life(), s.warmth(now)))?;
+        let at = world.servers.iter().position(|s| fits(s.state(), s.warmth(now)))?;
         Some(self.stage.server_at[at])
     }
 }
--- a/crates/larklink-testbed/src/plots.rs
+++ b/crates/larklink-testbed/src/plots.rs
@@ -82,11 +82,11 @@
         let svg = draw(report, title, lines).unwrap_or_else(|e| escape(&e.to_string()));
         page += &svg;
     }
-    if !report.breaches.is_empty() {
+    if !report.violations.is_empty() {
         page += "<h2>Broken rules</h2><table><tr><th>what<th>rule<th>session<th>at, s<th>seen</tr>";
-        for b in report.breaches.iter().take(LISTED) {
-            let (at, what) = (seconds(b.at), format!("{:?}", b.what));
-            let seen = escape(&b.seen);
+        for b in report.violations.iter().take(LISTED) {
+            let (at, what) = (seconds(b.at), format!("{:?}", b.kind));
+            let seen = escape(&b.observed);
             let _ = write!(page, "<tr><td>{what}<td>{}<td>{}<td>{at:.3}<td>{seen}</tr>", b.rule, b.session);
         }
         page += "</table>";
--- a/crates/larklink-testbed/src/report.rs
+++ b/crates/larklink-testbed/src/report.rs
@@ -1,9 +1,9 @@
 //! What a rehearsal found, as plain values that can be printed, kept as JSON and plotted.
 use hdrhistogram::Histogram;
 use larklink_balancer::Timestamp;
-use larklink_simulation::audit::{Answers, Breach, Findings, Shape};
-use larklink_simulation::book::{Answer, What};
-use larklink_simulation::faults::Band;
+use larklink_simulation::audit::{Findings, SessionOutcomes, ShapeOutcomes, Violation};
+use larklink_simulation::event_log::{ClientResponse, EventKind};
+use larklink_simulation::faults::FaultBand;
 use larklink_simulation::goodput::{Recovery, recovery};
 use larklink_simulation::scenario::Scenario;
 use larklink_simulation::world::World;
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Row {
     pub listener: String,
-    pub answers: Answers,
+    pub answers: SessionOutcomes,
     /// To the answer of those accepted.
     pub answer_ms: Quantiles,
     /// From a line's going out to its coming back.
@@ -73,16 +73,16 @@
             at,
             standing: world.clients.standing,
             waiting: world.clients.waiting,
-            held: world.servers.iter().map(larklink_simulation::server::Server::held).collect(),
+            held: world.servers.iter().map(larklink_simulation::server::Server::sessions_held).collect(),
             service: world.clients.served_now(at),
             ..Self::default()
         };
         let from = at.saturating_sub(2500);
-        for entry in world.book.entries.iter().rev().take_while(|e| e.at >= from) {
-            match entry.what {
-                What::Answered { answer: Answer::Accepted, .. } => sample.accepted += 1,
-                What::Answered { answer: Answer::Refused(_), .. } => sample.refused += 1,
-                What::Answered { answer: Answer::TornDown, .. } => sample.torn_down += 1,
+        for entry in world.event_log.events.iter().rev().take_while(|e| e.at >= from) {
+            match entry.kind {
+                EventKind::Answered { response: ClientResponse::Accepted, .. } => sample.accepted += 1,
+                EventKind::Answered { response: ClientResponse::Rejected(_), .. } => sample.refused += 1,
+                EventKind::Answered { response: ClientResponse::Failed, .. } => sample.torn_down += 1,
                 _ => {}
             }
         }
@@ -98,10 +98,11 @@
     pub service: f64,
     pub rows: Vec<Row>,
     /// What the proxies as they were got, and those of the moved shape.
-    pub shapes: [Shape; 2],
+    pub shapes: [ShapeOutcomes; 2],
     /// What became of goodput after the last restart of a proxy.
     pub recovery: Option<Recovery>,
-    pub breaches: Vec<Breach>,
+    #[serde(rename = "breaches")]
+    pub violations: Vec<Violation>,
     /// What the scenario demands beside the rules, and was not so.
     pub unmet: Vec<String>,
     pub daemons: Vec<Use>,
@@ -112,7 +113,7 @@
     /// The kit itself fell behind: the run counts for nothing.
     pub strained: bool,
     pub samples: Vec<Sample>,
-    pub bands: Vec<Band>,
+    pub bands: Vec<FaultBand>,
 }
 
 impl Report {
@@ -148,18 +149,18 @@
         if let Some(least) = scenario.must.service.filter(|&least| service < least) {
             unmet.push(format!("service {service:.3}, {least} asked for"));
         }
-        let sum = |of: fn(&Answers) -> u64| rows.iter().map(|r| of(&r.answers)).sum::<u64>() as f64;
+        let sum = |of: fn(&SessionOutcomes) -> u64| rows.iter().map(|r| of(&r.answers)).sum::<u64>() as f64;
         let share = sum(|a| a.accepted) / sum(|a| a.opened).max(1.0);
         if let Some(least) = scenario.must.accepted.filter(|&least| share < least) {
             unmet.push(format!("{share:.3} of the sessions accepted, {least} asked for"));
         }
-        for (shape, name) in findings.shapes.iter().zip(Shape::NAMES) {
+        for (shape, name) in findings.shapes.iter().zip(ShapeOutcomes::NAMES) {
             let share = shape.share();
             if let Some(least) = scenario.must.each_shape.filter(|&least| share < least) {
                 unmet.push(format!("{share:.3} accepted at proxies of the {name} shape, {least} asked for"));
             }
         }
-        let recovery = recovery(scenario, &world.book);
+        let recovery = recovery(scenario, &world.event_log);
         if let Some(within) = scenario.must.recovers {
             let unmet_by = |r: Recovery| r.unmet(within.0);
             let too_late =
@@ -180,20 +181,20 @@
             rows,
             shapes: findings.shapes,
             recovery,
-            breaches: findings.breaches,
+            violations: findings.violations,
             unmet,
             daemons,
-            store_calls: world.store.calls,
-            store_failed: world.store.failed,
+            store_calls: world.session_store.calls,
+            store_failed: world.session_store.failed,
             kit_late_us,
             strained,
             samples,
-            bands: world.bands.clone(),
+            bands: world.fault_bands.clone(),
         }
     }
 
     /// Whether the rules were kept and all that the scenario demands was so.
     pub fn kept(&self) -> bool {
-        self.breaches.is_empty() && self.unmet.is_empty()
+        self.violations.is_empty() && self.unmet.is_empty()
     }
 }
--- a/crates/larklink-testbed/src/run.rs
+++ b/crates/larklink-testbed/src/run.rs
@@ -233,7 +233,7 @@
     let now = stage.now().min(end);
     let mut world = stage.world.borrow_mut();
     world.clients.finish(now);
-    let findings = audit(&stage.scenario, &world.book, end);
+    let findings = audit(&stage.scenario, &world.event_log, end);
     let late = late.borrow();
     let mut report = Report::new(
         &stage.scenario,
--- a/crates/larklink-testbed/src/servers.rs
+++ b/crates/larklink-testbed/src/servers.rs
@@ -5,9 +5,9 @@
 use async_channel::Receiver;
 use async_io::Async;
 use futures_lite::FutureExt;
-use larklink_simulation::book::DialEnd;
-use larklink_simulation::scenario::Listener;
-use larklink_simulation::server::{Conn, Say};
+use larklink_simulation::event_log::AttemptEnd;
+use larklink_simulation::scenario::ListenerSpec;
+use larklink_simulation::server::{ConnectionId, ServerMessage};
 
 use crate::stage::{Listening, Stage};
 use crate::wire::{Lines, Next, head, listen, next, numbers, server_line};
@@ -37,7 +37,7 @@
     }
 }
 
-async fn connection(stage: Rc<Stage>, server: usize, conn: Conn, stream: Async<TcpStream>) {
+async fn connection(stage: Rc<Stage>, server: usize, conn: ConnectionId, stream: Async<TcpStream>) {
     let (to, says) = async_channel::unbounded();
     stage.conns.borrow_mut().insert(conn, (server, to));
     let mut lines = Lines::new(stream);
@@ -45,13 +45,13 @@
     stage.conns.borrow_mut().remove(&conn);
     if let Some(id) = session {
         let now = stage.now();
-        stage.world.borrow_mut().dial_ended(now, server, conn, id, end);
+        stage.world.borrow_mut().attempt_ended(now, server, conn, id, end);
     }
     match end {
-        DialEnd::Cut => lines.cut(),
+        AttemptEnd::Reset => lines.cut(),
         // What the other side has still on its way is no reason to break what it is to read.
-        DialEnd::GivenUp | DialEnd::Accepted => {}
-        DialEnd::TurnedAway | DialEnd::Failed | DialEnd::SentAway => {
+        AttemptEnd::Abandoned | AttemptEnd::Accepted => {}
+        AttemptEnd::Rejected | AttemptEnd::Failed | AttemptEnd::Migrated => {
             let _ = lines.stream.get_ref().shutdown(std::net::Shutdown::Write);
             let rest = async { while let Ok(Some(_)) = lines.next().await {} };
             let limit = async { _ = async_io::Timer::after(std::time::Duration::from_millis(500)).await };
@@ -64,10 +64,10 @@
 async fn talk(
     stage: &Rc<Stage>,
     server: usize,
-    conn: Conn,
+    conn: ConnectionId,
     lines: &mut Lines,
-    says: &Receiver<Say>,
-) -> (Option<u64>, DialEnd) {
+    says: &Receiver<ServerMessage>,
+) -> (Option<u64>, AttemptEnd) {
     let mut session = None;
     loop {
         match next(lines, says).await {
@@ -77,53 +77,53 @@
                     line.strip_prefix(b"G ").and_then(|n| std::str::from_utf8(n).ok()?.parse().ok())
                 {
                     if flood(lines, kb).await.is_err() {
-                        return (session, DialEnd::GivenUp);
+                        return (session, AttemptEnd::Abandoned);
                     }
                     continue;
                 }
                 let deeds = match (session, head(&line)) {
                     (Some(id), _) => {
                         let sent = numbers(&line).and_then(|n| n.get(1).copied());
-                        stage.world.borrow_mut().line(now, server, conn, id, sent, line)
+                        stage.world.borrow_mut().message_to_server(now, server, conn, id, sent, line)
                     }
                     (None, Some((id, listener, told))) => {
-                        let named = |l: &toml::Spanned<Listener>| l.get_ref().name == listener;
+                        let named = |l: &toml::Spanned<ListenerSpec>| l.get_ref().name == listener;
                         let Some(listener) = stage.scenario.listeners.iter().position(named) else {
                             let _ = lines.say("SYNTAX\r\n").await;
-                            return (None, DialEnd::Failed);
+                            return (None, AttemptEnd::Failed);
                         };
                         session = Some(id);
-                        stage.world.borrow_mut().dialled(now, server, conn, id, told, listener)
+                        stage.world.borrow_mut().attempt_started(now, server, conn, id, told, listener)
                     }
                     (None, None) if line == b"STATS" || line == b"PING" => {
-                        stage.world.borrow_mut().servers[server].probe(now, conn);
+                        stage.world.borrow_mut().servers[server].check_health(now, conn);
                         Vec::new()
                     }
                     (None, None) => {
                         let _ = lines.say("SYNTAX\r\n").await;
-                        return (None, DialEnd::Failed);
+                        return (None, AttemptEnd::Failed);
                     }
                 };
                 stage.carry(deeds);
                 stage.stir();
             }
-            Next::Line(_) => return (session, DialEnd::GivenUp),
+            Next::Line(_) => return (session, AttemptEnd::Abandoned),
             Next::Order(say) => {
                 let now = stage.now();
-                let Some(text) = server_line(&say, conn, now) else { return (session, DialEnd::Cut) };
+                let Some(text) = server_line(&say, conn, now) else { return (session, AttemptEnd::Reset) };
                 let wrote = lines.say(&text).await;
                 match say {
-                    Say::Up => {
+                    ServerMessage::Accepted => {
                         let id = session.unwrap_or_default();
-                        stage.world.borrow_mut().dial_ended(now, server, conn, id, DialEnd::Accepted);
+                        stage.world.borrow_mut().attempt_ended(now, server, conn, id, AttemptEnd::Accepted);
                     }
-                    Say::Busy => return (session, DialEnd::TurnedAway),
-                    Say::Error => return (session, DialEnd::Failed),
-                    Say::Move => return (session, DialEnd::SentAway),
+                    ServerMessage::AtCapacity => return (session, AttemptEnd::Rejected),
+                    ServerMessage::Failed => return (session, AttemptEnd::Failed),
+                    ServerMessage::Migrate => return (session, AttemptEnd::Migrated),
                     _ => {}
                 }
                 if wrote.is_err() {
-                    return (session, DialEnd::GivenUp);
+                    return (session, AttemptEnd::Abandoned);
                 }
             }
         }
--- a/crates/larklink-testbed/src/stage.rs
+++ b/crates/larklink-testbed/src/stage.rs
@@ -10,11 +10,11 @@
 use async_io::Timer;
 use hdrhistogram::Histogram;
 use larklink_balancer::{TickDuration, Timestamp};
-use larklink_simulation::clients::Act;
-use larklink_simulation::faults::Upon;
+use larklink_simulation::clients::ClientAction;
+use larklink_simulation::faults::ProxyFault;
 use larklink_simulation::scenario::Scenario;
-use larklink_simulation::server::{Conn, Say};
-use larklink_simulation::world::{Deed, World};
+use larklink_simulation::server::{ConnectionId, ServerMessage};
+use larklink_simulation::world::{World, WorldAction};
 
 /// What a client's task is to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,7 +38,7 @@
     pub world: World,
     pub wake: Sender<()>,
     /// Orders for the task that keeps the daemons.
-    pub daemons: Sender<(usize, Upon)>,
+    pub daemons: Sender<(usize, ProxyFault)>,
     pub listening: Vec<Sender<Listening>>,
     pub server_at: Vec<SocketAddr>,
     pub front_at: Vec<SocketAddr>,
@@ -54,10 +54,10 @@
     pub wall: Cell<u64>,
     pub wake: Sender<()>,
     /// Orders for the task that keeps the daemons.
-    pub daemons: Sender<(usize, Upon)>,
+    pub daemons: Sender<(usize, ProxyFault)>,
     pub clients: RefCell<HashMap<u64, Sender<Order>>>,
-    pub conns: RefCell<HashMap<Conn, (usize, Sender<Say>)>>,
-    pub next_conn: Cell<Conn>,
+    pub conns: RefCell<HashMap<ConnectionId, (usize, Sender<ServerMessage>)>>,
+    pub next_conn: Cell<ConnectionId>,
     /// Proxies that are killed with the next connection that they take, and how long after they start again.
     armed: RefCell<BTreeMap<usize, Option<TickDuration>>>,
     pub listening: Vec<Sender<Listening>>,
@@ -119,32 +119,38 @@
     }
 
     /// Carries out what the world asks for.
-    pub fn carry(self: &Rc<Self>, deeds: Vec<Deed>) {
+    pub fn carry(self: &Rc<Self>, deeds: Vec<WorldAction>) {
         for deed in deeds {
             match deed {
-                Deed::Say { conn, say, .. } => {
+                WorldAction::Send { connection: conn, message: say, .. } => {
                     if let Some((_, to)) = self.conns.borrow().get(&conn) {
                         let _ = to.try_send(say);
                     }
                 }
-                Deed::Down { server } => {
+                WorldAction::StopListening { server } => {
                     let _ = self.listening[server].try_send(Listening::No);
                     for (_, to) in self.conns.borrow().values().filter(|(s, _)| *s == server) {
-                        let _ = to.try_send(Say::Cut);
+                        let _ = to.try_send(ServerMessage::Reset);
                     }
                 }
-                Deed::Listen { server } => _ = self.listening[server].try_send(Listening::Yes),
+                WorldAction::Listen { server } => _ = self.listening[server].try_send(Listening::Yes),
                 // The agents look by themselves.
-                Deed::ListChanged => {}
-                Deed::Client(Act::Open(ask)) => crate::clients::start(self, ask),
-                Deed::Client(Act::Line { id, number }) => self.order(id, Order::Line(number)),
-                Deed::Client(Act::GiveUp { id } | Act::Leave { id }) => self.order(id, Order::Leave),
-                Deed::Client(Act::Silent { .. }) => {}
-                Deed::Drop(ids) => ids.into_iter().for_each(|id| self.order(id, Order::Drop)),
-                Deed::Proxy(proxy, Upon::KillAtAccept { back }) => {
+                WorldAction::EndpointListChanged => {}
+                WorldAction::Client(ClientAction::Connect(ask)) => crate::clients::start(self, ask),
+                WorldAction::Client(ClientAction::SendMessage { id, number }) => {
+                    self.order(id, Order::Line(number))
+                }
+                WorldAction::Client(ClientAction::TimeOut { id } | ClientAction::Leave { id }) => {
+                    self.order(id, Order::Leave)
+                }
+                WorldAction::Client(ClientAction::Silent { .. }) => {}
+                WorldAction::DisconnectClients(ids) => {
+                    ids.into_iter().for_each(|id| self.order(id, Order::Drop))
+                }
+                WorldAction::Proxy(proxy, ProxyFault::KillAtAccept { back }) => {
                     self.armed.borrow_mut().insert(proxy, back);
                 }
-                Deed::Proxy(proxy, upon) => _ = self.daemons.try_send((proxy, upon)),
+                WorldAction::Proxy(proxy, upon) => _ = self.daemons.try_send((proxy, upon)),
             }
         }
     }
@@ -152,12 +158,12 @@
     /// A client's connection to a proxy stands: it may be the last that this one took.
     pub fn connected(self: &Rc<Self>, proxy: usize) {
         let Some(back) = self.armed.borrow_mut().remove(&proxy) else { return };
-        let _ = self.daemons.try_send((proxy, Upon::Kill));
+        let _ = self.daemons.try_send((proxy, ProxyFault::Kill));
         if let Some(back) = back {
             let stage = Rc::clone(self);
             self.spawn(async move {
                 Timer::after(Duration::from_micros(back * 100)).await;
-                let _ = stage.daemons.try_send((proxy, Upon::Start));
+                let _ = stage.daemons.try_send((proxy, ProxyFault::Start));
             });
         }
     }
@@ -173,9 +179,9 @@
 pub async fn pace(stage: Rc<Stage>, wake: async_channel::Receiver<()>) {
     loop {
         let now = stage.now();
-        let deeds = stage.world.borrow_mut().turn(now);
+        let deeds = stage.world.borrow_mut().advance(now);
         stage.carry(deeds);
-        let due = stage.world.borrow_mut().due();
+        let due = stage.world.borrow_mut().next_event_at();
         let wait = due.saturating_sub(stage.now()).min(500);
         let timer = async {
             Timer::after(Duration::from_micros(wait * 100)).await;
--- a/crates/larklink-testbed/src/wire.rs
+++ b/crates/larklink-testbed/src/wire.rs
@@ -7,8 +7,8 @@
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt, future};
 use larklink_balancer::Timestamp;
-use larklink_simulation::book::{Answer, Ask};
-use larklink_simulation::server::{Report, Say};
+use larklink_simulation::event_log::{ClientRequest, ClientResponse};
+use larklink_simulation::server::{LoadReport, ServerMessage};
 use socket2::{Domain, SockRef, Socket, Type};
 
 const LONGEST: usize = 4096;
@@ -81,11 +81,11 @@
     Async::new(socket.into())
 }
 
-pub fn open_line(ask: &Ask, listener: &str) -> String {
+pub fn open_line(ask: &ClientRequest, listener: &str) -> String {
     let mut line = format!("OPEN {:x} {:x} c={listener},t=floor,d={}", ask.id, ask.key, ask.patience / 10);
     line += &format!(",g={:x}", ask.group);
     line += if ask.retry { ",r=1" } else { "" };
-    line += if ask.again { ",again=1" } else { "" };
+    line += if ask.reconnecting { ",again=1" } else { "" };
     line + "\r\n"
 }
 
@@ -101,14 +101,14 @@
 }
 
 /// What a first answer says; nothing if it is none.
-pub fn answer(line: &[u8]) -> Option<Answer> {
+pub fn answer(line: &[u8]) -> Option<ClientResponse> {
     let text = std::str::from_utf8(line).ok()?;
     let (word, rest) = text.split_once(' ').unwrap_or((text, ""));
     match word {
-        "UP" => Some(Answer::Accepted),
-        "BUSY" if rest.is_empty() => Some(Answer::Refused(0)),
-        "BUSY" => rest.parse().ok().map(Answer::Refused),
-        "ERR" => Some(Answer::TornDown),
+        "UP" => Some(ClientResponse::Accepted),
+        "BUSY" if rest.is_empty() => Some(ClientResponse::Rejected(0)),
+        "BUSY" => rest.parse().ok().map(ClientResponse::Rejected),
+        "ERR" => Some(ClientResponse::Failed),
         _ => None,
     }
 }
@@ -125,17 +125,17 @@
 }
 
 /// What a server writes; the connection ends after some.
-pub fn server_line(say: &Say, conn: u64, now: Timestamp) -> Option<String> {
+pub fn server_line(say: &ServerMessage, conn: u64, now: Timestamp) -> Option<String> {
     Some(match say {
-        Say::Up => format!("UP {conn:x}\r\n"),
-        Say::Busy => "BUSY\r\n".into(),
-        Say::Error => "ERR\r\n".into(),
-        Say::Move => "MOVE\r\n".into(),
-        Say::Load(load) => format!("LOAD {load:.0}\r\n"),
-        Say::Line(text) => format!("{} {now}\r\n", String::from_utf8_lossy(text)),
-        Say::Pong(Report { held, used, asked }) => {
+        ServerMessage::Accepted => format!("UP {conn:x}\r\n"),
+        ServerMessage::AtCapacity => "BUSY\r\n".into(),
+        ServerMessage::Failed => "ERR\r\n".into(),
+        ServerMessage::Migrate => "MOVE\r\n".into(),
+        ServerMessage::Load(load) => format!("LOAD {load:.0}\r\n"),
+        ServerMessage::Message(text) => format!("{} {now}\r\n", String::from_utf8_lossy(text)),
+        ServerMessage::HealthReport(LoadReport { held, used, asked }) => {
             format!("PONG inflight={held},util={used:.3},x0={asked:.3}\r\n")
         }
-        Say::Cut => return None,
+        ServerMessage::Reset => return None,
     })
 }
--- a/crates/larklink-testbed/tests/format_fixtures.rs
+++ b/crates/larklink-testbed/tests/format_fixtures.rs
@@ -1,7 +1,7 @@
 //! The report of a rehearsal as JSON, as `larklinkctl` writes it, held byte for byte against files.
 use hdrhistogram::Histogram;
-use larklink_simulation::audit::{Answers, Breach, Broken, Findings, Shape};
-use larklink_simulation::goodput::{Rate, Recovery};
+use larklink_simulation::audit::{Findings, SessionOutcomes, ShapeOutcomes, Violation, ViolationKind};
+use larklink_simulation::goodput::{GoodputRate, Recovery};
 use larklink_simulation::scenario::Scenario;
 use larklink_simulation::world::World;
 use larklink_testbed::daemons::Use;
@@ -11,8 +11,8 @@
     serde_json::to_string_pretty(report).unwrap() + "\n"
 }
 
-fn answers(took: &[u64]) -> Answers {
-    Answers {
+fn answers(took: &[u64]) -> SessionOutcomes {
+    SessionOutcomes {
         opened: 10,
         accepted: 5,
         refused: 3,
@@ -28,9 +28,9 @@
     }
 }
 
-fn breach() -> Breach {
-    let (what, at) = (Broken::MayRunTwice, 14);
-    Breach { what, rule: what.rule(), session: "ab".into(), at, seen: "\u{e9} \"seen\"".into() }
+fn breach() -> Violation {
+    let (what, at) = (ViolationKind::MayRunTwice, 14);
+    Violation { kind: what, rule: what.rule(), session: "ab".into(), at, observed: "\u{e9} \"seen\"".into() }
 }
 
 fn quantiles(count: u64) -> Quantiles {
@@ -49,8 +49,8 @@
     }
 }
 
-fn rate(from: u64) -> Rate {
-    Rate { from, accepted: 19.5, offered: 20.0 }
+fn rate(from: u64) -> GoodputRate {
+    GoodputRate { from, accepted: 19.5, offered: 20.0 }
 }
 
 fn recovery(took: Option<u64>) -> Recovery {
@@ -74,8 +74,8 @@
     Use { cpu_s: 1.5, peak_kb: 34, starts: 35 }
 }
 
-fn shapes() -> [Shape; 2] {
-    [Shape { opened: 36, accepted: 18 }, Shape { opened: 40, accepted: 10 }]
+fn shapes() -> [ShapeOutcomes; 2] {
+    [ShapeOutcomes { opened: 36, accepted: 18 }, ShapeOutcomes { opened: 40, accepted: 10 }]
 }
 
 /// Every field, with a value of its own.
@@ -88,7 +88,7 @@
         rows: vec![row()],
         shapes: shapes(),
         recovery: Some(recovery(Some(41))),
-        breaches: vec![breach()],
+        violations: vec![breach()],
         unmet: vec!["unmet".into()],
         daemons: vec![daemon()],
         store_calls: 42,
@@ -109,8 +109,8 @@
     // What larklinkctl goes by.
     assert!(!report.kept());
     assert!(!Report { unmet: Vec::new(), ..report.clone() }.kept());
-    assert!(!Report { breaches: Vec::new(), ..report.clone() }.kept());
-    assert!(Report { breaches: Vec::new(), unmet: Vec::new(), ..report }.kept());
+    assert!(!Report { violations: Vec::new(), ..report.clone() }.kept());
+    assert!(Report { violations: Vec::new(), unmet: Vec::new(), ..report }.kept());
 }
 
 /// What is drawn up from a world in which nothing has happened yet, findings that fall short of all that is demanded,
@@ -121,11 +121,11 @@
                 [[faults]]\nwhat = 'proxy-stopped'\nat = '1s'\nfor = '2s'\nwhich = [0]\n\
                 [[faults]]\nwhat = 'server-silent'\nat = '3s'\nfor = '4s'\nwhich = [1, 2]\napart = '100ms'\n\
                 [must]\nservice = 1.0\naccepted = 0.9\neach_shape = 0.45\nanswer_p99 = '900ms'\nrecovers = '5s'\n";
-    let scenario = Scenario::read(text).unwrap();
+    let scenario = Scenario::parse(text).unwrap();
     let mut trips = Histogram::<u64>::new(3).unwrap();
     (1..=2000).for_each(|tenths| trips.record(tenths).unwrap());
     let took: Vec<_> = (1..=1000).map(|ms| ms * 10).collect();
-    let findings = Findings { listeners: vec![answers(&took)], shapes: shapes(), breaches: vec![breach()] };
+    let findings = Findings { listeners: vec![answers(&took)], shapes: shapes(), violations: vec![breach()] };
     let world = World::new(&scenario, 7);
     let report = Report::new(
         &scenario,
--- a/crates/larklinkctl/src/run.rs
+++ b/crates/larklinkctl/src/run.rs
@@ -4,7 +4,7 @@
 
 use comfy_table::{Table, presets::UTF8_HORIZONTAL_ONLY};
 use indicatif::{ProgressBar, ProgressStyle};
-use larklink_simulation::audit::Shape;
+use larklink_simulation::audit::ShapeOutcomes;
 use larklink_simulation::scenario::Scenario;
 use larklink_testbed::plots;
 use larklink_testbed::report::Report;
@@ -60,7 +60,7 @@
 
 pub fn execute(arguments: &Arguments) -> ExitCode {
     if arguments.list {
-        let scenarios = SHIPPED.iter().filter_map(|(name, text)| Some((name, Scenario::read(text).ok()?)));
+        let scenarios = SHIPPED.iter().filter_map(|(name, text)| Some((name, Scenario::parse(text).ok()?)));
         scenarios.for_each(|(name, s)| println!("{name:16} {:>4}  {}", s.length.to_string(), s.about));
         return ExitCode::SUCCESS;
     }
@@ -128,7 +128,7 @@
         None => std::fs::read_to_string(name)
             .map_err(|e| format!("{name}: {e}; `larklinkctl run --list` shows those that ship"))?,
     };
-    Scenario::read(&text).map_err(|wrong| {
+    Scenario::parse(&text).map_err(|wrong| {
         let lines: Vec<_> = wrong.iter().map(|w| format!("{name}:{w}")).collect();
         lines.join("\nlarklinkctl: ")
     })
@@ -199,7 +199,8 @@
             u.starts
         );
     }
-    for (shape, name) in report.shapes.iter().zip(Shape::NAMES).filter(|(shape, _)| shape.opened > 0) {
+    for (shape, name) in report.shapes.iter().zip(ShapeOutcomes::NAMES).filter(|(shape, _)| shape.opened > 0)
+    {
         println!("proxies of the {name} shape: {} of {} sessions accepted", shape.accepted, shape.opened);
     }
     if let Some(recovery) = &report.recovery {
@@ -212,12 +213,12 @@
         most as f64 / 1e3,
         worst as f64 / 1e3
     );
-    for b in report.breaches.iter().take(SHOWN) {
+    for b in report.violations.iter().take(SHOWN) {
         let at = b.at as f64 / 10_000.0;
-        println!("rule {} {:?} at {at:.3} s, session {}: {}", b.rule, b.what, b.session, b.seen);
+        println!("rule {} {:?} at {at:.3} s, session {}: {}", b.rule, b.kind, b.session, b.observed);
     }
-    if report.breaches.len() > SHOWN {
-        println!("and {} more", report.breaches.len() - SHOWN);
+    if report.violations.len() > SHOWN {
+        println!("and {} more", report.violations.len() - SHOWN);
     }
     report.unmet.iter().for_each(|wrong| println!("not so: {wrong}"));
     let verdict = if report.kept() { "all rules kept" } else { "found wanting" };
