--- a/crates/larklink-adapter/src/proxy.rs
+++ b/crates/larklink-adapter/src/proxy.rs
@@ -8,7 +8,8 @@
     Timestamp,
 };
 use larklink_engine::engine::{Engine, ProxyAction};
-use larklink_engine::settings::{ProxySettings, tenths};
+use larklink_engine::settings::ProxySettings;
+use larklink_engine::units::ticks_from_nanos;
 
 use crate::wire::{Batch, Fields, Malformed, Reply};
 
@@ -38,7 +39,7 @@
             let (code, instance) = (event.u16(0), event.u32(2));
             match code {
                 1000 => {
-                    let facts = ProxySettings::read(batch.text(event, 14)?);
+                    let facts = ProxySettings::from_json(batch.text(event, 14)?);
                     let facts = facts.map_err(|e| Malformed(format!("settings: {e}")))?;
                     let proxy = Proxy { engine: Engine::new(&facts, event.u64(6), now), alarm: None };
                     self.running.insert(instance, proxy);
@@ -102,7 +103,7 @@
                     established: e.u16(22) & MID_FLOW != 0,
                     reconnecting: e.u16(22) & AGAIN != 0,
                     client_retry: e.u16(22) & RETRY != 0,
-                    dial_timeout: tenths(e.time(24)),
+                    dial_timeout: ticks_from_nanos(e.time(24)),
                     client_key: e.u64(32),
                     listener: self.listener(e.u8(40))?,
                 };
@@ -112,7 +113,7 @@
                 let ask = SessionRequest {
                     listener: self.listener(e.u8(10))?,
                     client_key: e.u64(15),
-                    dial_timeout: tenths(e.time(23)),
+                    dial_timeout: ticks_from_nanos(e.time(23)),
                     group_key: e.u64(39),
                     ..SessionRequest::default()
                 };
@@ -126,7 +127,13 @@
             1070 => {
                 let report: Vec<_> =
                     (0..e.u8(19).min(4)).map(|n| e.f32(20 + 4 * n as usize).into()).collect();
-                self.engine.health_checked(now, e.u32(15), how(e.u8(6)), tenths(e.time(7)), &report);
+                self.engine.health_checked(
+                    now,
+                    e.u32(15),
+                    how(e.u8(6)),
+                    ticks_from_nanos(e.time(7)),
+                    &report,
+                );
             }
             1110 => {
                 let amount = f64::from(e.f32(16));
@@ -189,7 +196,7 @@
             _ => EndpointState::Draining,
         },
         weight: f64::from(e.f32(11)),
-        started_at: if came_up > 0 { tenths(came_up).max(1) } else { 0 },
+        started_at: if came_up > 0 { ticks_from_nanos(came_up).max(1) } else { 0 },
     }
 }
 
--- a/crates/larklink-engine/src/lib.rs
+++ b/crates/larklink-engine/src/lib.rs
@@ -1,5 +1,7 @@
-//! What the simulator's adapter and the proxy on sockets share: the settings object, ids mapped to small
-//! indices, the current dial of each session, and the module's verdicts and chores as plain actions. No I/O
-//! and no clock.
+//! What every way of running the decisions of larklink shares: the settings object of a proxy, and the balancer behind
+//! the ids of endpoints, sessions and attempts. No I/O and no clock: time is an argument.
 pub mod engine;
 pub mod settings;
+pub mod units;
+pub mod validation;
+mod wire;
--- /dev/null
+++ b/crates/larklink-engine/tests/settings.rs
@@ -0,0 +1,103 @@
+//! The settings object: names, units, defaults, and what is rejected with the path of its field.
+#![expect(clippy::unwrap_used, reason = "a test fails by panicking")]
+
+use larklink_balancer::{AvailabilityNines, Idempotency, RetryBudgetSettings, Settings, Timestamp};
+use larklink_engine::settings::ProxySettings;
+
+const SETTINGS: &str = r#"{
+    "grades": [
+        {"name": "a", "idempotency": "idempotent", "aim_ns": 500000000, "deadline_ns": 3000000000},
+        {"name": "b", "idempotency": "at_most_once", "aim_ns": 500000000, "deadline_ns": 2000000000}],
+    "feedback": {"names": ["inflight", "x0"]},
+    "domain": {"mode": "pass", "message_aim_ns": [150000000, 50000000], "tells_delay": true},
+    "policy_limits": {"dial_timeout_ns": 250000000, "max_retry_after_ns": 1500000000, "probing": true,
+        "send_cap": 3},
+    "safety": {"cold_ns": 20000000000, "drain_grace_ns": 500000000, "fall_multiple": 4.0,
+        "start_capacity": 0.2}}"#;
+
+fn read(text: &str) -> ProxySettings {
+    ProxySettings::from_json(text.as_bytes()).unwrap()
+}
+
+fn balancer_settings(text: &str) -> Settings {
+    read(text).settings
+}
+
+#[test]
+fn settings_are_read_by_name_and_units() {
+    let proxy = read(SETTINGS);
+    let balancer = &proxy.settings;
+    assert_eq!((proxy.listeners.len(), proxy.max_dial_timeout, proxy.passthrough), (2, 30_000, true));
+    assert_eq!((proxy.load_position, balancer.load_reports), (Some(1), true));
+    assert_eq!(
+        (balancer.connect_timeout, balancer.message_objective, balancer.drain_grace),
+        (2_500, 500, 5_000)
+    );
+    assert_eq!(balancer.listeners[1].idempotency, Idempotency::OnceOnly);
+    assert!(
+        ProxySettings::from_json(b"{}").is_ok_and(|settings| settings.listeners.is_empty()),
+        "what is missing has a cautious value"
+    );
+    // A limit of 0 would make an endpoint count as failed by any latency reported.
+    assert_eq!(
+        (balancer.max_dial_timeout, balancer_settings("{}").max_dial_timeout),
+        (30_000, Timestamp::MAX)
+    );
+    assert!(ProxySettings::from_json(b"[").is_err());
+}
+
+#[test]
+fn a_ration_of_further_dials_and_the_nines_are_read_whole_or_absent() {
+    let all = balancer_settings(
+        r#"{"safety":{"budget_free":3,"extra_per_request":0.05,"counted_over_ns":5000000000},
+            "result_mix":{"nines_part":0.3,"top_nines":3}}"#,
+    );
+    assert_eq!(
+        all.retry_budget,
+        Some(RetryBudgetSettings { min_retries: 3.0, retry_ratio: 0.05, window: 50_000 })
+    );
+    assert_eq!(all.availability_nines, Some(AvailabilityNines { weight: 0.3, max_nines: 3.0 }));
+    let none = balancer_settings("{}");
+    assert_eq!((none.retry_budget, none.availability_nines), (None, None));
+}
+
+#[test]
+fn a_proxy_keeps_near_only_where_a_crossing_costs_no_less_than_a_move() {
+    let local_zone =
+        |costs: &str| balancer_settings(&format!(r#"{{"zone":1,"zones":["a","b"]{costs}}}"#)).local_zone;
+    assert_eq!(local_zone(""), None, "without costs no zone is preferred");
+    assert_eq!(local_zone(r#","fees":{"cross_zone":0.03,"moves":0.038}"#), None);
+    assert_eq!(local_zone(r#","fees":{"cross_zone":0.02,"moves":0.02}"#), Some(1));
+}
+
+#[test]
+fn settings_that_cannot_be_are_told_with_their_place() {
+    let wrong = |text: &str| ProxySettings::from_json(text.as_bytes()).unwrap_err().to_string();
+    for (text, place) in [
+        (r#"{"zone":2,"zones":["a","b"]}"#, "zone: 2 is no place among the 2"),
+        (r#"{"zone":"b"}"#, "expected u16 at line 1 column 11"),
+        (r#"{"fees":{"cross_zone":-0.1}}"#, "fees.cross_zone: -0.1 is no price"),
+        (r#"{"fees":{"moves":"dear"}}"#, "expected f64"),
+        (r#"{"grades":[{},{"deadline_ns":-1}]}"#, "grades[1].deadline_ns: -1 is under 0"),
+        (r#"{"grades":[{"gain":-1}]}"#, "grades[0].gain: -1 is no utility"),
+        (r#"{"grades":[{"name":"a"},{"name":"ab"},{"name":"a"}]}"#, "grades[2].name: \"a\" stands twice"),
+        (r#"{"safety":{"budget_free":3,"extra_per_request":0.05}}"#, "safety.counted_over_ns: missing"),
+        (r#"{"safety":{"counted_over_ns":5000000000}}"#, "safety.budget_free: missing"),
+        (
+            r#"{"safety":{"budget_free":-3,"extra_per_request":0.05,"counted_over_ns":5000000000}}"#,
+            "safety.budget_free: -3 is no amount",
+        ),
+        (
+            r#"{"safety":{"budget_free":3,"extra_per_request":0.05,"counted_over_ns":0}}"#,
+            "safety.counted_over_ns: 0 is no period",
+        ),
+        (r#"{"safety":{"budget_free":"few"}}"#, "expected f64"),
+        (
+            r#"{"result_mix":{"nines_part":-0.3,"top_nines":3}}"#,
+            "result_mix.nines_part: -0.3 must be 0 or more",
+        ),
+        (r#"{"result_mix":{"nines_part":0.3}}"#, "result_mix.top_nines: must be above 0"),
+    ] {
+        assert!(wrong(text).contains(place), "{text}: {}", wrong(text));
+    }
+}
--- a/crates/larklink-engine/tests/sites.rs
+++ b/crates/larklink-engine/tests/sites.rs
@@ -1,94 +1,150 @@
-//! The deployments in `deploy/sites/`: each is whole, and its settings, put in the words of its own `wire.json`, are read as
-//! its site file has them.
+//! The deployments in `deploy/sites/`: each is complete, and its settings, written in the words of its own `wire.json`,
+//! are read as its site file has them.
+#![expect(clippy::unwrap_used, reason = "a test fails by panicking")]
+
 use std::path::{Path, PathBuf};
 
 use larklink_balancer::Idempotency;
-use larklink_engine::settings::{ProxySettings, tenths};
+use larklink_engine::settings::ProxySettings;
+use larklink_engine::units::ticks_from_nanos;
 use serde_json::{Map, Value, json};
 
-fn sites() -> Vec<PathBuf> {
+fn site_folders() -> Vec<PathBuf> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/sites");
-    let entries = std::fs::read_dir(root).unwrap().map(|e| e.unwrap().path());
+    let entries = std::fs::read_dir(root).unwrap().map(|entry| entry.unwrap().path());
     entries.filter(|path| path.is_dir()).collect()
 }
 
-fn json_of(path: &Path) -> Value {
+fn read_json(path: &Path) -> Value {
     serde_json::from_slice(&std::fs::read(path).unwrap())
-        .unwrap_or_else(|e| panic!("{}: {e}", path.display()))
+        .unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-#[test]
-fn each_deployment_of_our_own_is_whole_and_its_settings_are_read() {
-    assert!(sites().len() >= 2);
-    for dir in sites() {
-        let name = dir.file_name().unwrap().to_str().unwrap();
-        let text = std::fs::read_to_string(dir.join(format!("{name}.toml"))).unwrap();
-        let site: toml::Table = text.parse().unwrap_or_else(|e| panic!("{name}: {e}"));
+fn nanos_from_millis(millis: &Value) -> i64 {
+    millis.as_i64().unwrap() * 1_000_000
+}
+
+fn object(pairs: Vec<(String, Value)>) -> Value {
+    Value::Object(pairs.into_iter().collect())
+}
+
+/// The files of one deployment.
+struct Site {
+    name: String,
+    site: Value,
+    wire: Value,
+}
+
+impl Site {
+    fn read(folder: &Path) -> Self {
+        let name = folder.file_name().unwrap().to_str().unwrap().to_owned();
+        let text = std::fs::read_to_string(folder.join(format!("{name}.toml"))).unwrap();
+        let site: toml::Table = text.parse().unwrap_or_else(|error| panic!("{name}: {error}"));
         let site = serde_json::to_value(site).unwrap();
-        assert_eq!((&site["name"], &site["wire"]), (&json!(name), &json!("wire.json")));
-        assert!(dir.join("unlock.txt").exists(), "{name}: unlock.txt");
-        let real = json_of(&dir.join("real.json"));
-        let (list, states) = (&real["f"], &real["states"]);
-        assert_eq!((&real["env"], &real["paths"]["list"]), (&json!("ROUTER"), &json!("/api/targets")));
-        for (key, word) in [("id", "name"), ("version", "index"), ("full", "snapshot"), ("state", "status")] {
-            assert_eq!(list[key], word, "{name}: f.{key}");
-        }
-        assert_eq!(states, &json!({"ready": "up", "draining": "draining", "gone": "removed"}), "{name}");
+        let wire = read_json(&folder.join("wire.json"));
+        Self { name, site, wire }
+    }
+
+    fn classes(&self) -> &Vec<Value> {
+        self.site["class"].as_array().unwrap()
+    }
 
-        let wire = json_of(&dir.join("wire.json"));
-        let word = |key: &str| match &wire["init"]["rename"][key] {
+    /// The word that the settings object has for a key.
+    fn word(&self, key: &str) -> String {
+        match &self.wire["init"]["rename"][key] {
             Value::String(word) => word.clone(),
             _ => key.to_owned(),
-        };
-        let ns = |ms: &Value| ms.as_i64().unwrap() * 1_000_000;
-        let span = |key: &str| format!("{}_ns", word(key));
-        let grade = |c: &Value| {
-            let effect = wire["init"]["words"][c["effect"].as_str().unwrap()].clone();
-            let mut grade = Map::new();
-            grade.insert(word("name"), c["name"].clone());
-            grade.insert(word("worth"), c["worth"].clone());
-            grade.insert(word("effect"), effect);
-            grade.insert(span("aim"), json!(ns(&c["aim_ms"])));
-            grade.insert(span("deadline"), json!(ns(&c["deadline_ms"])));
-            Value::Object(grade)
-        };
-        let (classes, rules, tier) = (site["class"].as_array().unwrap(), &site["rules"], &site["tier"][0]);
-        let object = |pairs: Vec<(String, Value)>| Value::Object(pairs.into_iter().collect());
-        let settings = object(vec![
-            (word("classes"), classes.iter().map(grade).collect()),
-            (word("zones"), site["net"]["zones"].clone()),
-            (word("report"), object(vec![(word("fields"), tier["report"]["fields"].clone())])),
-            (
-                word("rules"),
-                object(vec![
-                    ("fall_multiple".into(), rules["fall_multiple"].clone()),
-                    ("drain_grace_ns".into(), json!(ns(&rules["drain_grace_ms"]))),
-                    (span("fall"), json!(ns(&rules["fall_ms"]))),
-                ]),
-            ),
-            (
-                word("limits"),
-                object(vec![
-                    (word("probes"), site["allow"]["probes"].clone()),
-                    (word("max_attempts"), site["allow"]["max_attempts"].clone()),
-                    (span("connect_timeout"), json!(ns(&tier["conn"]["connect_timeout_ms"]))),
-                ]),
-            ),
+        }
+    }
+
+    /// The word for the key of a duration.
+    fn duration_word(&self, key: &str) -> String {
+        format!("{}_ns", self.word(key))
+    }
+
+    fn listener_object(&self, class: &Value) -> Value {
+        let effect = self.wire["init"]["words"][class["effect"].as_str().unwrap()].clone();
+        let mut listener = Map::new();
+        listener.insert(self.word("name"), class["name"].clone());
+        listener.insert(self.word("worth"), class["worth"].clone());
+        listener.insert(self.word("effect"), effect);
+        listener.insert(self.duration_word("aim"), json!(nanos_from_millis(&class["aim_ms"])));
+        listener.insert(self.duration_word("deadline"), json!(nanos_from_millis(&class["deadline_ms"])));
+        Value::Object(listener)
+    }
+
+    fn settings_object(&self) -> Value {
+        let rules = &self.site["rules"];
+        let tier = &self.site["tier"][0];
+        let allow = &self.site["allow"];
+        let connect_timeout = nanos_from_millis(&tier["conn"]["connect_timeout_ms"]);
+        let rules = object(vec![
+            ("fall_multiple".into(), rules["fall_multiple"].clone()),
+            ("drain_grace_ns".into(), json!(nanos_from_millis(&rules["drain_grace_ms"]))),
+            (self.duration_word("fall"), json!(nanos_from_millis(&rules["fall_ms"]))),
         ]);
-        let facts =
-            ProxySettings::read(settings.to_string().as_bytes()).unwrap_or_else(|e| panic!("{name}: {e}"));
-        let set = &facts.settings;
-        let names: Vec<_> = classes.iter().map(|c| c["name"].as_str().unwrap()).collect();
-        assert_eq!(facts.listeners, names);
-        assert!(set.listeners.iter().all(|l| l.idempotency == Idempotency::Idempotent
-            && l.priority_weight > 0.0
-            && l.handshake_objective > 0));
-        assert_eq!(json!(facts.zones), site["net"]["zones"]);
-        assert_eq!(json!(set.overload_multiple), json!(rules["fall_multiple"].as_f64().unwrap()));
-        assert_eq!(set.drain_grace, tenths(ns(&rules["drain_grace_ms"])));
-        assert_eq!(set.overload_window, tenths(ns(&rules["fall_ms"])));
-        assert_eq!(set.connect_timeout, tenths(ns(&tier["conn"]["connect_timeout_ms"])));
-        assert_eq!(json!(set.max_attempts), site["allow"]["max_attempts"]);
-        assert!(set.health_checks && set.load_reports && facts.longest > 0, "{name}: load is told by probes");
+        let limits = object(vec![
+            (self.word("probes"), allow["probes"].clone()),
+            (self.word("max_attempts"), allow["max_attempts"].clone()),
+            (self.duration_word("connect_timeout"), json!(connect_timeout)),
+        ]);
+        let report = object(vec![(self.word("fields"), tier["report"]["fields"].clone())]);
+        object(vec![
+            (self.word("classes"), self.classes().iter().map(|class| self.listener_object(class)).collect()),
+            (self.word("zones"), self.site["net"]["zones"].clone()),
+            (self.word("report"), report),
+            (self.word("rules"), rules),
+            (self.word("limits"), limits),
+        ])
+    }
+}
+
+fn assert_is_complete(folder: &Path, site: &Site) {
+    let name = &site.name;
+    assert_eq!((&site.site["name"], &site.site["wire"]), (&json!(name), &json!("wire.json")));
+    assert!(folder.join("unlock.txt").exists(), "{name}: unlock.txt");
+    let real = read_json(&folder.join("real.json"));
+    let list = &real["f"];
+    assert_eq!((&real["env"], &real["paths"]["list"]), (&json!("ROUTER"), &json!("/api/targets")));
+    for (key, word) in [("id", "name"), ("version", "index"), ("full", "snapshot"), ("state", "status")] {
+        assert_eq!(list[key], word, "{name}: f.{key}");
+    }
+    let states = json!({"ready": "up", "draining": "draining", "gone": "removed"});
+    assert_eq!(real["states"], states, "{name}");
+}
+
+fn assert_settings_are_read(site: &Site) {
+    let name = &site.name;
+    let rules = &site.site["rules"];
+    let allow = &site.site["allow"];
+    let proxy = ProxySettings::from_json(site.settings_object().to_string().as_bytes())
+        .unwrap_or_else(|error| panic!("{name}: {error}"));
+    let balancer = &proxy.settings;
+    let names: Vec<_> = site.classes().iter().map(|class| class["name"].as_str().unwrap()).collect();
+    assert_eq!(proxy.listeners, names);
+    assert!(balancer.listeners.iter().all(|listener| listener.idempotency == Idempotency::Idempotent
+        && listener.priority_weight > 0.0
+        && listener.handshake_objective > 0));
+    assert_eq!(json!(proxy.zones), site.site["net"]["zones"]);
+    assert_eq!(json!(balancer.overload_multiple), json!(rules["fall_multiple"].as_f64().unwrap()));
+    let ticks = |millis: &Value| ticks_from_nanos(nanos_from_millis(millis));
+    assert_eq!(balancer.drain_grace, ticks(&rules["drain_grace_ms"]));
+    assert_eq!(balancer.overload_window, ticks(&rules["fall_ms"]));
+    assert_eq!(balancer.connect_timeout, ticks(&site.site["tier"][0]["conn"]["connect_timeout_ms"]));
+    assert_eq!(json!(balancer.max_attempts), allow["max_attempts"]);
+    assert!(
+        balancer.health_checks && balancer.load_reports && proxy.max_dial_timeout > 0,
+        "{name}: load is reported by health checks"
+    );
+}
+
+#[test]
+fn each_deployment_of_our_own_is_whole_and_its_settings_are_read() {
+    let folders = site_folders();
+    assert!(folders.len() >= 2);
+    for folder in folders {
+        let site = Site::read(&folder);
+        assert_is_complete(&folder, &site);
+        assert_settings_are_read(&site);
     }
 }
--- a/crates/larklink-proxy/src/decision_task.rs
+++ b/crates/larklink-proxy/src/decision_task.rs
@@ -57,7 +57,9 @@
             engine: Engine::new(facts, seed, clock.now()),
             clock,
             zones: facts.zones.clone(),
-            delays: facts.tells_delay.then(|| LatencyEstimator::new(facts.settings.message_objective)),
+            delays: facts
+                .reports_message_latency
+                .then(|| LatencyEstimator::new(facts.settings.message_objective)),
             addresses: HashMap::new(),
             listed: BTreeMap::new(),
             orders: HashMap::new(),
--- a/crates/larklink-proxy/src/health_check.rs
+++ b/crates/larklink-proxy/src/health_check.rs
@@ -40,7 +40,7 @@
 
 impl HealthChecker {
     pub fn new(facts: &ProxySettings, queue: DecisionQueue, limiter: Rc<ConnectionLimiter>) -> Self {
-        let names = if facts.load_position.is_some() { facts.report.clone() } else { Vec::new() };
+        let names = if facts.load_position.is_some() { facts.load_report_names.clone() } else { Vec::new() };
         let (probing, connect_timeout) = (facts.settings.health_checks, span(facts.settings.connect_timeout));
         let (kept, asked, waiting) = Default::default();
         Self { names, probing, connect_timeout, kept, asked, waiting, queue, limiter }
--- a/crates/larklink-proxy/tests/wire_fixtures.rs
+++ b/crates/larklink-proxy/tests/wire_fixtures.rs
@@ -167,9 +167,9 @@
     let told = &config.settings;
     assert_eq!(told.listeners, ["chat", "pay", "push", "feed", "bulk", "odd"]);
     assert_eq!(told.zones, ["a", "b", "c"]);
-    assert_eq!(told.report, ["inflight", "q", "x0"]);
+    assert_eq!(told.load_report_names, ["inflight", "q", "x0"]);
     assert_eq!((told.load_position, told.in_flight_position), (Some(2), Some(0)));
-    assert_eq!((told.longest, told.passes, told.tells_delay), (72_000, true, true));
+    assert_eq!((told.max_dial_timeout, told.passthrough, told.reports_message_latency), (72_000, true, true));
     let s = &told.settings;
     let listener = |idempotency, handshake_objective, priority_weight| Listener {
         idempotency,
@@ -212,9 +212,12 @@
     assert_eq!(config.limits.sockets, 1024);
     assert!(config.known.endpoints.is_empty() && config.known.left_out.is_empty());
     let told = &config.settings;
-    assert_eq!((&told.listeners, told.zones.len(), told.report.len()), (&vec!["c".to_owned()], 0, 0));
+    assert_eq!(
+        (&told.listeners, told.zones.len(), told.load_report_names.len()),
+        (&vec!["c".to_owned()], 0, 0)
+    );
     assert_eq!((told.load_position, told.in_flight_position), (None, None));
-    assert_eq!((told.longest, told.passes, told.tells_delay), (0, false, false));
+    assert_eq!((told.max_dial_timeout, told.passthrough, told.reports_message_latency), (0, false, false));
     let s = &told.settings;
     assert_eq!(
         s.listeners,
--- a/crates/larklink-simulation/src/simulate.rs
+++ b/crates/larklink-simulation/src/simulate.rs
@@ -207,7 +207,7 @@
 impl Simulation<'_> {
     fn engine(&self, now: Timestamp, proxy: usize) -> Engine {
         let facts = settings(self.scenario, proxy).to_string();
-        let facts = ProxySettings::read(facts.as_bytes()).expect("settings of our own make");
+        let facts = ProxySettings::from_json(facts.as_bytes()).expect("settings of our own make");
         let seed = self.seed.wrapping_mul(1000).wrapping_add(proxy as u64 + now);
         Engine::new(&facts, seed, ORIGIN + now)
     }
