--- a/crates/larklink-coordination/src/lease.rs
+++ b/crates/larklink-coordination/src/lease.rs
@@ -1,410 +1,378 @@
 //! The lease: one process at a time does a task for the whole fleet.
 //!
-//! How to call it. Make one [`Lease`] a task and process. Carry out the [`Ask`] that [`Lease::next`] returns, one at a
-//! time, and hand back what became of it by [`Lease::answered`] or [`Lease::unanswered`]; call `next` again after each
-//! and when [`Lease::due`] has come. Right before an act look at [`Lease::may_act`], let the act carry its token, and
-//! look again after it.
+//! Make one [`Lease`] for each task and process. Carry out the [`LeaseRequest`] that [`Lease::next_request`] returns, one
+//! at a time, and hand back what became of it by [`Lease::response_received`] or [`Lease::request_timed_out`]; call
+//! `next_request` again after each and when [`Lease::next_request_at`] has come. Right before an act call
+//! [`Lease::may_act`], let the act carry its fencing token, and call it again afterwards.
 //!
-//! The times are those of a clock that goes on while the machine sleeps and is never set. That no two act at once rests
-//! on two things: a holder counts from before it asked, and a candidate from after it heard.
+//! Times are those of a clock that goes on while the machine sleeps and is never set. That no two members act at once
+//! rests on two things: a holder counts from before its request, and a candidate from after the response.
+//!
+//! ```
+//! use larklink_coordination::lease::Lease;
+//! use larklink_coordination::record::Member;
+//! use larklink_coordination::request::{FencingToken, LeaseRequest, LeaseResponse};
+//! use larklink_coordination::safety::BoundedDrift;
+//! use larklink_coordination::settings::LeaseSettings;
+//!
+//! let settings =
+//!     LeaseSettings { ttl: 100_000, drift_ppm: 1_000, max_act_duration: 1_000, request_timeout: 5_000 };
+//! settings.check()?;
+//! let member = Member { name: "proxy-1".into(), incarnation: 7 };
+//! let mut lease: Lease<BoundedDrift> = Lease::new(member, settings, Some(1));
+//!
+//! // The lease store has no record yet: the lease can be acquired at once.
+//! assert!(matches!(lease.next_request(0), Some(LeaseRequest::Read { .. })));
+//! lease.response_received(10, LeaseResponse::Current(None));
+//! assert!(matches!(lease.next_request(10), Some(LeaseRequest::Write { expected_index: 0, .. })));
+//! lease.response_received(20, LeaseResponse::Written { index: Some(1) });
+//!
+//! assert_eq!(lease.may_act(30), Some(FencingToken(1)));
+//! assert_eq!(lease.may_act(200_000), None, "not renewed in time");
+//! # Ok::<(), larklink_coordination::settings::LeaseSettingsError>(())
+//! ```
 use std::marker::PhantomData;
 
 use larklink_balancer::{TickDuration, Timestamp};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use serde::{Deserialize, Serialize};
 
-/// Millionths, in which drift is told.
-const MILLION: TickDuration = 1_000_000;
-/// A holder renews after this part of its span: two renewals may fail before it must stop.
-const RENEW: TickDuration = 3;
-/// After a call without an answer the next is made within this part of the span, drawn from its upper half, so that
-/// hundreds of candidates do not call in step.
-const AGAIN: TickDuration = 10;
-/// The least that a span is over the bound on a call: renewals need room to fail and be made again.
-pub const SPAN_OVER_CALL: TickDuration = 10;
-/// The longest span, a day: a lost holder costs as much.
-const LONGEST: TickDuration = 24 * 3_600 * 10_000;
+use crate::record::{LeaseRecord, Member, StoredRecord};
+use crate::request::{FencingToken, LeaseRequest, LeaseResponse};
+use crate::safety::{BoundedDrift, SafetyCondition};
+use crate::settings::LeaseSettings;
 
-/// One process: a name started again is another member.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Member {
-    pub name: String,
-    /// Drawn at its start.
-    pub incarnation: u64,
-}
-
-/// What the register holds of a lease: all that a next holder needs.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Record {
-    /// None: given back.
-    pub holder: Option<Member>,
-    /// Grows by one with each change of holder.
-    pub term: u64,
-    /// The holder's span.
-    pub span: TickDuration,
-}
+/// A holder renews so often in its TTL: two renewals may fail before it must stop.
+const RENEWALS_PER_TTL: TickDuration = 3;
+/// The longest pause after a request without a response is this part of the TTL, the shortest half as long; it is drawn,
+/// so that hundreds of candidates do not retry in step.
+const RETRIES_PER_TTL: TickDuration = 10;
 
-/// What all candidates of a lease agree on.
+/// The latest that was observed of the record.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Terms {
-    /// How long a renewal holds.
-    pub span: TickDuration,
-    /// By how many millionths a clock may run fast or slow.
-    pub drift: u32,
-    /// The bound of one act: none begins later than this before the end.
-    pub act: TickDuration,
-    /// The bound on a call of the register, after which it counts as unanswered.
-    pub call: TickDuration,
-}
-
-impl Terms {
-    /// # Errors
-    /// What cannot work, with the name of the figure.
-    pub fn check(&self) -> Result<(), String> {
-        if self.drift == 0 || self.drift > 100_000 {
-            return Err(format!("drift: {} millionths; it must be above 0 and at most 100000", self.drift));
-        }
-        if self.call == 0 {
-            return Err("call: 0 is no bound on a call".into());
-        }
-        if self.span < self.call.saturating_mul(SPAN_OVER_CALL) {
-            return Err(format!(
-                "span: {} is under {SPAN_OVER_CALL} times the bound on a call, {}",
-                self.span, self.call
-            ));
-        }
-        if self.span > LONGEST {
-            return Err(format!("span: {} tenths of a millisecond are over a day", self.span));
-        }
-        if self.act >= self.span / 2 {
-            return Err(format!(
-                "act: {} leaves less than half of the span, {}, to act in",
-                self.act, self.span
-            ));
-        }
-        Ok(())
-    }
-}
-
-/// What is to be asked of the register.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Ask {
-    /// What it holds now, by a consistent read; answered once that is newer than an index, if one is told, or after a
-    /// wait.
-    Read { newer: Option<u64>, wait: TickDuration },
-    /// Writes if the index is still this one; 0: if there is nothing.
-    Write { cas: u64, record: Record },
-}
-
-/// What the register answered.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Answer {
-    /// What it holds, and the index of the write that made it.
-    Holds(Option<(u64, Record)>),
-    /// It was written, under this index; a register that does not tell it is read next.
-    Written(Option<u64>),
-    /// The index was another one.
-    Refused,
-}
-
-/// Goes with each act: a far side refuses what is below the highest that it has seen.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Token(pub u64);
-
-/// The inequalities that the lease rests on, apart so that its proof can be run against mistaken ones.
-pub trait Law {
-    /// Until when a holder may act by a write asked for at one time and answered at another.
-    fn holds_until(asked: Timestamp, _answered: TickDuration, terms: &Terms) -> TickDuration {
-        let drift = TickDuration::from(terms.drift);
-        (asked + terms.span * (MILLION - drift) / MILLION).saturating_sub(terms.act)
-    }
-
-    /// From when on a record first heard of then, and unchanged since, may be overtaken.
-    fn overtakes_at(heard: Timestamp, span: TickDuration, drift: u32) -> TickDuration {
-        // The span stands in a record that others wrote.
-        let longer =
-            (u128::from(span) * u128::from(MILLION + TickDuration::from(drift))).div_ceil(MILLION.into());
-        heard.saturating_add(TickDuration::try_from(longer).unwrap_or(Timestamp::MAX))
-    }
-
-    /// From when on a write counts that is made again after one without an answer, which may have taken effect.
-    fn made_again(first: Timestamp, again: TickDuration) -> TickDuration {
-        first.min(again)
-    }
+struct ObservedRecord {
+    index: u64,
+    record: Option<LeaseRecord>,
+    /// When this index was first observed.
+    first_observed_at: Timestamp,
 }
 
-/// The law that holds.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Sound;
-
-impl Law for Sound {}
-
-/// The last that was heard of the record.
+/// Writes without a response, which may have taken effect or may yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Heard {
-    index: u64,
-    record: Option<Record>,
-    /// When this index was first heard of.
-    first: Timestamp,
+struct UnresolvedWrite {
+    /// The index that they expected.
+    expected_index: u64,
+    /// When the earliest of them was requested.
+    requested_at: Timestamp,
 }
 
-/// The index that writes of unknown outcome named, and the earliest time at which one of them was asked for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Doubt {
-    cas: u64,
-    asked: Timestamp,
+struct HeldLease {
+    may_act_until: Timestamp,
+    token: FencingToken,
+    term: u64,
+    /// When the latest renewal that was confirmed was requested.
+    renewed_at: Timestamp,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Held {
-    until: Timestamp,
-    token: Token,
-    term: u64,
-    /// When the latest renewal that was confirmed was asked for.
-    asked: Timestamp,
+struct OutstandingRequest {
+    request: LeaseRequest,
+    requested_at: Timestamp,
 }
 
-/// Why a lease was lost or taken, for one log line.
+/// Why a lease was acquired or lost, for one log line.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Change {
-    Taken {
+pub enum LeaseChange {
+    /// This process holds it now.
+    Acquired {
+        /// The new term.
         term: u64,
     },
-    /// Another member holds it, or nobody that we know of.
+    /// This process holds it no more.
     Lost {
+        /// Its new holder; none if it is unknown.
         to: Option<Member>,
     },
-    GivenBack,
+    /// This process gave it back.
+    Released,
 }
 
-/// One process's side of one lease.
+/// How long a holder may act.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LeaseValidity {
+    /// The time from which on it may not act any more, unless the lease is renewed.
+    pub until: Timestamp,
+    /// Its term.
+    pub term: u64,
+}
+
+/// A lease holder and its term.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LeaseHolder<'a> {
+    /// The member that holds the lease.
+    pub member: &'a Member,
+    /// Its term.
+    pub term: u64,
+}
+
+/// The state machine of one process and one lease.
 #[derive(Clone, Debug)]
-pub struct Lease<L = Sound> {
-    me: Member,
-    terms: Terms,
-    chance: Option<ChaCha8Rng>,
-    heard: Option<Heard>,
-    doubt: Option<Doubt>,
-    held: Option<Held>,
-    /// The call that is out and when it was asked.
-    out: Option<(Ask, TickDuration)>,
-    /// What was heard is not enough: it reads before anything else.
-    reads: bool,
-    resigns: bool,
-    /// Not to call before; not to take before, as what was held may have been lost with the register's state.
-    rests: TickDuration,
-    takes: TickDuration,
-    change: Option<Change>,
-    law: PhantomData<L>,
+pub struct Lease<S = BoundedDrift> {
+    member: Member,
+    settings: LeaseSettings,
+    rng: Option<ChaCha8Rng>,
+    observed: Option<ObservedRecord>,
+    unresolved_write: Option<UnresolvedWrite>,
+    held: Option<HeldLease>,
+    outstanding: Option<OutstandingRequest>,
+    /// What was observed is not enough: the next request is a read.
+    must_read: bool,
+    resigning: bool,
+    /// No request before this time.
+    retry_not_before: Timestamp,
+    /// No acquisition before this time: somebody may hold a lease that the lease store has forgotten.
+    acquire_not_before: Timestamp,
+    change: Option<LeaseChange>,
+    safety: PhantomData<S>,
 }
 
-impl<L: Law> Lease<L> {
-    /// Without a seed no wait is drawn: for models.
-    pub fn new(me: Member, terms: Terms, seed: Option<u64>) -> Self {
+impl<S: SafetyCondition> Lease<S> {
+    /// The lease of a member that knows nothing of it yet. Without a seed there are no pauses, for models.
+    pub fn new(member: Member, settings: LeaseSettings, seed: Option<u64>) -> Self {
         Self {
-            me,
-            terms,
-            chance: seed.map(ChaCha8Rng::seed_from_u64),
-            heard: None,
-            doubt: None,
+            member,
+            settings,
+            rng: seed.map(ChaCha8Rng::seed_from_u64),
+            observed: None,
+            unresolved_write: None,
             held: None,
-            out: None,
-            reads: true,
-            resigns: false,
-            rests: 0,
-            takes: 0,
+            outstanding: None,
+            must_read: true,
+            resigning: false,
+            retry_not_before: 0,
+            acquire_not_before: 0,
             change: None,
-            law: PhantomData,
+            safety: PhantomData,
         }
     }
 
-    /// The token to act with now. Every act looks here right before it, and once more after it: an act that a pause
-    /// carried over the end is late, and only the far side can refuse it.
-    pub fn may_act(&self, now: Timestamp) -> Option<Token> {
-        self.held.as_ref().filter(|held| now < held.until && !self.resigns).map(|held| held.token)
+    /// The fencing token to act with now; none if this process may not act. Call it right before each act, and again
+    /// afterwards: an act that a pause of the process carried beyond the end is late, and only the far side can
+    /// reject it.
+    pub fn may_act(&self, now: Timestamp) -> Option<FencingToken> {
+        self.valid(now).map(|held| held.token)
+    }
+
+    /// Until when this process may act, and in which term; none if it may not act now.
+    pub fn validity(&self, now: Timestamp) -> Option<LeaseValidity> {
+        self.valid(now).map(|held| LeaseValidity { until: held.may_act_until, term: held.term })
     }
 
-    /// Until when this process may act, and in which term; none where it may not by now.
-    pub fn until(&self, now: Timestamp) -> Option<(TickDuration, u64)> {
-        self.may_act(now)?;
-        self.held.as_ref().map(|held| (held.until, held.term))
+    fn valid(&self, now: Timestamp) -> Option<&HeldLease> {
+        self.held.as_ref().filter(|held| now < held.may_act_until && !self.resigning)
     }
 
-    /// All that it goes on by, for models that tell states apart; what is drawn by chance is not in it.
-    pub fn key(&self) -> String {
-        let Self { heard, doubt, held, out, reads, resigns, rests, takes, .. } = self;
-        format!("{heard:?} {doubt:?} {held:?} {out:?} {reads} {resigns} {rests} {takes}")
+    /// All state that decides what comes next, as a text; for models that compare states. What is drawn by chance is
+    /// not in it.
+    pub fn state_key(&self) -> String {
+        format!(
+            "{:?} {:?} {:?} {:?} {} {} {} {}",
+            self.observed,
+            self.unresolved_write,
+            self.held,
+            self.outstanding,
+            self.must_read,
+            self.resigning,
+            self.retry_not_before,
+            self.acquire_not_before
+        )
     }
 
-    /// Who holds it, as last heard.
-    pub fn holder(&self) -> Option<(&Member, u64)> {
-        let record = self.heard.as_ref()?.record.as_ref()?;
-        record.holder.as_ref().map(|holder| (holder, record.term))
+    /// The lease holder, as last observed.
+    pub fn holder(&self) -> Option<LeaseHolder<'_>> {
+        let record = self.observed.as_ref()?.record.as_ref()?;
+        record.holder.as_ref().map(|member| LeaseHolder { member, term: record.term })
     }
 
-    /// What changed since this was last asked.
-    pub fn change(&mut self) -> Option<Change> {
+    /// The latest change since this was last called.
+    pub fn take_change(&mut self) -> Option<LeaseChange> {
         self.change.take()
     }
 
-    /// Gives the lease back, if it is held, and is no candidate any more.
+    /// Releases the lease, if it is held, and is no candidate any more.
     pub fn resign(&mut self) {
-        if !std::mem::replace(&mut self.resigns, true) && self.held.is_some() {
-            self.change = Some(Change::GivenBack);
+        if !self.resigning && self.held.is_some() {
+            self.change = Some(LeaseChange::Released);
         }
+        self.resigning = true;
     }
 
-    /// Nothing is left to be asked: what was held is given back.
-    pub fn is_over(&self) -> bool {
-        self.resigns && self.out.is_none() && !self.reads && !self.is_mine()
+    /// Whether there is nothing more to request after [`Lease::resign`]: what was held is released.
+    pub fn is_released(&self) -> bool {
+        self.resigning && self.outstanding.is_none() && !self.must_read && !self.is_mine()
     }
 
-    /// When [`Lease::next`] wants to be called next; [`Timestamp::MAX`] while a call is out.
-    pub fn due(&self) -> Timestamp {
-        if self.out.is_some() || self.is_over() {
+    /// When [`Lease::next_request`] has to be called next; [`Timestamp::MAX`] while a request is outstanding.
+    pub fn next_request_at(&self) -> Timestamp {
+        if self.outstanding.is_some() || self.is_released() {
             return Timestamp::MAX;
         }
-        let wants = match (&self.held, self.is_mine()) {
-            _ if self.reads || self.resigns => 0,
-            (Some(held), true) => held.asked + self.terms.span / RENEW,
-            // A candidate watches until it may overtake.
-            _ => 0,
-        };
-        wants.max(self.rests)
+        // A candidate watches the record until it may overtake: it requests at once.
+        let renewal = self.held.as_ref().filter(|_| self.is_mine() && !self.must_read && !self.resigning);
+        let due_at = renewal.map_or(0, |held| held.renewed_at + self.settings.ttl / RENEWALS_PER_TTL);
+        due_at.max(self.retry_not_before)
     }
 
-    /// What to ask of the register now; nothing while a call is out or before it is due.
-    pub fn next(&mut self, now: Timestamp) -> Option<Ask> {
-        if now < self.due() {
+    /// What to request of the lease store now; nothing while a request is outstanding or before one is due.
+    pub fn next_request(&mut self, now: Timestamp) -> Option<LeaseRequest> {
+        if now < self.next_request_at() {
             return None;
         }
-        let ask = self.wants(now)?;
-        if let Ask::Write { cas, .. } = &ask {
-            let before = self.doubt.as_ref().filter(|d| d.cas == *cas);
-            let asked = before.map_or(now, |before| L::made_again(before.asked, now));
-            self.doubt = Some(Doubt { cas: *cas, asked });
+        let request = self.wanted_request(now)?;
+        if let LeaseRequest::Write { expected_index, .. } = &request {
+            let earlier =
+                self.unresolved_write.as_ref().filter(|write| write.expected_index == *expected_index);
+            let requested_at =
+                earlier.map_or(now, |write| S::repeated_write_counts_from(write.requested_at, now));
+            self.unresolved_write = Some(UnresolvedWrite { expected_index: *expected_index, requested_at });
         }
-        self.out = Some((ask.clone(), now));
-        Some(ask)
+        self.outstanding = Some(OutstandingRequest { request: request.clone(), requested_at: now });
+        Some(request)
     }
 
-    fn wants(&self, now: Timestamp) -> Option<Ask> {
-        let Some(heard) = self.heard.as_ref().filter(|_| !self.reads) else {
-            return Some(Ask::Read { newer: None, wait: 0 });
-        };
-        let write = |holder: Option<&Member>, term| {
-            let record = Record { holder: holder.cloned(), term, span: self.terms.span };
-            Some(Ask::Write { cas: heard.index, record })
+    fn wanted_request(&self, now: Timestamp) -> Option<LeaseRequest> {
+        let Some(observed) = self.observed.as_ref().filter(|_| !self.must_read) else {
+            return Some(LeaseRequest::Read { newer_than: None, max_wait: 0 });
         };
-        match &heard.record {
-            Some(record) if record.holder.as_ref() == Some(&self.me) => {
-                write(Some(&self.me).filter(|_| !self.resigns), record.term)
-            }
-            _ if self.resigns => None,
-            record => {
-                let at = match record {
-                    Some(Record { holder: Some(_), span, .. }) => {
-                        L::overtakes_at(heard.first, *span, self.terms.drift)
-                    }
-                    _ => 0,
-                };
-                let at = at.max(self.takes);
-                if now < at {
-                    return Some(Ask::Read { newer: Some(heard.index), wait: at - now });
-                }
-                write(Some(&self.me), record.as_ref().map_or(0, |record| record.term).saturating_add(1))
+        let term = observed.record.as_ref().map_or(0, |record| record.term);
+        if self.is_mine() {
+            let holder = if self.resigning { None } else { Some(self.member.clone()) };
+            return Some(self.write_request(observed.index, holder, term));
+        }
+        if self.resigning {
+            return None;
+        }
+        let acquire_at = self.may_overtake_at(observed).max(self.acquire_not_before);
+        if now < acquire_at {
+            return Some(LeaseRequest::Read { newer_than: Some(observed.index), max_wait: acquire_at - now });
+        }
+        Some(self.write_request(observed.index, Some(self.member.clone()), term.saturating_add(1)))
+    }
+
+    fn write_request(&self, expected_index: u64, holder: Option<Member>, term: u64) -> LeaseRequest {
+        let record = LeaseRecord { holder, term, ttl: self.settings.ttl };
+        LeaseRequest::Write { expected_index, record }
+    }
+
+    /// From when on the observed record may be overtaken: at once, if nobody holds it.
+    fn may_overtake_at(&self, observed: &ObservedRecord) -> Timestamp {
+        match &observed.record {
+            Some(LeaseRecord { holder: Some(_), ttl, .. }) => {
+                S::may_overtake_at(observed.first_observed_at, *ttl, self.settings.drift_ppm)
             }
+            _ => 0,
         }
     }
 
     fn is_mine(&self) -> bool {
-        self.holder().is_some_and(|(holder, _)| *holder == self.me)
+        self.holder().is_some_and(|holder| *holder.member == self.member)
     }
 
-    /// The call that is out was answered.
-    pub fn answered(&mut self, now: Timestamp, answer: Answer) {
-        let Some((ask, asked)) = self.out.take() else { return };
-        self.rests = 0;
-        match (ask, answer) {
-            (Ask::Read { .. }, Answer::Holds(holds)) => self.read(now, holds),
-            (Ask::Write { cas, record }, Answer::Written(Some(index))) => {
-                let asked = self.doubt.take().filter(|d| d.cas == cas).map_or(asked, |d| d.asked);
-                self.wrote(now, asked, index, record);
+    /// The outstanding request was answered.
+    pub fn response_received(&mut self, now: Timestamp, response: LeaseResponse) {
+        let Some(OutstandingRequest { request, requested_at }) = self.outstanding.take() else { return };
+        self.retry_not_before = 0;
+        match (request, response) {
+            (LeaseRequest::Read { .. }, LeaseResponse::Current(current)) => self.read(now, current),
+            (
+                LeaseRequest::Write { expected_index, record },
+                LeaseResponse::Written { index: Some(index) },
+            ) => {
+                let unresolved = self.unresolved_write.take();
+                let unresolved = unresolved.filter(|write| write.expected_index == expected_index);
+                let requested_at = unresolved.map_or(requested_at, |write| write.requested_at);
+                self.written(now, requested_at, index, record);
             }
-            // Refused for an earlier write of ours without an answer, or for somebody else's: only a read tells. Ours,
-            // if it shows, counts from the earliest asking time on its index.
-            (Ask::Write { .. }, Answer::Written(None) | Answer::Refused) => self.reads = true,
-            // An answer to another question is none.
-            (ask, _) => {
-                self.out = Some((ask, asked));
-                self.unanswered(now);
+            // After a conflict with an earlier write of ours without a response, or with somebody else's, only a read
+            // shows which. Ours counts from the earliest request on its index.
+            (
+                LeaseRequest::Write { .. },
+                LeaseResponse::Written { index: None } | LeaseResponse::Conflict,
+            ) => self.must_read = true,
+            // A response to another kind of request is none.
+            (request, _) => {
+                self.outstanding = Some(OutstandingRequest { request, requested_at });
+                self.request_timed_out(now);
             }
         }
     }
 
-    /// The call that is out brought no answer in time: it may have taken effect, or may yet.
-    pub fn unanswered(&mut self, now: Timestamp) {
-        let Some((ask, _)) = self.out.take() else { return };
-        if matches!(ask, Ask::Write { .. }) {
-            self.reads = true;
+    /// The outstanding request had no response in time: it may have taken effect, or may yet.
+    pub fn request_timed_out(&mut self, now: Timestamp) {
+        let Some(OutstandingRequest { request, .. }) = self.outstanding.take() else { return };
+        if matches!(request, LeaseRequest::Write { .. }) {
+            self.must_read = true;
         }
-        let most = (self.terms.span / AGAIN).max(1);
-        let pause = self.chance.as_mut().map_or(0, |chance| chance.random_range(most.div_ceil(2)..=most));
-        self.rests = now + pause;
+        let max_pause = (self.settings.ttl / RETRIES_PER_TTL).max(1);
+        let pause = self.rng.as_mut().map_or(0, |rng| rng.random_range(max_pause.div_ceil(2)..=max_pause));
+        self.retry_not_before = now + pause;
     }
 
-    fn wrote(&mut self, now: Timestamp, asked: Timestamp, index: u64, record: Record) {
-        let (mine, term) = (record.holder.is_some(), record.term);
-        self.heard = Some(Heard { index, record: Some(record), first: now });
-        self.reads = false;
-        if !mine {
+    /// A write of ours took effect, requested at the earliest at `requested_at`.
+    fn written(&mut self, now: Timestamp, requested_at: Timestamp, index: u64, record: LeaseRecord) {
+        let holds = record.holder.is_some();
+        let term = record.term;
+        self.observed = Some(ObservedRecord { index, record: Some(record), first_observed_at: now });
+        self.must_read = false;
+        if !holds {
             self.held = None;
             return;
         }
-        let until = L::holds_until(asked, now, &self.terms);
+        let may_act_until = S::may_act_until(requested_at, now, &self.settings);
         let token = match &self.held {
             Some(held) if held.term == term => held.token,
             _ => {
-                self.change = Some(Change::Taken { term });
-                Token(index)
+                self.change = Some(LeaseChange::Acquired { term });
+                FencingToken(index)
             }
         };
-        self.held = Some(Held { until, token, term, asked });
+        self.held = Some(HeldLease { may_act_until, token, term, renewed_at: requested_at });
     }
 
     /// What was held is not any more.
     fn lose(&mut self, to: Option<Member>) {
         if self.held.take().is_some() {
-            self.change = Some(Change::Lost { to });
+            self.change = Some(LeaseChange::Lost { to });
         }
     }
 
-    fn read(&mut self, now: Timestamp, holds: Option<(u64, Record)>) {
-        let (index, record) = holds.map_or((0, None), |(index, record)| (index, Some(record)));
-        self.reads = false;
-        let known = self.heard.as_ref().map_or(0, |heard| heard.index);
-        let mine = record.as_ref().filter(|r| r.holder.as_ref() == Some(&self.me));
-        if index < known {
-            // A register that has lost its state: all begins anew, and somebody may hold what it has forgotten.
+    fn read(&mut self, now: Timestamp, current: Option<StoredRecord>) {
+        let index = current.as_ref().map_or(0, |stored| stored.index);
+        let record = current.map(|stored| stored.record);
+        self.must_read = false;
+        let known_index = self.observed.as_ref().map_or(0, |observed| observed.index);
+        let mine = record.as_ref().filter(|record| record.holder.as_ref() == Some(&self.member));
+        if index < known_index {
+            // The lease store has lost its state, and somebody may hold what it has forgotten.
             self.lose(None);
-            self.takes = L::overtakes_at(now, self.terms.span, self.terms.drift);
-        } else if index == known && self.heard.is_some() {
-            // A write in doubt at this index may still take effect; its asking time stays known.
+            self.acquire_not_before = S::may_overtake_at(now, self.settings.ttl, self.settings.drift_ppm);
+        } else if index == known_index && self.observed.is_some() {
+            // An unresolved write on this index may still take effect: when it was requested stays known.
             return;
         } else if let Some(record) = mine {
-            // Since the index that we last heard of, only a write of ours in doubt can have made this one: any other
-            // of ours was answered.
-            if let Some(doubt) = self.doubt.take().filter(|d| d.cas == known) {
-                return self.wrote(now, doubt.asked, index, record.clone());
+            // Only an unresolved write of ours can have made this index since the one last observed: any other of
+            // ours was answered.
+            let unresolved = self.unresolved_write.take();
+            if let Some(write) = unresolved.filter(|write| write.expected_index == known_index) {
+                return self.written(now, write.requested_at, index, record.clone());
             }
             self.lose(None);
         } else {
-            self.lose(record.as_ref().and_then(|r| r.holder.clone()));
+            self.lose(record.as_ref().and_then(|record| record.holder.clone()));
         }
-        // What was written at an earlier index can take effect no more.
-        self.doubt = None;
-        self.heard = Some(Heard { index, record, first: now });
+        // What expected an earlier index can take effect no more.
+        self.unresolved_write = None;
+        self.observed = Some(ObservedRecord { index, record, first_observed_at: now });
     }
 }
--- a/crates/larklink-simulation/src/lease_model.rs
+++ b/crates/larklink-simulation/src/lease_model.rs
@@ -1,225 +1,283 @@
-//! Members that contend for one lease, over links that lose, delay and reorder what they say to the register, by clocks
-//! that run fast and slow. Each call may take effect at any moment, also long after its caller has given it up.
-use larklink_balancer::TickDuration;
-use larklink_coordination::lease::{Answer, Ask, Law, Lease, Member, Record, Terms, Token};
+//! Candidates for one lease, on links that lose, delay and reorder messages to the lease store, with clocks that run fast
+//! and slow. A request may take effect at any time, also long after its candidate stopped to wait for the response.
+use larklink_balancer::{TickDuration, Timestamp};
+use larklink_coordination::lease::Lease;
+use larklink_coordination::record::{LeaseRecord, Member, StoredRecord};
+use larklink_coordination::request::{FencingToken, LeaseRequest, LeaseResponse};
+use larklink_coordination::safety::SafetyCondition;
+use larklink_coordination::settings::LeaseSettings;
 
 use crate::lease_store::LeaseStore;
 use crate::state_search::StateModel;
 
+/// The rate of a clock that runs true.
 const MILLION: TickDuration = 1_000_000;
 
-/// What may happen next.
+/// What may happen next; candidates and messages are named by their index.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ModelStep {
-    /// TickDuration goes on by a step.
+    /// Time goes on by one step.
     AdvanceTime,
-    /// A call takes effect; its answer is on its way.
+    /// The request of a message takes effect; its response is in flight.
     TakeEffect(usize),
-    /// An answer arrives, if its caller still waits.
+    /// A response arrives, if its candidate still waits for it.
     Deliver(usize),
-    /// A call or an answer is lost.
+    /// A message is lost.
     Lose(usize),
-    /// A member gives up waiting; its call is still on its way.
+    /// A candidate stops to wait for its response; the request is still in flight.
     TimeOut(usize),
-    /// A member is stopped and hears nothing; it goes on where it was.
+    /// A candidate is paused and receives nothing; later it goes on where it was.
     Pause(usize),
+    /// A candidate that was paused goes on.
     Resume(usize),
 }
 
+/// A request, then its response.
 #[derive(Clone, Debug)]
 struct InFlightMessage {
-    from: usize,
-    ask: Ask,
-    answer: Option<Answer>,
-    /// The caller has given it up.
-    old: bool,
+    candidate: usize,
+    request: LeaseRequest,
+    response: Option<LeaseResponse>,
+    /// Whether the candidate does not wait for the response any more.
+    abandoned: bool,
 }
 
 #[derive(Clone)]
-struct Candidate<L> {
-    lease: Lease<L>,
-    /// Millionths of true time.
-    rate: u32,
-    stopped: bool,
+struct Candidate<S> {
+    lease: Lease<S>,
+    /// The rate of its clock, in millionths of true time.
+    clock_rate: u32,
+    paused: bool,
 }
 
-/// A state of the contest.
+/// A candidate that may act, by its own clock.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ActingCandidate {
+    /// Its index.
+    pub candidate: usize,
+    /// The fencing token by which it acts.
+    pub token: FencingToken,
+}
+
+/// A change of holder in the history of the lease store.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct HolderTerm {
+    /// The incarnation of the holder; none if the lease was released.
+    pub incarnation: Option<u64>,
+    /// Its term.
+    pub term: u64,
+}
+
+/// A state of the model.
 #[derive(Clone)]
-pub struct LeaseModel<L> {
-    lease_store: LeaseStore<Record>,
-    candidates: Vec<Candidate<L>>,
+pub struct LeaseModel<S> {
+    lease_store: LeaseStore<LeaseRecord>,
+    candidates: Vec<Candidate<S>>,
     messages: Vec<InFlightMessage>,
-    time: TickDuration,
-    step: TickDuration,
-    /// How many calls that were given up may still be on their way at once.
+    time: Timestamp,
+    time_step: TickDuration,
+    /// How many abandoned messages may be in flight at once.
     max_abandoned: usize,
     pauses_allowed: bool,
-    /// The register tells a write's index; else it has to be read.
+    /// Whether the lease store answers a write with its index; otherwise the index has to be read.
     answers_with_index: bool,
-    /// The highest token that acted.
-    highest_token_used: u64,
+    /// The highest token by which a candidate acted.
+    highest_token: u64,
     violation: Option<String>,
 }
 
-impl<L: Law + Clone> LeaseModel<L> {
-    /// One member for each clock's rate, in millionths of true time.
-    pub fn new(terms: &Terms, rates: &[u32], step: TickDuration, max_abandoned: usize) -> Self {
-        let candidate = |(n, rate): (usize, &u32)| {
-            let me = Member { name: format!("p{n}"), incarnation: n as u64 };
-            Candidate { lease: Lease::new(me, terms.clone(), None), rate: *rate, stopped: false }
+impl<S: SafetyCondition + Clone> LeaseModel<S> {
+    /// One candidate for each clock rate, in millionths of true time.
+    pub fn new(
+        settings: &LeaseSettings,
+        clock_rates: &[u32],
+        time_step: TickDuration,
+        max_abandoned: usize,
+    ) -> Self {
+        let candidate = |(index, rate): (usize, &u32)| {
+            let member = Member { name: format!("p{index}"), incarnation: index as u64 };
+            let lease = Lease::new(member, settings.clone(), None);
+            Candidate { lease, clock_rate: *rate, paused: false }
         };
         let mut model = Self {
             lease_store: LeaseStore::default(),
-            candidates: rates.iter().enumerate().map(candidate).collect(),
+            candidates: clock_rates.iter().enumerate().map(candidate).collect(),
             messages: Vec::new(),
             time: 0,
-            step,
+            time_step,
             max_abandoned,
             pauses_allowed: false,
             answers_with_index: true,
-            highest_token_used: 0,
+            highest_token: 0,
             violation: None,
         };
-        model.settle();
+        model.run_candidates();
         model
     }
 
-    /// Members may also be stopped and go on.
+    /// Candidates may also be paused and go on.
     #[must_use]
     pub fn with_pauses(mut self) -> Self {
         self.pauses_allowed = true;
         self
     }
 
-    /// A write is answered without its index.
+    /// The lease store answers a write without its index.
     #[must_use]
     pub fn without_write_index(mut self) -> Self {
         self.answers_with_index = false;
         self
     }
 
-    /// A member's own time.
-    fn clock(&self, candidate: usize) -> TickDuration {
-        self.time * TickDuration::from(self.candidates[candidate].rate) / MILLION
+    /// A candidate's own time.
+    fn clock(&self, candidate: usize) -> Timestamp {
+        self.time * TickDuration::from(self.candidates[candidate].clock_rate) / MILLION
     }
 
-    /// Who may act now, by its own clock.
-    pub fn holders(&self) -> Vec<(usize, Token)> {
-        let acts = |n: usize| self.candidates[n].lease.may_act(self.clock(n)).map(|token| (n, token));
-        (0..self.candidates.len()).filter(|n| !self.candidates[*n].stopped).filter_map(acts).collect()
+    /// The candidates that may act now.
+    pub fn acting(&self) -> Vec<ActingCandidate> {
+        let running = (0..self.candidates.len()).filter(|index| !self.candidates[*index].paused);
+        let acting = |candidate: usize| {
+            let token = self.candidates[candidate].lease.may_act(self.clock(candidate))?;
+            Some(ActingCandidate { candidate, token })
+        };
+        running.filter_map(acting).collect()
     }
 
-    pub fn time(&self) -> TickDuration {
+    /// True time.
+    pub fn time(&self) -> Timestamp {
         self.time
     }
 
-    /// The holders that the register had, in turn, with their terms.
-    pub fn terms(&self) -> Vec<(Option<u64>, u64)> {
-        let mut terms: Vec<_> = (self.lease_store.history().iter())
-            .map(|took| (took.value.holder.as_ref().map(|holder| holder.incarnation), took.value.term))
+    /// The holders in the history of the lease store, in their order.
+    pub fn holder_terms(&self) -> Vec<HolderTerm> {
+        let records = self.lease_store.history().iter().map(|write| &write.value);
+        let mut terms: Vec<_> = records
+            .map(|record| HolderTerm {
+                incarnation: record.holder.as_ref().map(|holder| holder.incarnation),
+                term: record.term,
+            })
             .collect();
         terms.dedup();
         terms
     }
 
+    /// A candidate releases the lease, and is none any more.
     pub fn resign(&mut self, candidate: usize) {
         self.candidates[candidate].lease.resign();
-        self.settle();
+        self.run_candidates();
     }
 
-    /// All that is due is asked, and all who may act do.
-    fn settle(&mut self) {
-        for n in 0..self.candidates.len() {
-            let now = self.clock(n);
-            if !self.candidates[n].stopped
-                && let Some(ask) = self.candidates[n].lease.next(now)
+    /// Sends all requests that are due, and lets all candidates act that may.
+    fn run_candidates(&mut self) {
+        for index in 0..self.candidates.len() {
+            let now = self.clock(index);
+            if !self.candidates[index].paused
+                && let Some(request) = self.candidates[index].lease.next_request(now)
             {
-                self.messages.push(InFlightMessage { from: n, ask, answer: None, old: false });
+                let message = InFlightMessage { candidate: index, request, response: None, abandoned: false };
+                self.messages.push(message);
             }
         }
-        let holders = self.holders();
-        if let [(a, _), (b, _), ..] = holders[..] {
-            self.violation = Some(format!("p{a} and p{b} act at {}", self.time));
+        let acting = self.acting();
+        if let [first, second, ..] = acting[..] {
+            self.violation =
+                Some(format!("p{} and p{} act at {}", first.candidate, second.candidate, self.time));
         }
-        for (n, Token(token)) in holders {
-            if token < self.highest_token_used {
+        for ActingCandidate { candidate, token: FencingToken(token) } in acting {
+            if token < self.highest_token {
+                let highest = self.highest_token;
                 self.violation =
-                    Some(format!("p{n} acts by {token} after {} at {}", self.highest_token_used, self.time));
+                    Some(format!("p{candidate} acts by {token} after {highest} at {}", self.time));
             }
-            self.highest_token_used = self.highest_token_used.max(token);
+            self.highest_token = self.highest_token.max(token);
         }
     }
 
-    fn take_effect(&mut self, at: usize) {
-        let InFlightMessage { from, ask, .. } = self.messages[at].clone();
-        let answer = match ask {
-            Ask::Read { .. } => Answer::Holds(self.lease_store.read()),
-            Ask::Write { cas, record } => {
-                let index = self.lease_store.write(from, cas, record);
-                index.map_or(Answer::Refused, |index| {
-                    Answer::Written(Some(index).filter(|_| self.answers_with_index))
-                })
+    fn take_effect(&mut self, message: usize) {
+        let InFlightMessage { candidate, request, .. } = self.messages[message].clone();
+        let response = match request {
+            LeaseRequest::Read { .. } => {
+                let latest = self.lease_store.read();
+                LeaseResponse::Current(
+                    latest.map(|write| StoredRecord { index: write.index, record: write.value.clone() }),
+                )
+            }
+            LeaseRequest::Write { expected_index, record } => {
+                match self.lease_store.write(candidate, expected_index, record) {
+                    Some(index) => LeaseResponse::Written { index: self.answers_with_index.then_some(index) },
+                    None => LeaseResponse::Conflict,
+                }
             }
         };
-        self.messages[at].answer = Some(answer);
+        self.messages[message].response = Some(response);
     }
 
-    fn arrive(&mut self, at: usize) {
-        let message = self.messages.remove(at);
-        let now = self.clock(message.from);
-        if let (false, Some(answer)) = (message.old, message.answer) {
-            self.candidates[message.from].lease.answered(now, answer);
+    fn deliver(&mut self, message: usize) {
+        let message = self.messages.remove(message);
+        let now = self.clock(message.candidate);
+        if let (false, Some(response)) = (message.abandoned, message.response) {
+            self.candidates[message.candidate].lease.response_received(now, response);
         }
     }
 
-    fn give_up(&mut self, candidate: usize) {
-        for message in self.messages.iter_mut().filter(|l| l.from == candidate) {
-            message.old = true;
+    fn time_out(&mut self, candidate: usize) {
+        for message in self.messages.iter_mut().filter(|message| message.candidate == candidate) {
+            message.abandoned = true;
         }
-        // What tells nobody anything any more is left out.
-        self.messages.retain(|l| !l.old || l.answer.is_none() && matches!(l.ask, Ask::Write { .. }));
+        // An abandoned message without an effect to come changes nothing any more.
+        self.messages.retain(|message| {
+            let may_take_effect =
+                message.response.is_none() && matches!(message.request, LeaseRequest::Write { .. });
+            !message.abandoned || may_take_effect
+        });
         let now = self.clock(candidate);
-        self.candidates[candidate].lease.unanswered(now);
+        self.candidates[candidate].lease.request_timed_out(now);
+    }
+
+    fn message_steps(&self, steps: &mut Vec<ModelStep>) {
+        let abandoned = self.messages.iter().filter(|message| message.abandoned).count();
+        for (index, message) in self.messages.iter().enumerate() {
+            let paused = self.candidates[message.candidate].paused;
+            if message.response.is_none() {
+                steps.push(ModelStep::TakeEffect(index));
+            } else if !paused {
+                steps.push(ModelStep::Deliver(index));
+            }
+            if message.abandoned {
+                steps.push(ModelStep::Lose(index));
+            } else if abandoned < self.max_abandoned && !paused {
+                steps.push(ModelStep::TimeOut(message.candidate));
+            }
+        }
     }
 }
 
-impl<L: Law + Clone> StateModel for LeaseModel<L> {
+impl<S: SafetyCondition + Clone> StateModel for LeaseModel<S> {
     type Step = ModelStep;
 
     fn steps(&self) -> Vec<ModelStep> {
-        let mut moves = vec![ModelStep::AdvanceTime];
-        let max_abandoned = self.messages.iter().filter(|l| l.old).count();
-        for (n, message) in self.messages.iter().enumerate() {
-            match &message.answer {
-                None => moves.push(ModelStep::TakeEffect(n)),
-                Some(_) if !self.candidates[message.from].stopped => moves.push(ModelStep::Deliver(n)),
-                Some(_) => {}
-            }
-            if message.old {
-                moves.push(ModelStep::Lose(n));
-            } else if max_abandoned < self.max_abandoned && !self.candidates[message.from].stopped {
-                moves.push(ModelStep::TimeOut(message.from));
-            }
-        }
+        let mut steps = vec![ModelStep::AdvanceTime];
+        self.message_steps(&mut steps);
         if self.pauses_allowed {
-            moves.extend((0..self.candidates.len()).map(|n| {
-                if self.candidates[n].stopped { ModelStep::Resume(n) } else { ModelStep::Pause(n) }
-            }));
+            for (index, candidate) in self.candidates.iter().enumerate() {
+                steps.push(if candidate.paused { ModelStep::Resume(index) } else { ModelStep::Pause(index) });
+            }
         }
-        moves
-    }
-
-    fn apply(&mut self, to: &ModelStep) {
-        match *to {
-            ModelStep::AdvanceTime => self.time += self.step,
-            ModelStep::TakeEffect(n) => self.take_effect(n),
-            ModelStep::Deliver(n) => self.arrive(n),
-            ModelStep::Lose(n) => drop(self.messages.remove(n)),
-            ModelStep::TimeOut(candidate) => self.give_up(candidate),
-            ModelStep::Pause(candidate) => self.candidates[candidate].stopped = true,
-            ModelStep::Resume(candidate) => self.candidates[candidate].stopped = false,
+        steps
+    }
+
+    fn apply(&mut self, step: &ModelStep) {
+        match *step {
+            ModelStep::AdvanceTime => self.time += self.time_step,
+            ModelStep::TakeEffect(message) => self.take_effect(message),
+            ModelStep::Deliver(message) => self.deliver(message),
+            ModelStep::Lose(message) => drop(self.messages.remove(message)),
+            ModelStep::TimeOut(candidate) => self.time_out(candidate),
+            ModelStep::Pause(candidate) => self.candidates[candidate].paused = true,
+            ModelStep::Resume(candidate) => self.candidates[candidate].paused = false,
         }
-        self.settle();
+        self.run_candidates();
     }
 
     fn violation(&self) -> Option<String> {
@@ -227,13 +285,9 @@
     }
 
     fn state_key(&self) -> String {
-        let candidates: Vec<_> = self.candidates.iter().map(|s| (s.lease.key(), s.stopped)).collect();
-        format!(
-            "{:?} {candidates:?} {:?} {} {}",
-            self.lease_store.read(),
-            self.messages,
-            self.time,
-            self.highest_token_used
-        )
+        let latest = self.lease_store.read().map(|write| (write.index, &write.value));
+        let candidates: Vec<_> =
+            self.candidates.iter().map(|candidate| (candidate.lease.state_key(), candidate.paused)).collect();
+        format!("{latest:?} {candidates:?} {:?} {} {}", self.messages, self.time, self.highest_token)
     }
 }
--- a/crates/larklink-simulation/src/lease_store.rs
+++ b/crates/larklink-simulation/src/lease_store.rs
@@ -1,15 +1,18 @@
-//! The rules of the outside store that processes of a fleet share, linearizable by construction: a read tells the
-//! latest write, a write goes by the index that it names. It keeps who did what.
+//! One key of a lease store, linearizable by construction: a read returns the latest write, and a write takes effect
+//! only on the index that it expects. It keeps the history of writes.
 
 /// A write that took effect.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct CommittedWrite<V> {
-    pub by: usize,
+    /// The candidate that wrote.
+    pub writer: usize,
+    /// The index of the write, from 1.
     pub index: u64,
+    /// What was written.
     pub value: V,
 }
 
-/// One key of it.
+/// One key of the lease store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseStore<V> {
     history: Vec<CommittedWrite<V>>,
@@ -21,20 +24,21 @@
     }
 }
 
-impl<V: Clone> LeaseStore<V> {
-    /// The index of the latest write and what it wrote.
-    pub fn read(&self) -> Option<(u64, V)> {
-        self.history.last().map(|took| (took.index, took.value.clone()))
+impl<V> LeaseStore<V> {
+    /// The latest write.
+    pub fn read(&self) -> Option<&CommittedWrite<V>> {
+        self.history.last()
     }
 
-    /// Writes if the latest index is still this one, 0 for nothing written yet: the new index.
-    pub fn write(&mut self, by: usize, cas: u64, value: V) -> Option<u64> {
-        let latest = self.history.last().map_or(0, |took| took.index);
-        if cas != latest {
+    /// Writes if the index is still the expected one, 0 if nothing was written yet; returns the new index.
+    pub fn write(&mut self, writer: usize, expected_index: u64, value: V) -> Option<u64> {
+        let latest = self.read().map_or(0, |write| write.index);
+        if expected_index != latest {
             return None;
         }
-        self.history.push(CommittedWrite { by, index: latest + 1, value });
-        Some(latest + 1)
+        let index = latest + 1;
+        self.history.push(CommittedWrite { writer, index, value });
+        Some(index)
     }
 
     /// All writes, in the order in which they took effect.
