--- /dev/null
+++ b/crates/larklink-simulation/src/simulate/settings_object.rs
@@ -0,0 +1,56 @@
+//! The settings object of a scenario's proxies.
+use larklink_balancer::TickDuration;
+use serde_json::{Value, json};
+
+use crate::scenario::{ListenerSpec, Scenario, SessionKind};
+
+/// Nanoseconds in one tick of [`TickDuration`], a tenth of a millisecond.
+const NANOS_PER_TICK: u64 = 100_000;
+/// What a placement in another zone costs at a proxy of the moved shape: more than a migration.
+const CROSS_ZONE_COST: f64 = 0.06;
+/// What a migration costs there.
+const MIGRATION_COST: f64 = 0.02;
+
+fn nanos(ticks: TickDuration) -> u64 {
+    ticks * NANOS_PER_TICK
+}
+
+/// The settings object that the proxy of that number is given.
+pub fn settings(scenario: &Scenario, proxy: usize) -> Value {
+    let listeners: Vec<_> = scenario.listeners.iter().map(|listener| listener.get_ref()).collect();
+    let message_objectives: Vec<_> = listeners.iter().map(|listener| nanos(listener.line_target.0)).collect();
+    let rules = &scenario.rules;
+    let server = scenario.servers[0].get_ref();
+    let moved = scenario.moved(proxy);
+    let costs =
+        if moved { json!({"cross_zone": CROSS_ZONE_COST, "moves": MIGRATION_COST}) } else { json!({}) };
+    json!({
+        "discovery": "pushed",
+        "domain": {"mode": if rules.passes { "pass" } else { "proxy" }, "groups": true,
+                   "message_aim_ns": message_objectives, "tells_delay": true, "tells_load": true},
+        "feedback": {"names": ["inflight", "util", "x0"], "source": "on_probe"},
+        "fees": costs,
+        "grades": listeners.into_iter().map(listener_object).collect::<Vec<_>>(),
+        "group_size": scenario.proxies.count,
+        "policy_limits": {"dial_timeout_ns": nanos(rules.connect_timeout.0), "send_cap": rules.dials,
+                          "max_retry_after_ns": nanos(rules.retry_after.0),
+                          "retry_after": rules.retry_after.0 > 0, "probing": rules.probes && !moved},
+        "safety": {"cold_ns": nanos(server.warm_up.0), "drain_grace_ns": nanos(rules.drain_grace.0),
+                   "fall_multiple": server.fall_multiple, "must_ask_in_ns": nanos(rules.must_ask_in.0),
+                   "overload_for_ns": nanos(server.fall_after.0), "start_capacity": server.start_capacity},
+        "weights": "nominal",
+        "zone": proxy % scenario.proxies.zones,
+        "zones": (0..scenario.proxies.zones).map(|zone| scenario.zone(zone)).collect::<Vec<_>>(),
+    })
+}
+
+fn listener_object(listener: &ListenerSpec) -> Value {
+    let idempotency = match listener.kind {
+        SessionKind::Repeatable => "idempotent",
+        SessionKind::Referenced => "deduplicated",
+        SessionKind::OnceOnly => "at_most_once",
+    };
+    json!({"name": listener.name, "idempotency": idempotency, "group": "all",
+        "window_ns": nanos(listener.window.0), "aim_ns": nanos(listener.handshake_target.0),
+        "deadline_ns": nanos(listener.dial_timeout.0)})
+}
--- /dev/null
+++ b/crates/larklink-simulation/src/simulate/state.rs
@@ -0,0 +1,236 @@
+//! The state of a simulation, and what its proxies do by themselves.
+use std::collections::BTreeMap;
+
+use larklink_balancer::{EndpointEntry, EndpointState, ListScope, TickDuration, Timestamp};
+use larklink_engine::engine::{Engine, ProxyAction, SessionId};
+use larklink_engine::settings::ProxySettings;
+
+use crate::duration::EventQueue;
+use crate::endpoint_list::{EndpointListEntry, EndpointStatus};
+use crate::event_log::{AttemptEnd, ClientResponse};
+use crate::scenario::Scenario;
+use crate::server::{ConnectionId, ServerState};
+use crate::simulate::connections::{Attempt, Connections, HealthCheck, Purpose};
+use crate::simulate::proxy::{Proxy, ProxySession, engine_time};
+use crate::simulate::scheduled_event::{ClientMessage, ScheduledEvent};
+use crate::simulate::settings_object::settings;
+use crate::world::World;
+
+/// From one end of a connection to the other.
+pub(super) const HOP: TickDuration = 2;
+/// Ticks in a millisecond.
+pub(super) const TICKS_PER_MS: TickDuration = 10;
+
+/// The world, the proxies and what is in flight between them.
+pub(super) struct SimulationState<'a> {
+    pub(super) scenario: &'a Scenario,
+    pub(super) world: World,
+    pub(super) proxies: Vec<Proxy>,
+    /// By the client's id of each session.
+    pub(super) sessions: BTreeMap<u64, ProxySession>,
+    pub(super) connections: Connections,
+    pub(super) scheduled: EventQueue<ScheduledEvent>,
+    seed: u64,
+}
+
+impl<'a> SimulationState<'a> {
+    pub(super) fn new(scenario: &'a Scenario, seed: u64) -> Self {
+        Self {
+            scenario,
+            world: World::new(scenario, seed),
+            proxies: Vec::new(),
+            sessions: BTreeMap::new(),
+            connections: Connections::new(),
+            scheduled: EventQueue::default(),
+            seed,
+        }
+    }
+
+    pub(super) fn send_to_client(&mut self, now: Timestamp, id: u64, message: ClientMessage) {
+        self.scheduled.push(now + HOP, ScheduledEvent::ReachesClient { id, message });
+    }
+
+    pub(super) fn new_engine(&self, now: Timestamp, proxy: usize) -> Engine {
+        let text = settings(self.scenario, proxy).to_string();
+        // Valid by construction: the settings object is of our own make.
+        let settings = ProxySettings::from_json(text.as_bytes()).expect("a valid settings object");
+        let seed = self.seed.wrapping_mul(1000).wrapping_add(proxy as u64 + now);
+        Engine::new(&settings, seed, engine_time(now))
+    }
+
+    /// A proxy reads what it lacks of the endpoint list, if that can be reached.
+    pub(super) fn update_endpoints(&mut self, now: Timestamp, proxy: usize) {
+        if !self.proxies[proxy].alive || !self.world.endpoint_list.is_reachable(now) {
+            return;
+        }
+        let known = self.proxies[proxy].list_version;
+        let (version, entries) = self.world.notify_proxy(now, proxy, known);
+        let scope = if known.is_some() { ListScope::Changes } else { ListScope::Complete };
+        let weights: Vec<f64> = self.scenario.each_server().map(|server| server.weight).collect();
+        let zones = self.scenario.proxies.zones;
+        let entries = entries.iter().map(|entry| endpoint_entry(entry, weights[entry.server], zones));
+        let proxy = &mut self.proxies[proxy];
+        proxy.list_version = Some(version);
+        proxy.engine.update_endpoints(engine_time(now), scope, entries.collect());
+    }
+
+    pub(super) fn start_proxy(&mut self, now: Timestamp, proxy: usize) {
+        if !self.proxies[proxy].alive {
+            let engine = self.new_engine(now, proxy);
+            let next_session = self.proxies[proxy].next_session;
+            self.proxies[proxy] = Proxy::new(engine, next_session);
+            self.update_endpoints(now, proxy);
+            self.world.proxy_up(now, proxy);
+        }
+    }
+
+    pub(super) fn end_proxy(&mut self, now: Timestamp, proxy: usize, planned: bool) {
+        self.proxies[proxy].alive = false;
+        let sessions = std::mem::take(&mut self.proxies[proxy].sessions);
+        self.world.proxy_exited(now, proxy, planned);
+        for id in sessions.into_values() {
+            let message = if planned { ClientMessage::Migrate } else { ClientMessage::ConnectionEnded };
+            self.close_connection(now, id);
+            self.send_to_client(now, id, message);
+        }
+        self.connections.close_health_checks(proxy);
+    }
+
+    pub(super) fn schedule_restart(&mut self, now: Timestamp, proxy: usize) {
+        if let Some(restart_after) = self.proxies[proxy].restart_after.take() {
+            self.scheduled.push(now + restart_after, ScheduledEvent::StartProxy { proxy });
+        }
+    }
+
+    /// The proxy closes the connection of a session to its server.
+    pub(super) fn close_connection(&mut self, now: Timestamp, id: u64) {
+        let connection = self.sessions.get_mut(&id).and_then(|session| session.connection.take());
+        let Some(connection) = connection else { return };
+        if let Some(open) = self.connections.close(connection) {
+            self.world.attempt_ended(now, open.server, connection, id, AttemptEnd::Abandoned);
+        }
+    }
+
+    pub(super) fn client_gone(&mut self, now: Timestamp, id: u64) {
+        self.close_connection(now, id);
+        if let Some(session) = self.sessions.remove(&id) {
+            let proxy = &mut self.proxies[session.proxy];
+            if proxy.sessions.remove(&session.session).is_some() {
+                proxy.engine.client_left(session.session);
+            }
+        }
+    }
+
+    pub(super) fn answer(
+        &mut self,
+        now: Timestamp,
+        proxy: usize,
+        session: SessionId,
+        response: ClientResponse,
+    ) {
+        if let Some(id) = self.proxies[proxy].sessions.remove(&session) {
+            self.sessions.remove(&id);
+            self.send_to_client(now, id, ClientMessage::Response(response));
+        }
+    }
+
+    pub(super) fn poll(&mut self, now: Timestamp, proxy: usize) {
+        if self.proxies[proxy].alive {
+            for action in self.proxies[proxy].engine.poll(engine_time(now)) {
+                self.apply_proxy_action(now, proxy, action);
+            }
+        }
+    }
+
+    pub(super) fn apply_proxy_action(&mut self, now: Timestamp, proxy: usize, action: ProxyAction) {
+        match action {
+            ProxyAction::Connect { session, attempt, endpoint, timeout, .. } => {
+                let Some(&id) = self.proxies[proxy].sessions.get(&session) else { return };
+                let attempt = Attempt { proxy, session, number: attempt, id };
+                self.start_attempt(now, attempt, server_of(endpoint), timeout);
+            }
+            ProxyAction::Reject { session, retry_after } => {
+                let retry_after_ms = retry_after.div_ceil(TICKS_PER_MS);
+                self.answer(now, proxy, session, ClientResponse::Rejected(retry_after_ms));
+            }
+            ProxyAction::Fail { session } => self.answer(now, proxy, session, ClientResponse::Failed),
+            ProxyAction::Migrate { session } => {
+                if let Some(id) = self.proxies[proxy].sessions.remove(&session) {
+                    self.close_connection(now, id);
+                    self.send_to_client(now, id, ClientMessage::Migrate);
+                }
+            }
+            ProxyAction::CheckHealth { endpoint } => {
+                let server = server_of(endpoint);
+                let check = HealthCheck { proxy, sent_at: now };
+                let connection = self.connections.open(server, Purpose::HealthCheck(check));
+                let timeout = self.scenario.rules.connect_timeout.0;
+                self.connect(now, server, connection, timeout);
+                self.scheduled.push(now + timeout, ScheduledEvent::TimeLimit(connection));
+            }
+            ProxyAction::LimitSendDeadline { .. } | ProxyAction::PollEndpointList | ProxyAction::Log(_) => {}
+        }
+    }
+
+    pub(super) fn start_attempt(
+        &mut self,
+        now: Timestamp,
+        attempt: Attempt,
+        server: usize,
+        timeout: TickDuration,
+    ) {
+        let connection = self.connections.open(server, Purpose::Attempt(attempt));
+        if let Some(session) = self.sessions.get_mut(&attempt.id) {
+            session.connection = Some(connection);
+            session.timeout_ms = timeout / TICKS_PER_MS;
+        }
+        self.connect(now, server, connection, timeout.min(self.scenario.rules.connect_timeout.0));
+        self.scheduled.push(now + timeout, ScheduledEvent::TimeLimit(connection));
+    }
+
+    /// A dead server refuses at once; a silent one never answers.
+    pub(super) fn connect(
+        &mut self,
+        now: Timestamp,
+        server: usize,
+        connection: ConnectionId,
+        timeout: TickDuration,
+    ) {
+        match self.world.servers[server].state() {
+            ServerState::Dead => {
+                self.scheduled.push(now + 2 * HOP, ScheduledEvent::ConnectFailed(connection));
+            }
+            ServerState::Silent => {
+                self.scheduled.push(now + timeout, ScheduledEvent::ConnectFailed(connection));
+            }
+            ServerState::Up | ServerState::Draining => {
+                self.scheduled.push(now + HOP, ScheduledEvent::ReachesServer { server, connection });
+            }
+        }
+    }
+}
+
+fn server_of(endpoint: u32) -> usize {
+    endpoint as usize - 1
+}
+
+/// Endpoints are numbered from 1, servers from 0.
+pub(super) fn endpoint_of(server: usize) -> u32 {
+    server as u32 + 1
+}
+
+fn endpoint_entry(entry: &EndpointListEntry, weight: f64, zones: usize) -> EndpointEntry {
+    EndpointEntry {
+        endpoint: 0,
+        id: endpoint_of(entry.server),
+        zone: (entry.server % zones) as u16,
+        cell: 0,
+        state: match entry.status {
+            EndpointStatus::Up => EndpointState::Ready,
+            EndpointStatus::Draining => EndpointState::Draining,
+            EndpointStatus::Removed => EndpointState::Removed,
+        },
+        weight,
+        started_at: if entry.started == 0 { 0 } else { engine_time(entry.started) },
+    }
+}
