--- a/crates/larklink-simulation/tests/audit.rs
+++ b/crates/larklink-simulation/tests/audit.rs
@@ -72,7 +72,7 @@
     for (text, key) in
         [("[proxies]\nmoved = 4\n", "proxies.moved"), ("[must]\neach_shape = 0.5\n", "must.each_shape")]
     {
-        assert!(Scenario::parse(text).unwrap_err().iter().any(|p| p.key == key), "{text}");
+        assert!(Scenario::parse(text).unwrap_err().problems.iter().any(|p| p.key == key), "{text}");
     }
 }
 
--- a/crates/larklink-simulation/tests/rolling.rs
+++ b/crates/larklink-simulation/tests/rolling.rs
@@ -139,7 +139,7 @@
         ("[must]\nrecovers = '5s'\n", "must.recovers"),
         ("[[faults]]\nwhat = 'proxy-stopped'\nat = '1s'\ntogether = 0\n", "together"),
     ] {
-        assert!(Scenario::parse(text).unwrap_err().iter().any(|p| p.key == key), "{text}");
+        assert!(Scenario::parse(text).unwrap_err().problems.iter().any(|p| p.key == key), "{text}");
     }
 }
 
--- a/crates/larklink-simulation/tests/world.rs
+++ b/crates/larklink-simulation/tests/world.rs
@@ -187,7 +187,7 @@
     assert_eq!(run.findings.listeners[0].with_proxy, 1);
     let wrong =
         Scenario::parse("[[faults]]\nwhat = 'proxy-stopped'\nat = '1s'\nat_accept = true\n").unwrap_err();
-    assert!(wrong.iter().any(|p| p.key == "at_accept"), "{wrong:?}");
+    assert!(wrong.problems.iter().any(|p| p.key == "at_accept"), "{wrong:?}");
 }
 
 /// Any change of the list started a killed proxy again, where another was stopped by plan.
@@ -324,7 +324,7 @@
 #[test]
 fn a_bad_scenario_is_refused_with_line_key_and_reason() {
     let wrong = |text: &str| -> Vec<String> {
-        Scenario::parse(text).unwrap_err().iter().map(ToString::to_string).collect()
+        Scenario::parse(text).unwrap_err().problems.iter().map(ToString::to_string).collect()
     };
     for (text, at) in [
         ("seed = 1\nlenght = '3s'\n", "2: lenght: unknown field"),
--- a/crates/larklinkctl/src/run.rs
+++ b/crates/larklinkctl/src/run.rs
@@ -129,7 +129,7 @@
             .map_err(|e| format!("{name}: {e}; `larklinkctl run --list` shows those that ship"))?,
     };
     Scenario::parse(&text).map_err(|wrong| {
-        let lines: Vec<_> = wrong.iter().map(|w| format!("{name}:{w}")).collect();
+        let lines: Vec<_> = wrong.problems.iter().map(|w| format!("{name}:{w}")).collect();
         lines.join("\nlarklinkctl: ")
     })
 }
