--- a/crates/larklink-adapter/src/main.rs
+++ b/crates/larklink-adapter/src/main.rs
@@ -2,35 +2,28 @@
 use std::io::{self, BufReader, Write};
 use std::process::ExitCode;
 
-use larklink_adapter::proxy::Proxies;
-use larklink_adapter::wire::{Batch, Malformed};
+use larklink_adapter::error::ReadError;
+use larklink_adapter::proxies::Proxies;
+use larklink_adapter::wire::Batch;
 
 fn main() -> ExitCode {
     match run() {
-        Ok(Ok(())) => ExitCode::SUCCESS,
-        Ok(Err(Malformed(text))) => {
-            eprintln!("larklink-adapter: malformed input: {text}");
-            ExitCode::FAILURE
-        }
-        Err(e) => {
-            eprintln!("larklink-adapter: {e}");
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("larklink-adapter: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn run() -> io::Result<Result<(), Malformed>> {
-    let (mut input, mut output) = (BufReader::new(io::stdin().lock()), io::stdout().lock());
+fn run() -> Result<(), ReadError> {
+    let mut input = BufReader::new(io::stdin().lock());
+    let mut output = io::stdout().lock();
     let mut proxies = Proxies::default();
-    loop {
-        let reply = match Batch::read(&mut input)? {
-            Ok(Some(batch)) => proxies.answer(&batch),
-            Ok(None) => return Ok(Ok(())),
-            Err(e) => Err(e),
-        };
-        match reply {
-            Ok(frame) => output.write_all(&frame).and_then(|()| output.flush())?,
-            Err(e) => return Ok(Err(e)),
-        }
+    while let Some(batch) = Batch::read(&mut input)? {
+        let frame = proxies.answer(&batch)?;
+        output.write_all(&frame)?;
+        output.flush()?;
     }
+    Ok(())
 }
--- a/crates/larklink-adapter/tests/wire.rs
+++ b/crates/larklink-adapter/tests/wire.rs
@@ -1,14 +1,18 @@
 //! The frames against the byte examples of the wire page, and what malformed input is answered with.
-use larklink_adapter::proxy::Proxies;
-use larklink_adapter::wire::{Batch, Malformed, Reply};
+use larklink_adapter::error::{MalformedFrame, ReadError};
+use larklink_adapter::proxies::Proxies;
+use larklink_adapter::wire::{Batch, Reply};
 
 fn bytes(hex: &str) -> Vec<u8> {
     let hex: String = hex.split_whitespace().collect();
     (0..hex.len()).step_by(2).map(|i| u8::from_str_radix(&hex[i..i + 2], 16).expect("hex")).collect()
 }
 
-fn read(mut frame: &[u8]) -> Result<Option<Batch>, Malformed> {
-    Batch::read(&mut frame).expect("a slice does not fail")
+fn read(mut frame: &[u8]) -> Result<Option<Batch>, MalformedFrame> {
+    Batch::read(&mut frame).map_err(|error| match error {
+        ReadError::Malformed(malformed) => malformed,
+        ReadError::Io(error) => panic!("a slice does not fail: {error}"),
+    })
 }
 
 #[test]
@@ -26,14 +30,15 @@
     let batch = read(&frame).unwrap().unwrap();
     let event = batch.events().next().unwrap();
     assert_eq!((event.u16(0), event.u32(2), event.u32(6)), (1020, 3, 0x5d3a91c4));
-    assert_eq!((event.time(24), event.u64(32)), (240_000_000, 0x91f03b7c55d20a64));
+    assert_eq!((event.nanos(24), event.u64(32)), (240_000_000, 0x91f03b7c55d20a64));
 }
 
 #[test]
 fn actions_are_written_as_on_the_page() {
     let mut reply = Reply::default();
-    let (rid, server) = (0x5d3a91c4u32, 0x03124a07u32);
-    reply.act(1090, 3, &[&rid.to_le_bytes(), &server.to_le_bytes(), &80_000_000u64.to_le_bytes()]);
+    let session = 0x5d3a91c4u32;
+    let endpoint = 0x03124a07u32;
+    reply.act(1090, 3, &[&session.to_le_bytes(), &endpoint.to_le_bytes(), &80_000_000u64.to_le_bytes()]);
     reply.act(1010, 3, &[&0x0002_1336_2490_u64.to_le_bytes(), &77u64.to_le_bytes()]);
     reply.say(1030, 5, "two servers known");
     let page = "59000000 03000000 0c000000 4204 03000000 c4913a5d 074a1203 00b4c40400000000 0000 \
@@ -50,8 +55,9 @@
     }
     let settings = format!("01000000 3a000000 0000000000000000 01000000 e803 00000000 {}", "00".repeat(8));
     let frame = bytes(&format!("{settings} 00000000 02000000 {} 7b5b", "00".repeat(34)));
-    let Err(Malformed(text)) = Proxies::default().answer(&read(&frame).unwrap().unwrap()) else {
-        panic!("settings that are not JSON were taken");
+    let Err(malformed) = Proxies::default().answer(&read(&frame).unwrap().unwrap()) else {
+        panic!("settings that are not JSON were accepted");
     };
+    let text = malformed.to_string();
     assert!(text.starts_with("settings:"), "{text}");
 }
