--- /dev/null
+++ b/crates/larklink-simulation/src/audit/findings.rs
@@ -0,0 +1,167 @@
+//! What the audit finds: violations, and how the sessions came out.
+use std::collections::BTreeMap;
+
+use larklink_balancer::{TickDuration, Timestamp};
+use serde::Serialize;
+
+/// What was violated; the names stand in reports and in `docs/rehearse.md`.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
+#[serde(rename_all = "snake_case")]
+pub enum ViolationKind {
+    /// A session had no final response.
+    NoAnswer,
+    /// Something came after the final response.
+    TwoAnswers,
+    /// The response came after the client's patience.
+    LateAnswer,
+    /// The client received what is no response.
+    NotAnAnswer,
+    /// Two attempts of a session were in flight at once.
+    TwoDialsOut,
+    /// A session was sent again that may have run, though it must run once only.
+    MayRunTwice,
+    /// A session was rejected that may have run.
+    RefusedThoughItMayHaveRun,
+    /// A session was accepted that no server had.
+    AcceptedByNobody,
+    /// A session had more attempts than allowed.
+    TooManyDials,
+    /// A server was given more time than the client had.
+    ToldTooLong,
+    /// An attempt was made after the drain grace of its endpoint.
+    AfterDrain,
+    /// A server in slow start was overloaded.
+    ColdRushed,
+    /// An established session was broken without a migration.
+    CutWithoutMove,
+    /// A message was held for too long on its way.
+    LineHeld,
+    /// A message was altered on its way.
+    LineChanged,
+    /// A client was notified too late that its server had ended the session.
+    EndedLate,
+    /// A connection was silent for too long.
+    SilentTooLong,
+    /// A server was removed while sessions were established there.
+    LeftBehind,
+}
+
+impl ViolationKind {
+    /// The rule that it violates, from 1 to 4, or 0 for what is asked of sockets besides.
+    pub fn rule(self) -> u8 {
+        match self {
+            Self::NoAnswer
+            | Self::TwoAnswers
+            | Self::LateAnswer
+            | Self::NotAnAnswer
+            | Self::AcceptedByNobody => 1,
+            Self::TwoDialsOut | Self::MayRunTwice | Self::RefusedThoughItMayHaveRun | Self::TooManyDials => 2,
+            Self::AfterDrain => 3,
+            Self::ColdRushed => 4,
+            Self::ToldTooLong
+            | Self::CutWithoutMove
+            | Self::LineHeld
+            | Self::LineChanged
+            | Self::EndedLate
+            | Self::SilentTooLong
+            | Self::LeftBehind => 0,
+        }
+    }
+}
+
+/// One violation: whose session, when, and what was observed.
+#[derive(Clone, Debug, PartialEq, Serialize)]
+pub struct Violation {
+    /// What was violated.
+    #[serde(rename = "what")]
+    pub kind: ViolationKind,
+    /// The rule of [`ViolationKind::rule`].
+    pub rule: u8,
+    /// The session's id in hex; empty where no session is meant.
+    pub session: String,
+    /// Tenths of a millisecond from the start.
+    pub at: Timestamp,
+    /// What was observed.
+    #[serde(rename = "seen")]
+    pub observed: String,
+}
+
+impl Violation {
+    /// A violation in a session; 0 where no session is meant.
+    pub(super) fn new(kind: ViolationKind, session: u64, at: Timestamp, observed: String) -> Self {
+        let session = if session == 0 { String::new() } else { format!("{session:x}") };
+        Self { kind, rule: kind.rule(), session, at, observed }
+    }
+}
+
+/// How the sessions of a listener came out.
+#[derive(Clone, Debug, Default, PartialEq, Serialize)]
+pub struct SessionOutcomes {
+    /// Sessions that clients opened.
+    pub opened: u64,
+    /// Accepted.
+    pub accepted: u64,
+    /// Rejected.
+    pub refused: u64,
+    /// Failed.
+    pub torn_down: u64,
+    /// At a proxy that was killed: the client's to retry.
+    pub with_proxy: u64,
+    /// Sent by the external load balancer to a proxy that was dead.
+    pub nobody_there: u64,
+    /// Still waiting at the end of the run, or given up by the client for a reason of its own.
+    pub open: u64,
+    /// Attempts.
+    pub dials: u64,
+    /// Sessions that retry one without a response.
+    pub retries: u64,
+    /// Migrated.
+    pub moved: u64,
+    /// Set-ups that were done for an attempt that had been abandoned.
+    pub ran_late: u64,
+    /// Time to the response of each accepted session, tenths of a millisecond.
+    #[serde(skip)]
+    pub took: Vec<TickDuration>,
+}
+
+/// What the clients of one shape of proxies got.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
+pub struct ShapeOutcomes {
+    /// Sessions that clients opened.
+    pub opened: u64,
+    /// Accepted.
+    pub accepted: u64,
+}
+
+impl ShapeOutcomes {
+    /// What the two are called, in the order of [`Findings::shapes`].
+    pub const NAMES: [&str; 2] = ["old", "moved"];
+
+    /// The share of the sessions that were accepted; 0 where none came.
+    pub fn share(&self) -> f64 {
+        self.accepted as f64 / self.opened.max(1) as f64
+    }
+}
+
+/// All that the audit found.
+#[derive(Clone, Debug, Default, PartialEq, Serialize)]
+pub struct Findings {
+    /// For each listener, how its sessions came out.
+    pub listeners: Vec<SessionOutcomes>,
+    /// Of the proxies as they were, and of those of the moved shape.
+    pub shapes: [ShapeOutcomes; 2],
+    /// The violations, in the order of time.
+    #[serde(rename = "breaches")]
+    pub violations: Vec<Violation>,
+}
+
+impl Findings {
+    /// How often each thing was violated.
+    pub fn counts(&self) -> BTreeMap<ViolationKind, usize> {
+        let mut counts = BTreeMap::new();
+        for violation in &self.violations {
+            *counts.entry(violation.kind).or_default() += 1;
+        }
+        counts
+    }
+}
--- a/crates/larklink-simulation/src/duration.rs
+++ b/crates/larklink-simulation/src/duration.rs
@@ -5,7 +5,10 @@
 use larklink_balancer::{TickDuration, Timestamp};
 use serde::{Deserialize, Deserializer, de::Error};
 
+/// One second.
 pub const SECOND: TickDuration = 10_000;
+/// Ticks in a millisecond.
+pub const TICKS_PER_MS: TickDuration = 10;
 
 /// A span, written `250ms`, `1.5s` or `2m`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/larklink-simulation/src/simulate/simulation.rs
+++ b/crates/larklink-simulation/src/simulate/simulation.rs
@@ -2,7 +2,7 @@
 use larklink_balancer::{AttemptOutcome, Observation, SessionRequest, TickDuration, Timestamp};
 
 use crate::clients::ClientAction;
-use crate::duration::SECOND;
+use crate::duration::{SECOND, TICKS_PER_MS};
 use crate::event_log::{AttemptEnd, ClientRequest, ClientResponse, ConnectionEnd, EventKind};
 use crate::faults::ProxyFault;
 use crate::scenario::Scenario;
@@ -11,7 +11,7 @@
 use crate::simulate::proxy::{Proxy, ProxySession, engine_time};
 use crate::simulate::scheduled_event::{ClientMessage, ScheduledEvent};
 use crate::simulate::shutdown;
-use crate::simulate::state::{HOP, SimulationState, TICKS_PER_MS, endpoint_of};
+use crate::simulate::state::{HOP, SimulationState, endpoint_of};
 use crate::world::{World, WorldAction};
 
 /// How often an endpoint list that is out of reach is tried again.
--- a/crates/larklink-simulation/src/simulate/state.rs
+++ b/crates/larklink-simulation/src/simulate/state.rs
@@ -5,7 +5,7 @@
 use larklink_engine::engine::{Engine, ProxyAction, SessionId};
 use larklink_engine::settings::ProxySettings;
 
-use crate::duration::EventQueue;
+use crate::duration::{EventQueue, TICKS_PER_MS};
 use crate::endpoint_list::{EndpointListEntry, EndpointStatus};
 use crate::event_log::{AttemptEnd, ClientResponse};
 use crate::scenario::Scenario;
@@ -18,8 +18,6 @@
 
 /// From one end of a connection to the other.
 pub(super) const HOP: TickDuration = 2;
-/// Ticks in a millisecond.
-pub(super) const TICKS_PER_MS: TickDuration = 10;
 
 /// The world, the proxies and what is in flight between them.
 pub(super) struct SimulationState<'a> {
