--- a/crates/larklink-simulation/src/clients.rs
+++ b/crates/larklink-simulation/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: when they come, how long they wait, what they send, when they try again, and how long they stay.
+//! Clients: when they come, how long they wait, what they send, when they retry, and how long they stay.
 use std::collections::HashMap;
 
 use larklink_balancer::{TickDuration, Timestamp};
@@ -6,407 +6,481 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1};
 
-use crate::duration::{EventQueue, SECOND};
+use crate::duration::{SECOND, TICKS_PER_MS};
 use crate::event_log::{ClientRequest, ClientResponse, ConnectionEnd};
+use crate::event_queue::EventQueue;
 use crate::scenario::{ListenerSpec, RetryBehavior};
 
 /// What a client does, for whoever carries it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientAction {
+    /// It connects and sends a request.
     Connect(ClientRequest),
-    /// Its line of that number.
+    /// It sends a message.
     SendMessage {
+        /// The session.
         id: u64,
+        /// The number of the message, from 1.
         number: u64,
     },
-    /// It has not had an answer in time, and a little more for one that is late.
+    /// It has had no response in time, and leaves.
     TimeOut {
+        /// The session.
         id: u64,
     },
-    /// It has had what it came for.
+    /// It has had what it came for, and leaves.
     Leave {
+        /// The session.
         id: u64,
     },
-    /// A line has been without one back for longer than any connection may be silent.
+    /// No message has come back for longer than any connection may be silent.
     Silent {
+        /// The session.
         id: u64,
+        /// For how long.
         duration: TickDuration,
     },
 }
 
-/// An answer that comes so long after the dial timeout is still seen, as late.
-const SEES_LATE: TickDuration = SECOND / 4;
-/// Lines out at once; a client that has had none of them back sends no more.
-const OUT_AT_ONCE: usize = 8;
-/// A connection that brings nothing back from a running server is to be ended within this.
+/// A response that comes so long after the dial timeout is still received, as a late one.
+const LATE_RESPONSE_GRACE: TickDuration = SECOND / 4;
+/// The most messages of a client in flight; it sends no more until one comes back.
+const MAX_MESSAGES_IN_FLIGHT: usize = 8;
+/// A connection that brings nothing back from a running server must be ended within this.
 pub const SILENT: TickDuration = 7 * SECOND;
+/// The shortest time for which a client stays.
+const MIN_STAY: TickDuration = SECOND / 2;
+/// How long after a failure a client retries that does so at once.
+const RETRY_AT_ONCE_AFTER: TickDuration = TICKS_PER_MS;
+/// A wait is drawn between these fractions of its mean.
+const MIN_WAIT_FRACTION: f64 = 0.5;
+const MAX_WAIT_FRACTION: f64 = 1.5;
+/// The distance between the group keys of a listener; listeners share no groups.
+const GROUP_KEY_STEP: u64 = 0x9e37;
+/// Microseconds in a second.
+const MICROS_PER_SECOND: f64 = 1e6;
+/// Microseconds in one tick of a tenth of a millisecond.
+const MICROS_PER_TICK: f64 = 100.0;
 
 enum ClientTimer {
-    Comes(usize),
-    Tries(usize),
-    GivesUp(u64),
-    Line(u64),
-    Done(u64),
+    /// A new client of a listener comes.
+    Arrive { listener: usize },
+    /// A client sends a request.
+    Request { client: usize },
+    /// A session has had no response in time.
+    TimeOut { id: u64 },
+    /// A message is sent.
+    Message { id: u64 },
+    /// A client leaves.
+    Leave { id: u64 },
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ClientSessionState {
     Waiting,
-    Standing,
+    Established,
 }
 
 struct Client {
     listener: usize,
     key: u64,
     group: u64,
+    /// When it comes and when it leaves.
     from: Timestamp,
     until: Timestamp,
+    /// Requests since it last had an established session.
     tries: u32,
-    again: bool,
+    reconnecting: bool,
     retry: bool,
 }
 
+#[derive(Clone, Copy)]
+struct MessageInFlight {
+    number: u64,
+    sent_at: Timestamp,
+}
+
 struct ClientSession {
     client: usize,
     state: ClientSessionState,
-    number: u64,
-    /// When the lines went out that are not back yet.
-    out: Vec<(u64, TickDuration)>,
-    heard: Timestamp,
-    /// Well served since then; nothing after a line that was late.
-    well_from: Option<TickDuration>,
+    /// The number of its latest message.
+    latest_message: u64,
+    messages_in_flight: Vec<MessageInFlight>,
+    /// When it was established, or a message last came back.
+    last_received_at: Timestamp,
+    /// Since when it is well served; none after a message that was late.
+    well_served_from: Option<Timestamp>,
 }
 
-/// Figures of a listener.
+/// A message that has come back.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ReturnedMessage {
+    /// How long it took there and back.
+    pub took: TickDuration,
+    /// Whether that is longer than the objective.
+    pub late: bool,
+}
+
+/// The service of a listener's clients.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ListenerTally {
-    /// Tenths of a millisecond.
-    pub asked: Timestamp,
+    /// The time for which clients wanted a session.
+    pub asked: TickDuration,
+    /// The time for which they were well served.
     pub well: TickDuration,
+    /// Messages that came back.
     pub lines: u64,
+    /// Those of them that were late.
     pub late: u64,
+    /// Clients that left for good without a session.
     pub gone_without: u64,
 }
 
+/// All clients of a run.
 pub struct Clients {
     listeners: Vec<ListenerSpec>,
-    people: Vec<Client>,
-    /// Asked for by id only, never in their order.
+    clients: Vec<Client>,
+    /// By id; what depends on their order sorts them first.
     sessions: HashMap<u64, ClientSession>,
     timers: EventQueue<ClientTimer>,
-    chance: ChaCha8Rng,
-    /// No new ones from then on.
+    rng: ChaCha8Rng,
+    /// No new sessions from then on.
     length: TickDuration,
+    /// For each listener, its clients' service.
     pub tallies: Vec<ListenerTally>,
+    /// Sessions without a response.
     pub waiting: usize,
+    /// Established sessions.
     pub standing: usize,
 }
 
 impl Clients {
-    pub fn new(listeners: Vec<ListenerSpec>, length: TickDuration, chance: ChaCha8Rng) -> Self {
+    /// The clients of a run of that length.
+    pub fn new(listeners: Vec<ListenerSpec>, length: TickDuration, rng: ChaCha8Rng) -> Self {
         let tallies = vec![ListenerTally::default(); listeners.len()];
-        let mut new = Self {
+        let mut clients = Self {
             listeners,
-            people: Vec::new(),
+            clients: Vec::new(),
             sessions: HashMap::new(),
             timers: EventQueue::default(),
-            chance,
+            rng,
             length,
             tallies,
             waiting: 0,
             standing: 0,
         };
-        for listener in 0..new.listeners.len() {
-            for _ in 0..new.listeners[listener].standing {
-                let at = new.share(new.listeners[listener].spread.0, 0.0, 1.0);
-                new.comes(at, listener);
+        for listener in 0..clients.listeners.len() {
+            for _ in 0..clients.listeners[listener].standing {
+                let at = clients.draw_fraction(clients.listeners[listener].spread.0, 0.0, 1.0);
+                clients.arrive(at, listener);
             }
-            new.next(0, listener);
+            clients.schedule_arrival(0, listener);
         }
-        new
+        clients
     }
 
-    /// The work of one line, microseconds of a core.
-    pub fn line_work(&self, listener: usize) -> f64 {
-        let l = &self.listeners[listener];
-        l.load * l.every.0 as f64 * 100.0
+    /// The work of one message, microseconds of a core.
+    pub fn message_work(&self, listener: usize) -> f64 {
+        let listener = &self.listeners[listener];
+        listener.load * listener.every.0 as f64 * MICROS_PER_TICK
     }
 
-    /// The load that one session is, microseconds of work a second.
+    /// The load of one session, microseconds of work a second.
     pub fn load(&self, listener: usize) -> f64 {
-        self.listeners[listener].load * 1e6
+        self.listeners[listener].load * MICROS_PER_SECOND
     }
 
-    /// The listener of a session's client.
+    /// The listener of a session.
     pub fn listener_of(&self, id: u64) -> Option<usize> {
-        self.sessions.get(&id).map(|s| self.people[s.client].listener)
+        self.sessions.get(&id).map(|session| self.listener_index(session))
+    }
+
+    fn listener_index(&self, session: &ClientSession) -> usize {
+        self.clients[session.client].listener
     }
 
+    /// When something happens next.
     pub fn next_event_at(&self) -> Timestamp {
         self.timers.next_at()
     }
 
-    fn share(&mut self, of: TickDuration, from: f64, to: f64) -> TickDuration {
-        (of as f64 * self.chance.random_range(from..to)) as TickDuration
+    fn draw_fraction(&mut self, of: TickDuration, from: f64, to: f64) -> TickDuration {
+        (of as f64 * self.rng.random_range(from..to)) as TickDuration
     }
 
-    fn exponential(&mut self, mean: f64) -> TickDuration {
-        let drawn: f64 = Exp1.sample(&mut self.chance);
+    fn draw_wait(&mut self, mean: TickDuration) -> TickDuration {
+        self.draw_fraction(mean, MIN_WAIT_FRACTION, MAX_WAIT_FRACTION)
+    }
+
+    fn draw_exponential(&mut self, mean: f64) -> TickDuration {
+        let drawn: f64 = Exp1.sample(&mut self.rng);
         (drawn * mean) as TickDuration
     }
 
-    fn next(&mut self, now: Timestamp, listener: usize) {
+    fn schedule_arrival(&mut self, now: Timestamp, listener: usize) {
         let rate = self.listeners[listener].rate;
         if rate > 0.0 {
-            let at = now + self.exponential(SECOND as f64 / rate);
+            let at = now + self.draw_exponential(SECOND as f64 / rate);
             if at < self.length {
-                self.timers.push(at, ClientTimer::Comes(listener));
+                self.timers.push(at, ClientTimer::Arrive { listener });
             }
         }
     }
 
-    fn comes(&mut self, at: Timestamp, listener: usize) {
-        let l = &self.listeners[listener];
-        // As many groups as hold so many clients each in the mean.
-        let people = l.standing as f64 + l.rate * l.life.0 as f64 / SECOND as f64;
-        let groups = ((people / l.group as f64).ceil() as u64).max(1);
-        let life = l.life.0;
-        let until = at + self.exponential(life as f64).max(SECOND / 2);
-        let drawn = self.chance.random_range(0..groups);
-        // Listeners share no groups.
-        let group = (drawn + 1) * 0x9e37 + listener as u64;
-        let key = self.chance.next_u64();
-        self.people.push(Client {
+    fn arrive(&mut self, at: Timestamp, listener: usize) {
+        let spec = &self.listeners[listener];
+        // As many groups as have the mean number of clients each.
+        let mean_clients = spec.standing as f64 + spec.rate * spec.life.0 as f64 / SECOND as f64;
+        let groups = ((mean_clients / spec.group as f64).ceil() as u64).max(1);
+        let mean_stay = spec.life.0 as f64;
+        let until = at + self.draw_exponential(mean_stay).max(MIN_STAY);
+        let group_number = self.rng.random_range(0..groups);
+        let group = (group_number + 1) * GROUP_KEY_STEP + listener as u64;
+        let key = self.rng.next_u64();
+        let client = self.clients.len();
+        self.clients.push(Client {
             listener,
             key,
             group,
             from: at,
             until,
             tries: 0,
-            again: false,
+            reconnecting: false,
             retry: false,
         });
         self.tallies[listener].asked += until.min(self.length).saturating_sub(at);
-        self.timers.push(at, ClientTimer::Tries(self.people.len() - 1));
+        self.timers.push(at, ClientTimer::Request { client });
     }
 
     /// All that clients do by now.
-    pub fn advance(&mut self, now: Timestamp, acts: &mut Vec<ClientAction>) {
-        while let Some((at, due)) = self.timers.pop_due(now) {
-            match due {
-                ClientTimer::Comes(listener) => {
-                    self.comes(at, listener);
-                    self.next(at, listener);
+    pub fn advance(&mut self, now: Timestamp, actions: &mut Vec<ClientAction>) {
+        while let Some((due_at, timer)) = self.timers.pop_due(now) {
+            match timer {
+                ClientTimer::Arrive { listener } => {
+                    self.arrive(due_at, listener);
+                    self.schedule_arrival(due_at, listener);
                 }
-                ClientTimer::Tries(client) => self.tries(now, client, acts),
-                ClientTimer::GivesUp(id) => {
-                    if self.sessions.get(&id).is_some_and(|s| s.state == ClientSessionState::Waiting) {
-                        acts.push(ClientAction::TimeOut { id });
+                ClientTimer::Request { client } => self.request(now, client, actions),
+                ClientTimer::TimeOut { id } => {
+                    let session = self.sessions.get(&id);
+                    if session.is_some_and(|session| session.state == ClientSessionState::Waiting) {
+                        actions.push(ClientAction::TimeOut { id });
                         self.failed(now, id, 0);
                     }
                 }
-                ClientTimer::Line(id) => self.line(now, id, acts),
-                ClientTimer::Done(id) => {
+                ClientTimer::Message { id } => self.send_message(now, id, actions),
+                ClientTimer::Leave { id } => {
                     if self.sessions.contains_key(&id) {
-                        self.over(now, id);
-                        acts.push(ClientAction::Leave { id });
+                        self.end_session(now, id);
+                        actions.push(ClientAction::Leave { id });
                     }
                 }
             }
         }
     }
 
-    fn tries(&mut self, now: Timestamp, client: usize, acts: &mut Vec<ClientAction>) {
-        let id = self.chance.next_u64();
-        let p = &mut self.people[client];
-        if now >= self.length || now >= p.until {
+    fn request(&mut self, now: Timestamp, client: usize, actions: &mut Vec<ClientAction>) {
+        let id = self.rng.next_u64();
+        let sender = &mut self.clients[client];
+        if now >= self.length || now >= sender.until {
             return;
         }
-        p.tries += 1;
-        let patience = self.listeners[p.listener].dial_timeout.0;
-        let ask = ClientRequest {
+        sender.tries += 1;
+        let patience = self.listeners[sender.listener].dial_timeout.0;
+        let request = ClientRequest {
             client,
             id,
-            key: p.key,
-            group: p.group,
-            listener: p.listener,
+            key: sender.key,
+            group: sender.group,
+            listener: sender.listener,
             patience,
-            reconnecting: p.again,
-            retry: p.retry,
+            reconnecting: sender.reconnecting,
+            retry: sender.retry,
         };
         let session = ClientSession {
             client,
             state: ClientSessionState::Waiting,
-            number: 0,
-            out: Vec::new(),
-            heard: now,
-            well_from: None,
+            latest_message: 0,
+            messages_in_flight: Vec::new(),
+            last_received_at: now,
+            well_served_from: None,
         };
         self.sessions.insert(id, session);
         self.waiting += 1;
-        self.timers.push(now + patience + SEES_LATE, ClientTimer::GivesUp(id));
-        acts.push(ClientAction::Connect(ask));
+        self.timers.push(now + patience + LATE_RESPONSE_GRACE, ClientTimer::TimeOut { id });
+        actions.push(ClientAction::Connect(request));
     }
 
-    fn line(&mut self, now: Timestamp, id: u64, acts: &mut Vec<ClientAction>) {
-        let Some(session) = self.sessions.get_mut(&id).filter(|s| s.state == ClientSessionState::Standing)
-        else {
-            return;
-        };
-        let listener = &self.listeners[self.people[session.client].listener];
-        self.timers.push(now + listener.every.0, ClientTimer::Line(id));
-        if let Some(&(_, first)) = session.out.first() {
-            // What is out for longer than the target is no service, whether or not it comes back.
-            if now - first > listener.line_target.0
-                && let Some(from) = session.well_from.take()
+    fn send_message(&mut self, now: Timestamp, id: u64, actions: &mut Vec<ClientAction>) {
+        let session = self.sessions.get_mut(&id);
+        let established = session.filter(|session| session.state == ClientSessionState::Established);
+        let Some(session) = established else { return };
+        let listener_index = self.clients[session.client].listener;
+        let listener = &self.listeners[listener_index];
+        self.timers.push(now + listener.every.0, ClientTimer::Message { id });
+        if let Some(&first) = session.messages_in_flight.first() {
+            // What is in flight for longer than the objective is no service, whether or not it comes back.
+            if now - first.sent_at > listener.line_target.0
+                && let Some(from) = session.well_served_from.take()
             {
-                self.tallies[self.people[session.client].listener].well += first.saturating_sub(from);
+                self.tallies[listener_index].well += first.sent_at.saturating_sub(from);
             }
-            if now - session.heard > SILENT && listener.deaf_kb == 0 {
-                acts.push(ClientAction::Silent { id, duration: now - session.heard });
+            let silent_for = now - session.last_received_at;
+            if silent_for > SILENT && listener.deaf_kb == 0 {
+                actions.push(ClientAction::Silent { id, duration: silent_for });
             }
         }
-        if session.out.len() < OUT_AT_ONCE {
-            session.number += 1;
-            session.out.push((session.number, now));
-            acts.push(ClientAction::SendMessage { id, number: session.number });
+        if session.messages_in_flight.len() < MAX_MESSAGES_IN_FLIGHT {
+            session.latest_message += 1;
+            let number = session.latest_message;
+            session.messages_in_flight.push(MessageInFlight { number, sent_at: now });
+            actions.push(ClientAction::SendMessage { id, number });
         }
     }
 
-    /// A session has had its final answer.
-    pub fn response_received(&mut self, now: Timestamp, id: u64, answer: ClientResponse) {
-        match answer {
-            ClientResponse::Accepted => {
-                let Some(session) =
-                    self.sessions.get_mut(&id).filter(|s| s.state == ClientSessionState::Waiting)
-                else {
-                    return;
-                };
-                (session.state, session.heard, session.well_from) =
-                    (ClientSessionState::Standing, now, Some(now));
-                let client = session.client;
-                self.waiting -= 1;
-                self.standing += 1;
-                let p = &mut self.people[client];
-                (p.tries, p.retry, p.again) = (0, false, false);
-                let (until, listener) = (p.until, p.listener);
-                self.timers.push(until.max(now), ClientTimer::Done(id));
-                let first = self.share(self.listeners[listener].every.0, 0.0, 1.0);
-                self.timers.push(now + first, ClientTimer::Line(id));
+    /// The final response to a session.
+    pub fn response_received(&mut self, now: Timestamp, id: u64, response: ClientResponse) {
+        match response {
+            ClientResponse::Accepted => self.established(now, id),
+            ClientResponse::Rejected(retry_after_ms) => {
+                self.failed(now, id, retry_after_ms * TICKS_PER_MS);
             }
-            ClientResponse::Rejected(ms) => self.failed(now, id, ms * 10),
             ClientResponse::Failed => self.failed(now, id, 0),
         }
     }
 
-    /// A session's line is back: how long it was away, if it was out at all, and if that is late.
-    pub fn message_returned(&mut self, now: Timestamp, id: u64, number: u64) -> Option<(TickDuration, bool)> {
+    fn established(&mut self, now: Timestamp, id: u64) {
+        let session = self.sessions.get_mut(&id);
+        let waiting = session.filter(|session| session.state == ClientSessionState::Waiting);
+        let Some(session) = waiting else { return };
+        session.state = ClientSessionState::Established;
+        session.last_received_at = now;
+        session.well_served_from = Some(now);
+        self.waiting -= 1;
+        self.standing += 1;
+        let client = &mut self.clients[session.client];
+        client.tries = 0;
+        client.retry = false;
+        client.reconnecting = false;
+        let listener = client.listener;
+        self.timers.push(client.until.max(now), ClientTimer::Leave { id });
+        let first = self.draw_fraction(self.listeners[listener].every.0, 0.0, 1.0);
+        self.timers.push(now + first, ClientTimer::Message { id });
+    }
+
+    /// The message of that number is back; nothing if it was not in flight.
+    pub fn message_returned(&mut self, now: Timestamp, id: u64, number: u64) -> Option<ReturnedMessage> {
         let session = self.sessions.get_mut(&id)?;
-        session.heard = now;
-        let at = session.out.iter().position(|&(n, _)| n == number)?;
-        let (_, sent) = session.out.remove(at);
-        let listener = self.people[session.client].listener;
-        let (took, tally) = (now - sent, &mut self.tallies[listener]);
-        tally.lines += 1;
+        session.last_received_at = now;
+        let index = session.messages_in_flight.iter().position(|message| message.number == number)?;
+        let MessageInFlight { sent_at, .. } = session.messages_in_flight.remove(index);
+        let listener = self.clients[session.client].listener;
+        let tally = &mut self.tallies[listener];
+        let took = now - sent_at;
         let late = took > self.listeners[listener].line_target.0;
+        tally.lines += 1;
         if late {
             tally.late += 1;
-            if let Some(from) = session.well_from.take() {
-                tally.well += sent.saturating_sub(from);
+            if let Some(from) = session.well_served_from.take() {
+                tally.well += sent_at.saturating_sub(from);
             }
-        } else if session.well_from.is_none() {
-            session.well_from = Some(now);
+        } else if session.well_served_from.is_none() {
+            session.well_served_from = Some(now);
         }
-        Some((took, late))
+        Some(ReturnedMessage { took, late })
     }
 
-    /// A session without an answer that went to a proxy where nobody was, or whose connection ended.
+    /// A session had no response: its proxy could not be reached, or its connection ended.
     pub fn ended_without_response(&mut self, now: Timestamp, id: u64) {
         self.failed(now, id, 0);
     }
 
-    /// An accepted session's connection has ended: its client comes again.
-    pub fn connection_ended(&mut self, now: Timestamp, id: u64, how: ConnectionEnd) {
-        let Some(client) = self.over(now, id).filter(|_| how != ConnectionEnd::Left) else { return };
-        let p = &mut self.people[client];
-        p.again = true;
-        let wait = self.listeners[p.listener].again_after.0;
-        let at = now + self.share(wait, 0.5, 1.5);
-        self.timers.push(at, ClientTimer::Tries(client));
+    /// The connection of an established session has ended: its client reconnects.
+    pub fn connection_ended(&mut self, now: Timestamp, id: u64, end: ConnectionEnd) {
+        let ended = self.end_session(now, id);
+        let Some(client) = ended.filter(|_| end != ConnectionEnd::Left) else { return };
+        self.clients[client].reconnecting = true;
+        let wait = self.listeners[self.clients[client].listener].again_after.0;
+        let at = now + self.draw_wait(wait);
+        self.timers.push(at, ClientTimer::Request { client });
     }
 
-    fn failed(&mut self, now: Timestamp, id: u64, at_least: TickDuration) {
-        let Some(client) = self.over(now, id) else { return };
-        let p = &mut self.people[client];
-        let listener = p.listener;
-        let l = &self.listeners[listener];
-        if p.tries >= l.tries || l.retry == RetryBehavior::Never {
-            self.tallies[listener].gone_without += 1;
+    /// A session was not accepted: its client retries, not before `retry_after`, or leaves for good.
+    fn failed(&mut self, now: Timestamp, id: u64, retry_after: TickDuration) {
+        let Some(client) = self.end_session(now, id) else { return };
+        let sender = &mut self.clients[client];
+        let listener = &self.listeners[sender.listener];
+        if sender.tries >= listener.tries || listener.retry == RetryBehavior::Never {
+            self.tallies[sender.listener].gone_without += 1;
             return;
         }
-        p.retry = true;
-        let (retry, wait) = (l.retry, l.wait.0.max(at_least));
-        let at = match retry {
-            RetryBehavior::AtOnce => now + 10,
-            _ => now + self.share(wait, 0.5, 1.5).max(at_least),
+        sender.retry = true;
+        let mean_wait = listener.wait.0.max(retry_after);
+        let at = match listener.retry {
+            RetryBehavior::AtOnce => now + RETRY_AT_ONCE_AFTER,
+            RetryBehavior::After | RetryBehavior::Never => now + self.draw_wait(mean_wait).max(retry_after),
         };
-        self.timers.push(at, ClientTimer::Tries(client));
+        self.timers.push(at, ClientTimer::Request { client });
     }
 
-    /// Ends a session, and says whose it was.
-    fn over(&mut self, now: Timestamp, id: u64) -> Option<usize> {
+    /// Ends a session, and returns its client.
+    fn end_session(&mut self, now: Timestamp, id: u64) -> Option<usize> {
         let session = self.sessions.remove(&id)?;
         match session.state {
             ClientSessionState::Waiting => self.waiting -= 1,
-            ClientSessionState::Standing => self.standing -= 1,
+            ClientSessionState::Established => self.standing -= 1,
         }
-        if let Some(from) = session.well_from {
-            // A line that is out speaks against the time since it was sent.
-            let to = session.out.first().map_or(now, |&(_, sent)| sent).min(self.length);
-            let listener = self.people[session.client].listener;
+        if let Some(from) = session.well_served_from {
+            // A message in flight speaks against the time since it was sent.
+            let first = session.messages_in_flight.first();
+            let to = first.map_or(now, |message| message.sent_at).min(self.length);
+            let listener = self.listener_index(&session);
             self.tallies[listener].well += to.saturating_sub(from);
         }
         Some(session.client)
     }
 
-    /// Draws that share of those who stand now, in the order of their clients.
+    /// Draws a share of the established sessions, in the order of their clients.
     pub fn sample_established(&mut self, share: f64) -> Vec<u64> {
-        let stands = |(&id, s): (&u64, &ClientSession)| {
-            (s.state == ClientSessionState::Standing).then_some((s.client, id))
+        let established = |(&id, session): (&u64, &ClientSession)| {
+            (session.state == ClientSessionState::Established).then_some((session.client, id))
         };
-        let mut all: Vec<_> = self.sessions.iter().filter_map(stands).collect();
-        all.sort_unstable();
-        all.retain(|_| self.chance.random_bool(share.clamp(0.0, 1.0)));
-        all.into_iter().map(|(_, id)| id).collect()
+        let mut sampled: Vec<_> = self.sessions.iter().filter_map(established).collect();
+        sampled.sort_unstable();
+        sampled.retain(|_| self.rng.random_bool(share.clamp(0.0, 1.0)));
+        sampled.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// Closes the accounts at the end of a run.
+    /// Ends all sessions at the end of a run.
     pub fn finish(&mut self, now: Timestamp) {
         let ids: Vec<_> = self.sessions.keys().copied().collect();
         for id in ids {
-            self.over(now, id);
+            self.end_session(now, id);
         }
     }
 
-    /// The share of those who want a session now, by utility, that have one whose lines come back in time.
+    /// The share of clients that want a session now, by utility, whose messages come back in time.
     pub fn served_now(&self, now: Timestamp) -> f64 {
-        let utility = |p: &Client| self.listeners[p.listener].utility;
-        let wants = self.people.iter().filter(|p| (p.from..p.until.min(self.length)).contains(&now));
-        let wanted: f64 = wants.map(utility).sum();
-        let well = self.sessions.values().filter(|s| {
-            let target = self.listeners[self.people[s.client].listener].line_target.0;
-            s.well_from.is_some() && s.out.first().is_none_or(|&(_, sent)| now - sent <= target)
+        let utility = |client: &Client| self.listeners[client.listener].utility;
+        let wants = |client: &&Client| (client.from..client.until.min(self.length)).contains(&now);
+        let wanted: f64 = self.clients.iter().filter(wants).map(utility).sum();
+        let well_served = self.sessions.values().filter(|session| {
+            let objective = self.listeners[self.listener_index(session)].line_target.0;
+            let first = session.messages_in_flight.first();
+            session.well_served_from.is_some()
+                && first.is_none_or(|message| now - message.sent_at <= objective)
         });
-        let served: f64 = well.map(|s| utility(&self.people[s.client])).sum();
+        let served: f64 = well_served.map(|session| utility(&self.clients[session.client])).sum();
         if wanted > 0.0 { (served / wanted).min(1.0) } else { 1.0 }
     }
 
-    /// Utility of well-served seconds over seconds asked for.
+    /// Utility of well-served time over time asked for.
     pub fn service(&self) -> f64 {
-        let sum = |of: fn(&ListenerTally) -> TickDuration| -> f64 {
-            self.tallies.iter().zip(&self.listeners).map(|(t, l)| of(t) as f64 * l.utility).sum()
+        let sum = |time: fn(&ListenerTally) -> TickDuration| -> f64 {
+            let by_listener = self.tallies.iter().zip(&self.listeners);
+            by_listener.map(|(tally, listener)| time(tally) as f64 * listener.utility).sum()
         };
-        let asked = sum(|t| t.asked);
-        if asked > 0.0 { sum(|t| t.well) / asked } else { 1.0 }
+        let asked = sum(|tally| tally.asked);
+        if asked > 0.0 { sum(|tally| tally.well) / asked } else { 1.0 }
     }
 }
--- a/crates/larklink-simulation/src/duration.rs
+++ b/crates/larklink-simulation/src/duration.rs
@@ -1,89 +1,76 @@
-//! Spans as people write them, and an agenda of what falls due.
-use std::collections::BTreeMap;
+//! Durations as people write them in a scenario.
 use std::fmt;
 
-use larklink_balancer::{TickDuration, Timestamp};
-use serde::{Deserialize, Deserializer, de::Error};
+use larklink_balancer::TickDuration;
+use serde::de::Error as _;
+use serde::{Deserialize, Deserializer};
+use thiserror::Error;
 
 /// One second.
 pub const SECOND: TickDuration = 10_000;
 /// Ticks in a millisecond.
 pub const TICKS_PER_MS: TickDuration = 10;
+/// The longest duration, an hour.
+const MAX_TICKS: f64 = 36e6;
 
-/// A span, written `250ms`, `1.5s` or `2m`.
+/// A duration, written `250ms`, `1.5s` or `2m`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConfigDuration(pub TickDuration);
 
+/// Why a text is no duration.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum DurationError {
+    /// It is no number, or has no known unit.
+    #[error("{0:?} is no span: write 250ms, 1.5s or 2m")]
+    Malformed(String),
+    /// It is longer than an hour.
+    #[error("{0:?} is over an hour")]
+    TooLong(String),
+}
+
 impl ConfigDuration {
-    pub const fn from_millis(ms: u64) -> Self {
-        Self(ms * 10)
+    /// So many milliseconds.
+    pub const fn from_millis(millis: u64) -> Self {
+        Self(millis * TICKS_PER_MS)
     }
 
-    pub fn parse(text: &str) -> Result<Self, String> {
+    /// Reads a duration.
+    ///
+    /// # Errors
+    /// The text is no number with a unit, or over an hour.
+    pub fn parse(text: &str) -> Result<Self, DurationError> {
         let digits = text.find(|c: char| !c.is_ascii_digit() && c != '.').unwrap_or(text.len());
         let (number, unit) = text.split_at(digits);
-        let tenths = match unit.trim() {
+        let malformed = || DurationError::Malformed(text.to_owned());
+        let ticks_per_unit = match unit.trim() {
             "us" => 0.01,
             "ms" => 10.0,
             "s" => 10_000.0,
             "m" => 600_000.0,
-            _ => return Err(format!("{text:?} is no span: write 250ms, 1.5s or 2m")),
+            _ => return Err(malformed()),
         };
-        match number.parse::<f64>() {
-            Ok(n) if n * tenths <= 36e6 => Ok(Self((n * tenths).round() as TickDuration)),
-            Ok(_) => Err(format!("{text:?} is over an hour")),
-            Err(_) => Err(format!("{text:?} is no span: write 250ms, 1.5s or 2m")),
+        let number: f64 = number.parse().map_err(|_| malformed())?;
+        let ticks = number * ticks_per_unit;
+        if ticks <= MAX_TICKS {
+            Ok(Self(ticks.round() as TickDuration))
+        } else {
+            Err(DurationError::TooLong(text.to_owned()))
         }
     }
 }
 
 impl fmt::Display for ConfigDuration {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self.0 {
-            t if t >= SECOND => write!(f, "{}s", t as f64 / SECOND as f64),
-            t => write!(f, "{}ms", t as f64 / 10.0),
+        if self.0 >= SECOND {
+            write!(f, "{}s", self.0 as f64 / SECOND as f64)
+        } else {
+            write!(f, "{}ms", self.0 as f64 / TICKS_PER_MS as f64)
         }
     }
 }
 
 impl<'de> Deserialize<'de> for ConfigDuration {
-    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        Self::parse(&String::deserialize(d)?).map_err(D::Error::custom)
-    }
-}
-
-/// What falls due, in order of time and, at the same time, of entry.
-#[derive(Debug)]
-pub struct EventQueue<T> {
-    entries: BTreeMap<(TickDuration, u64), T>,
-    next: u64,
-}
-
-impl<T> Default for EventQueue<T> {
-    fn default() -> Self {
-        Self { entries: BTreeMap::new(), next: 0 }
-    }
-}
-
-impl<T> EventQueue<T> {
-    pub fn push(&mut self, at: Timestamp, what: T) {
-        self.entries.insert((at, self.next), what);
-        self.next += 1;
-    }
-
-    /// When the first falls due; never, if there is none.
-    pub fn next_at(&self) -> Timestamp {
-        self.entries.first_key_value().map_or(Timestamp::MAX, |((at, _), _)| *at)
-    }
-
-    /// The first that is due by now, and when it was.
-    pub fn pop_due(&mut self, now: Timestamp) -> Option<(TickDuration, T)> {
-        let entry = self.entries.first_entry().filter(|e| e.key().0 <= now)?;
-        let ((at, _), what) = entry.remove_entry();
-        Some((at, what))
-    }
-
-    pub fn clear(&mut self) {
-        self.entries.clear();
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        Self::parse(&String::deserialize(deserializer)?).map_err(D::Error::custom)
     }
 }
--- a/crates/larklink-simulation/src/endpoint_list.rs
+++ b/crates/larklink-simulation/src/endpoint_list.rs
@@ -1,16 +1,21 @@
-//! The list of servers as discovery has it: changes show after a lag, and not at all while it stands still.
+//! The endpoint list as discovery has it: changes show after a lag, and not at all while it is frozen.
 use larklink_balancer::{TickDuration, Timestamp};
 
-use crate::duration::EventQueue;
+use crate::event_queue::EventQueue;
 
+/// The status of a server in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
+    /// It takes sessions.
     Up,
+    /// It takes no new sessions.
     Draining,
+    /// It is gone.
     Removed,
 }
 
 impl EndpointStatus {
+    /// The name on the wire.
     pub fn name(self) -> &'static str {
         match self {
             Self::Up => "up",
@@ -20,82 +25,99 @@
     }
 }
 
-/// A server's line: where it stands and when it last started; 0: long ago.
+/// The entry of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointListEntry {
+    /// The server's number.
     pub server: usize,
+    /// Its status.
     pub status: EndpointStatus,
+    /// When it last started; 0 means long ago.
     pub started: Timestamp,
 }
 
+/// An entry, and the version of the list that brought it.
+#[derive(Clone, Copy)]
+struct VersionedEntry {
+    version: u64,
+    entry: EndpointListEntry,
+}
+
+/// The endpoint list.
 #[derive(Default)]
 pub struct EndpointList {
     lag: TickDuration,
     pending: EventQueue<EndpointListEntry>,
-    /// Each server's latest line, and the version that brought it.
-    lines: Vec<(u64, EndpointListEntry)>,
+    /// The latest entry of each server.
+    entries: Vec<VersionedEntry>,
     version: u64,
-    still_until: TickDuration,
-    lost_until: TickDuration,
+    frozen_until: Timestamp,
+    unreachable_until: Timestamp,
 }
 
 impl EndpointList {
-    /// All servers are up and warm.
+    /// A list in which all servers are up, and started long ago.
     pub fn new(servers: usize, lag: TickDuration) -> Self {
-        let lines = (0..servers)
-            .map(|server| (1, EndpointListEntry { server, status: EndpointStatus::Up, started: 0 }));
-        Self { lag, lines: lines.collect(), version: 1, ..Self::default() }
+        let entry = |server| VersionedEntry {
+            version: 1,
+            entry: EndpointListEntry { server, status: EndpointStatus::Up, started: 0 },
+        };
+        Self { lag, entries: (0..servers).map(entry).collect(), version: 1, ..Self::default() }
     }
 
-    /// A server that is not there from the start.
+    /// Removes a server that is not there from the start.
     pub fn leave_out(&mut self, server: usize) {
-        self.lines[server].1.status = EndpointStatus::Removed;
+        self.entries[server].entry.status = EndpointStatus::Removed;
     }
 
-    /// Something is so from now on; it shows after the lag.
-    pub fn change(&mut self, now: Timestamp, line: EndpointListEntry) {
-        self.pending.push(now + self.lag, line);
+    /// An entry has changed; it shows after the lag.
+    pub fn change(&mut self, now: Timestamp, entry: EndpointListEntry) {
+        self.pending.push(now + self.lag, entry);
     }
 
+    /// No change shows until then.
     pub fn freeze_until(&mut self, until: Timestamp) {
-        self.still_until = until;
+        self.frozen_until = until;
     }
 
-    /// Out of reach until then: calls are not answered.
+    /// Requests are not answered until then.
     pub fn make_unreachable(&mut self, until: Timestamp) {
-        self.lost_until = until;
+        self.unreachable_until = until;
     }
 
+    /// Whether requests are answered.
     pub fn is_reachable(&self, now: Timestamp) -> bool {
-        now >= self.lost_until
+        now >= self.unreachable_until
     }
 
+    /// When the next change shows.
     pub fn next_event_at(&self) -> Timestamp {
-        self.pending.next_at().max(self.still_until)
+        self.pending.next_at().max(self.frozen_until)
     }
 
-    /// Takes in what shows by now; whether there was anything.
+    /// Shows what is due by now; whether there was anything.
     pub fn advance(&mut self, now: Timestamp) -> bool {
-        let before = self.version;
-        while now >= self.still_until
-            && let Some((_, line)) = self.pending.pop_due(now)
+        let version_before = self.version;
+        while now >= self.frozen_until
+            && let Some((_, entry)) = self.pending.pop_due(now)
         {
             self.version += 1;
-            self.lines[line.server] = (self.version, line);
+            self.entries[entry.server] = VersionedEntry { version: self.version, entry };
         }
-        self.version != before
+        self.version != version_before
     }
 
+    /// The version of the list.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The lines that are newer than that version; removed servers are no part of the whole list.
+    /// The entries that are newer than a version; without one the complete list, in which removed servers are not.
     pub fn entries_after(&self, version: Option<u64>) -> Vec<EndpointListEntry> {
-        let newer = |&&(v, line): &&(u64, EndpointListEntry)| match version {
-            Some(known) => v > known,
-            None => line.status != EndpointStatus::Removed,
+        let is_wanted = |versioned: &&VersionedEntry| match version {
+            Some(known) => versioned.version > known,
+            None => versioned.entry.status != EndpointStatus::Removed,
         };
-        self.lines.iter().filter(newer).map(|&(_, line)| line).collect()
+        self.entries.iter().filter(is_wanted).map(|versioned| versioned.entry).collect()
     }
 }
--- a/crates/larklink-simulation/src/event_log.rs
+++ b/crates/larklink-simulation/src/event_log.rs
@@ -1,30 +1,47 @@
-//! The book of answers: clients, servers, front and list write down what they saw, in the order of time. The
-//! proxy that is judged has no hand in it.
+//! The event log: clients, servers, external load balancer and endpoint list record what they saw, in the order of time.
+//! The proxy that is judged records nothing. Each word of the file is mapped here, once.
 use std::fmt;
 
 use larklink_balancer::{TickDuration, Timestamp};
 use serde::Serialize;
 
-/// A client's first line.
+use crate::server::ConnectionId;
+
+/// The events for which memory is reserved at once: growing a log by a copy would hold a run on sockets up for tens of
+/// milliseconds, and memory that is not written to costs nothing.
+const INITIAL_CAPACITY: usize = 1 << 20;
+
+/// A client's request for a session.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ClientRequest {
+    /// The client's number.
     pub client: usize,
+    /// The session's id.
     pub id: u64,
+    /// The client's key.
     pub key: u64,
+    /// The key of the client's group.
     pub group: u64,
+    /// The listener, by its place in the scenario.
     pub listener: usize,
+    /// How long the client waits for a response.
     pub patience: TickDuration,
+    /// Whether an established session was broken or migrated before.
     #[serde(rename = "again")]
     pub reconnecting: bool,
+    /// Whether this retries a session that failed.
     pub retry: bool,
 }
 
+/// The final response to a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum ClientResponse {
+    /// The session is established.
     Accepted,
-    /// With a retry-after in milliseconds, or 0.
+    /// The session was rejected, with a Retry-After in milliseconds, or 0.
     #[serde(rename = "Refused")]
     Rejected(u64),
+    /// The session failed, and may have run.
     #[serde(rename = "TornDown")]
     Failed,
 }
@@ -43,10 +60,12 @@
 /// How a connection ended, as its client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum ConnectionEnd {
-    /// After `MOVE`.
+    /// The client was told to reconnect elsewhere.
     #[serde(rename = "Moved")]
     Migrated,
+    /// It was closed.
     Closed,
+    /// It was reset.
     Broken,
     /// The client left by itself.
     Left,
@@ -64,18 +83,20 @@
     }
 }
 
-/// How a dial ended, as its server saw it.
+/// How an attempt ended, as its server saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum AttemptEnd {
-    /// The server turned it away: it never ran.
+    /// The server rejected it: it never ran.
     #[serde(rename = "TurnedAway")]
     Rejected,
+    /// The server failed it.
     Failed,
+    /// The server accepted it.
     Accepted,
-    /// The server broke it.
+    /// The server reset it.
     #[serde(rename = "Cut")]
     Reset,
-    /// The server sent an accepted session away.
+    /// The server sent an established session elsewhere.
     #[serde(rename = "SentAway")]
     Migrated,
     /// The other side ended it.
@@ -83,56 +104,54 @@
     Abandoned,
 }
 
+/// The direction of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Direction {
+    /// From a client to its server.
     ToServer,
+    /// From a server to its client.
     ToClient,
 }
 
+/// What happened. `id` is always that of a session, `server` and `proxy` are numbers from 0.
 #[derive(Clone, Debug, PartialEq, Serialize)]
+#[expect(missing_docs, reason = "fields that several variants share are described at the type")]
 pub enum EventKind {
-    /// The first line is out, to that proxy; nobody was there if it could not be sent.
+    /// A client sent a request to a proxy, or could not reach it.
     Opened {
         #[serde(rename = "ask")]
         request: ClientRequest,
         proxy: usize,
     },
+    /// The proxy of a request could not be reached.
     #[serde(rename = "NobodyThere")]
-    ProxyUnreachable {
-        id: u64,
-        proxy: usize,
-    },
+    ProxyUnreachable { id: u64, proxy: usize },
+    /// A client received the final response.
     Answered {
         id: u64,
         #[serde(rename = "answer")]
         response: ClientResponse,
     },
-    /// Something after the final answer that ends a session, or a second one.
+    /// Something came after a final response that ends a session, or a second one.
     #[serde(rename = "More")]
-    ExtraMessage {
-        id: u64,
-    },
-    /// What is no answer at all.
+    ExtraMessage { id: u64 },
+    /// A client received what is no response.
     #[serde(rename = "Garbled")]
-    MalformedResponse {
-        id: u64,
-    },
+    MalformedResponse { id: u64 },
+    /// A client's connection ended.
     #[serde(rename = "Ended")]
     ConnectionEnded {
         id: u64,
         #[serde(rename = "how")]
         end: ConnectionEnd,
     },
-    /// The client waited no longer.
+    /// A client waited no longer.
     #[serde(rename = "GaveUp")]
-    ClientTimedOut {
-        id: u64,
-    },
+    ClientTimedOut { id: u64 },
+    /// A message came back later than its objective.
     #[serde(rename = "LineLate")]
-    MessageLate {
-        id: u64,
-        took: TickDuration,
-    },
+    MessageLate { id: u64, took: TickDuration },
+    /// A message was held on its way.
     #[serde(rename = "Held")]
     MessageDelayed {
         id: u64,
@@ -140,116 +159,104 @@
         direction: Direction,
         took: TickDuration,
     },
+    /// A message was altered on its way.
     #[serde(rename = "Changed")]
-    MessageAltered {
-        id: u64,
-    },
-    /// Nothing has come for so long on a connection that stands.
+    MessageAltered { id: u64 },
+    /// For so long, nothing has come on a connection that is established.
     #[serde(rename = "SilentFor")]
     ConnectionSilent {
         id: u64,
         #[serde(rename = "span")]
         duration: TickDuration,
     },
+    /// A server received the start of an attempt, of which the proxy waits for so many milliseconds.
     #[serde(rename = "Dial")]
     AttemptStarted {
         id: u64,
         server: usize,
         #[serde(rename = "conn")]
-        connection: u64,
+        connection: ConnectionId,
         #[serde(rename = "told")]
         timeout_ms: u64,
     },
+    /// An attempt, or the connection of an established session, ended at its server.
     #[serde(rename = "DialEnded")]
     AttemptEnded {
         id: u64,
         server: usize,
         #[serde(rename = "conn")]
-        connection: u64,
+        connection: ConnectionId,
         #[serde(rename = "how")]
         end: AttemptEnd,
     },
+    /// A server has set a session up.
     #[serde(rename = "Ran")]
-    SessionRan {
-        id: u64,
-        server: usize,
-    },
-    /// A set-up was done for a dial that had been given up.
+    SessionRan { id: u64, server: usize },
+    /// A server has set a session up for an attempt that had been abandoned.
     #[serde(rename = "RanLate")]
-    RanAfterAbandoned {
-        id: u64,
-        server: usize,
-    },
-    /// A cold server was sent more than its multiple, by so much.
+    RanAfterAbandoned { id: u64, server: usize },
+    /// A server in slow start was sent so many times its capacity.
     #[serde(rename = "Over")]
-    Overloaded {
-        server: usize,
-        ratio: f64,
-    },
-    ServerDied {
-        server: usize,
-    },
+    Overloaded { server: usize, ratio: f64 },
+    /// A server died.
+    ServerDied { server: usize },
+    /// A server started, or can be reached again.
     #[serde(rename = "ServerBack")]
-    ServerStarted {
-        server: usize,
-    },
-    /// Silent until then.
-    ServerSilent {
-        server: usize,
-        until: Timestamp,
-    },
-    /// It went with so many sessions still standing there.
+    ServerStarted { server: usize },
+    /// A server is silent until then.
+    ServerSilent { server: usize, until: Timestamp },
+    /// A server stopped while so many sessions were established there.
     #[serde(rename = "LeftBehind")]
-    SessionsLeftBehind {
-        server: usize,
-        sessions: usize,
-    },
-    /// That word has been written to that proxy.
+    SessionsLeftBehind { server: usize, sessions: usize },
+    /// A proxy was notified of the status of a server.
     #[serde(rename = "Told")]
-    EndpointNotified {
-        proxy: usize,
-        server: usize,
-        ready: bool,
-    },
-    ProxyUp {
-        proxy: usize,
-    },
+    EndpointNotified { proxy: usize, server: usize, ready: bool },
+    /// A proxy answers.
+    ProxyUp { proxy: usize },
+    /// A proxy has exited.
     #[serde(rename = "ProxyGone")]
-    ProxyExited {
-        proxy: usize,
-        planned: bool,
-    },
+    ProxyExited { proxy: usize, planned: bool },
+    /// A fault was injected.
     #[serde(rename = "Fault")]
     FaultInjected(String),
 }
 
+/// An event and its time.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct LoggedEvent {
+    /// When it happened.
     pub at: Timestamp,
+    /// What happened.
     #[serde(rename = "what")]
     pub kind: EventKind,
 }
 
+/// The events of a run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct EventLog {
+    /// In the order of time.
     pub events: Vec<LoggedEvent>,
 }
 
 impl Default for EventLog {
     fn default() -> Self {
-        // Copied as it grows, it would hold the kit up for tens of milliseconds; unwritten room costs nothing.
-        Self { events: Vec::with_capacity(1 << 20) }
+        Self { events: Vec::with_capacity(INITIAL_CAPACITY) }
     }
 }
 
 impl EventLog {
+    /// Records an event.
     pub fn record(&mut self, at: Timestamp, kind: EventKind) {
         self.events.push(LoggedEvent { at, kind });
     }
 
     /// One JSON object a line.
     pub fn to_json_lines(&self) -> String {
-        let lines = self.events.iter().map(|e| serde_json::to_string(e).unwrap_or_default());
-        lines.fold(String::new(), |all, line| all + &line + "\n")
+        let mut text = String::new();
+        for event in &self.events {
+            text += &serde_json::to_string(event).unwrap_or_default();
+            text += "\n";
+        }
+        text
     }
 }
--- a/crates/larklink-simulation/src/external_load_balancer.rs
+++ b/crates/larklink-simulation/src/external_load_balancer.rs
@@ -1,51 +1,57 @@
-//! The front: deals connections out among the proxies of their zone, in turn. It takes a proxy in once that has answered,
-//! and goes on sending to one that has died for as long as it takes it to notice.
+//! The external load balancer: distributes connections among the proxies of their zone, in turn. It uses a proxy once
+//! that has answered, and goes on sending to one that has died until it notices.
 use larklink_balancer::{TickDuration, Timestamp};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProxyStatus {
+    /// It gets no connections.
     Out,
+    /// It gets connections.
     In,
-    /// Dead, and not yet noticed until then.
-    DeadUntil(TickDuration),
+    /// It is dead, which is not noticed until then.
+    DeadUntil(Timestamp),
 }
 
+/// The external load balancer.
 pub struct ExternalLoadBalancer {
     proxies: Vec<ProxyStatus>,
     notices_after: TickDuration,
-    /// The proxy after the last that was dealt to, by zone.
+    /// For each zone, the proxy after the last that got a connection.
     turns: Vec<usize>,
 }
 
 impl ExternalLoadBalancer {
-    /// The proxies lie in the zones by turns.
+    /// The proxies lie in the zones by turns; a dead one is noticed after a time.
     pub fn new(proxies: usize, zones: usize, notices_after: TickDuration) -> Self {
         Self { proxies: vec![ProxyStatus::Out; proxies], notices_after, turns: vec![0; zones.max(1)] }
     }
 
+    /// A proxy answers: from now on it gets connections.
     pub fn proxy_answered(&mut self, proxy: usize) {
         self.proxies[proxy] = ProxyStatus::In;
     }
 
-    /// Dead: nothing answers there from now on.
+    /// A proxy has died: nothing answers there from now on.
     pub fn proxy_died(&mut self, now: Timestamp, proxy: usize) {
         if self.proxies[proxy] == ProxyStatus::In {
             self.proxies[proxy] = ProxyStatus::DeadUntil(now + self.notices_after);
         }
     }
 
-    /// A planned stop: no more is sent there.
+    /// A planned stop: the proxy gets no more connections.
     pub fn remove_proxy(&mut self, proxy: usize) {
         self.proxies[proxy] = ProxyStatus::Out;
     }
 
-    /// The proxy that gets the next connection of clients with that key: one of their zone, if any is in.
+    /// The proxy that gets the next connection of a client with that key: one of the client's zone, if there is any.
     pub fn next_proxy(&mut self, now: Timestamp, key: u64) -> Option<usize> {
-        let (n, zones) = (self.proxies.len(), self.turns.len());
+        let count = self.proxies.len();
+        let zones = self.turns.len();
         let zone = (key % zones as u64) as usize;
-        let from = self.turns[zone];
-        let mut order = (from..from + n).map(|i| i % n).filter(|p| p % zones == zone);
-        let next = order.find(|&p| match self.proxies[p] {
+        let first = self.turns[zone];
+        let mut candidates =
+            (first..first + count).map(|number| number % count).filter(|proxy| proxy % zones == zone);
+        let next = candidates.find(|&proxy| match self.proxies[proxy] {
             ProxyStatus::In => true,
             ProxyStatus::DeadUntil(until) => now < until,
             ProxyStatus::Out => false,
--- a/crates/larklink-simulation/src/faults.rs
+++ b/crates/larklink-simulation/src/faults.rs
@@ -1,100 +1,148 @@
-//! The faults of a scenario as single events in order of time, those who are struck drawn from the seed.
+//! The faults of a scenario as single events in the order of time; their targets are drawn from the seed.
 use larklink_balancer::{TickDuration, Timestamp};
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
 
 use crate::scenario::{FaultKind, FaultSpec, Scenario};
 
-/// What is done to a proxy.
+/// What happens to a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProxyFault {
+    /// It is killed.
     Kill,
-    /// Killed in the instant in which it has taken its next connection; it starts again so long after.
+    /// It is killed at the moment at which it has accepted its next connection.
     KillAtAccept {
-        back: Option<Timestamp>,
+        /// How long after that it starts again; never, if there is none.
+        back: Option<TickDuration>,
     },
+    /// It starts.
     Start,
-    /// SIGTERM; it starts again so long after its end.
+    /// It shuts down gracefully.
     Stop {
-        back: Option<Timestamp>,
+        /// How long after its end it starts again; never, if there is none.
+        back: Option<TickDuration>,
     },
+    /// It reads its settings again.
     Reload,
-    /// Another process takes over.
+    /// Another process takes over from it.
     Replace,
 }
 
+/// A single fault. The event log has its `Debug` text.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultEvent {
+    /// Something happens to the proxy of that number.
     Proxy(usize, ProxyFault),
+    /// A server is silent.
     Silence {
+        /// Its number.
         server: usize,
+        /// Until when.
         until: Timestamp,
     },
+    /// A server is paused.
     Pause {
+        /// Its number.
         server: usize,
+        /// Until when.
         until: Timestamp,
     },
+    /// A server dies.
     Die {
+        /// Its number.
         server: usize,
     },
+    /// A server starts.
     Back {
+        /// Its number.
         server: usize,
     },
+    /// A server drains.
     Drain {
+        /// Its number.
         server: usize,
     },
-    /// A server that drains goes.
+    /// A server that drains stops.
     Gone {
+        /// Its number.
         server: usize,
     },
+    /// A server resets sessions that it has just accepted.
     Drops {
+        /// Its number.
         server: usize,
+        /// One in so many; 0 for none.
         one_in: u64,
     },
+    /// The session store is slowed down.
     StoreSlow {
+        /// How many times longer it takes.
         factor: f64,
     },
+    /// The endpoint list is unreachable.
     ListLost {
+        /// Until when.
         until: Timestamp,
     },
+    /// The endpoint list shows no changes.
     ListStill {
+        /// Until when.
         until: Timestamp,
     },
+    /// Clients lose their connections.
     DropClients {
+        /// The share of those that are established.
         share: f64,
     },
 }
 
-/// A fault as a band, for plots: from, to, what.
-pub type FaultBand = (TickDuration, TickDuration, String);
+/// A fault as a band, for plots: from when, to when, and its name. In a report it is an array of the three.
+pub type FaultBand = (Timestamp, Timestamp, String);
 
-pub fn timeline(
-    scenario: &Scenario,
-    chance: &mut ChaCha8Rng,
-) -> (Vec<(TickDuration, FaultEvent)>, Vec<FaultBand>) {
-    let (mut events, mut bands) = (Vec::new(), Vec::new());
+/// A fault and its time.
+#[derive(Clone, Debug, PartialEq)]
+pub struct TimedFault {
+    /// When it happens.
+    pub at: Timestamp,
+    /// What happens.
+    pub event: FaultEvent,
+}
+
+/// All faults of a run.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct FaultTimeline {
+    /// In the order of time.
+    pub faults: Vec<TimedFault>,
+    /// For plots, in the order of the scenario.
+    pub bands: Vec<FaultBand>,
+}
+
+/// Draws the faults of a scenario.
+pub fn timeline(scenario: &Scenario, rng: &mut ChaCha8Rng) -> FaultTimeline {
+    let mut timeline = FaultTimeline::default();
     for fault in &scenario.faults {
         let fault = fault.get_ref();
-        for n in 0..fault.times.unwrap_or(1) {
-            let at = fault.at.0 + TickDuration::from(n) * fault.every.unwrap_or_default().0;
-            let struck = struck(scenario, fault, chance);
-            // The steps before that of the one in that place.
-            let after = |i: usize| {
-                (i / fault.together.unwrap_or(1)) as TickDuration * fault.apart.unwrap_or_default().0
+        for repeat in 0..fault.times.unwrap_or(1) {
+            let at = fault.at.0 + TickDuration::from(repeat) * fault.every.unwrap_or_default().0;
+            let targets = draw_targets(scenario, fault, rng);
+            let delay = |index: usize| {
+                let steps = (index / fault.together.unwrap_or(1)) as TickDuration;
+                steps * fault.apart.unwrap_or_default().0
             };
-            let last = after(struck.len().saturating_sub(1));
-            bands.push((at, at + last + fault.lasts.unwrap_or_default().0, name(fault.kind).to_owned()));
-            for (i, &which) in struck.iter().enumerate() {
-                single(scenario, fault, at + after(i), which, &mut events);
+            let last_at = at + delay(targets.len().saturating_sub(1));
+            let band_end = last_at + fault.lasts.unwrap_or_default().0;
+            timeline.bands.push((at, band_end, band_name(fault.kind).to_owned()));
+            for (index, &target) in targets.iter().enumerate() {
+                add_fault(scenario, fault, at + delay(index), target, &mut timeline.faults);
             }
         }
     }
-    events.sort_by_key(|&(at, _)| at);
-    (events, bands)
+    timeline.faults.sort_by_key(|fault| fault.at);
+    timeline
 }
 
-fn name(what: FaultKind) -> &'static str {
-    match what {
+fn band_name(kind: FaultKind) -> &'static str {
+    match kind {
         FaultKind::ProxyKilled => "proxy killed",
         FaultKind::ProxyStopped => "proxy stopped",
         FaultKind::ProxyReloaded => "proxy reloaded",
@@ -112,78 +160,87 @@
     }
 }
 
-fn struck(scenario: &Scenario, fault: &FaultSpec, chance: &mut ChaCha8Rng) -> Vec<usize> {
-    use FaultKind::*;
-    let all: Vec<usize> = match fault.kind {
-        StoreSlow | ListLost | ListStill | ClientsDropped => return vec![0],
-        ProxyKilled | ProxyStopped | ProxyReloaded | ProxyReplaced => (0..scenario.proxies.count).collect(),
-        what => {
-            let fits = |listed| listed != (what == ServersJoin);
+/// The numbers of the proxies or servers that are struck.
+fn draw_targets(scenario: &Scenario, fault: &FaultSpec, rng: &mut ChaCha8Rng) -> Vec<usize> {
+    let joins = fault.kind == FaultKind::ServersJoin;
+    let mut candidates: Vec<usize> = match fault.kind {
+        FaultKind::StoreSlow | FaultKind::ListLost | FaultKind::ListStill | FaultKind::ClientsDropped => {
+            return vec![0];
+        }
+        FaultKind::ProxyKilled
+        | FaultKind::ProxyStopped
+        | FaultKind::ProxyReloaded
+        | FaultKind::ProxyReplaced => (0..scenario.proxies.count).collect(),
+        _ => {
             let servers = scenario.each_server().enumerate();
-            servers.filter(|(_, s)| fits(s.listed)).map(|(i, _)| i).collect()
+            servers.filter(|(_, server)| server.listed != joins).map(|(index, _)| index).collect()
         }
     };
-    match (&fault.which, fault.share) {
-        (Some(which), _) => which.clone(),
-        (None, Some(share)) => {
-            let mut drawn = all;
-            drawn.shuffle(chance);
-            drawn.truncate(((drawn.len() as f64 * share).round() as usize).max(1));
-            drawn
-        }
-        (None, None) if fault.kind == ServersJoin => all,
-        (None, None) => all.into_iter().take(1).collect(),
+    if let Some(which) = &fault.which {
+        return which.clone();
+    }
+    if let Some(share) = fault.share {
+        candidates.shuffle(rng);
+        candidates.truncate(((candidates.len() as f64 * share).round() as usize).max(1));
+    } else if !joins {
+        candidates.truncate(1);
     }
+    candidates
 }
 
-fn single(
+/// Adds what happens to one target.
+fn add_fault(
     scenario: &Scenario,
     fault: &FaultSpec,
     at: Timestamp,
-    which: usize,
-    events: &mut Vec<(TickDuration, FaultEvent)>,
+    target: usize,
+    faults: &mut Vec<TimedFault>,
 ) {
-    let lasts = fault.lasts.map(|s| s.0);
+    let lasts = fault.lasts.map(|lasts| lasts.0);
     let until = at + lasts.unwrap_or(0);
-    let (proxy, server) = (which, which);
+    let mut add = |at, event| faults.push(TimedFault { at, event });
+    let server = target;
     match fault.kind {
         FaultKind::ProxyKilled if fault.at_accept => {
-            events.push((at, FaultEvent::Proxy(proxy, ProxyFault::KillAtAccept { back: lasts })));
+            add(at, FaultEvent::Proxy(target, ProxyFault::KillAtAccept { back: lasts }));
         }
         FaultKind::ProxyKilled => {
-            events.push((at, FaultEvent::Proxy(proxy, ProxyFault::Kill)));
-            events.extend(lasts.map(|_| (until, FaultEvent::Proxy(proxy, ProxyFault::Start))));
-        }
-        FaultKind::ProxyStopped => {
-            events.push((at, FaultEvent::Proxy(proxy, ProxyFault::Stop { back: lasts })))
+            add(at, FaultEvent::Proxy(target, ProxyFault::Kill));
+            if lasts.is_some() {
+                add(until, FaultEvent::Proxy(target, ProxyFault::Start));
+            }
         }
-        FaultKind::ProxyReloaded => events.push((at, FaultEvent::Proxy(proxy, ProxyFault::Reload))),
-        FaultKind::ProxyReplaced => events.push((at, FaultEvent::Proxy(proxy, ProxyFault::Replace))),
-        FaultKind::ServerSilent => events.push((at, FaultEvent::Silence { server, until })),
-        FaultKind::ServerPaused => events.push((at, FaultEvent::Pause { server, until })),
+        FaultKind::ProxyStopped => add(at, FaultEvent::Proxy(target, ProxyFault::Stop { back: lasts })),
+        FaultKind::ProxyReloaded => add(at, FaultEvent::Proxy(target, ProxyFault::Reload)),
+        FaultKind::ProxyReplaced => add(at, FaultEvent::Proxy(target, ProxyFault::Replace)),
+        FaultKind::ServerSilent => add(at, FaultEvent::Silence { server, until }),
+        FaultKind::ServerPaused => add(at, FaultEvent::Pause { server, until }),
         FaultKind::ServerDied => {
-            events.push((at, FaultEvent::Die { server }));
-            events.extend(lasts.map(|_| (until, FaultEvent::Back { server })));
+            add(at, FaultEvent::Die { server });
+            if lasts.is_some() {
+                add(until, FaultEvent::Back { server });
+            }
         }
         FaultKind::ServerDrains => {
-            events.push((at, FaultEvent::Drain { server }));
-            events.push((until, FaultEvent::Gone { server }));
-            let back = scenario.each_server().nth(server).map_or(0, |s| s.back_after.0);
-            events.push((until + back, FaultEvent::Back { server }));
+            let restart_after = scenario.each_server().nth(server).map_or(0, |group| group.back_after.0);
+            add(at, FaultEvent::Drain { server });
+            add(until, FaultEvent::Gone { server });
+            add(until + restart_after, FaultEvent::Back { server });
         }
         FaultKind::ServerDrops => {
-            events.push((at, FaultEvent::Drops { server, one_in: fault.factor.unwrap_or(1.0) as u64 }));
-            events.push((until, FaultEvent::Drops { server, one_in: 0 }));
+            let one_in = fault.factor.unwrap_or(1.0) as u64;
+            add(at, FaultEvent::Drops { server, one_in });
+            add(until, FaultEvent::Drops { server, one_in: 0 });
         }
-        FaultKind::ServersJoin => events.push((at, FaultEvent::Back { server })),
+        FaultKind::ServersJoin => add(at, FaultEvent::Back { server }),
         FaultKind::StoreSlow => {
-            events.push((at, FaultEvent::StoreSlow { factor: fault.factor.unwrap_or(1.0) }));
-            events.push((until, FaultEvent::StoreSlow { factor: 1.0 }));
+            add(at, FaultEvent::StoreSlow { factor: fault.factor.unwrap_or(1.0) });
+            add(until, FaultEvent::StoreSlow { factor: 1.0 });
         }
-        FaultKind::ListLost => events.push((at, FaultEvent::ListLost { until })),
-        FaultKind::ListStill => events.push((at, FaultEvent::ListStill { until })),
+        FaultKind::ListLost => add(at, FaultEvent::ListLost { until }),
+        FaultKind::ListStill => add(at, FaultEvent::ListStill { until }),
         FaultKind::ClientsDropped => {
-            events.push((at, FaultEvent::DropClients { share: fault.share.unwrap_or(1.0) }));
+            add(at, FaultEvent::DropClients { share: fault.share.unwrap_or(1.0) });
         }
     }
 }
--- a/crates/larklink-simulation/src/goodput.rs
+++ b/crates/larklink-simulation/src/goodput.rs
@@ -1,27 +1,30 @@
-//! Goodput: sessions accepted in time a second, held against what the session store bears or, if that is less, what is
-//! offered; and how long after the last restart of a proxy it is back for good.
+//! Goodput: sessions accepted in time a second, compared with the rate of the session store or, if that is less, with what
+//! is offered; and how long after the last restart of a proxy it has recovered for good.
 use std::collections::BTreeMap;
+use std::fmt;
 
 use larklink_balancer::{TickDuration, Timestamp};
 use serde::Serialize;
 
 use crate::duration::SECOND;
-use crate::event_log::{ClientResponse, EventKind, EventLog};
+use crate::event_log::{ClientResponse, EventKind, EventLog, LoggedEvent};
 use crate::scenario::Scenario;
 
-/// Goodput is taken over so long, and told of each span that begins a step after the one before.
+/// Goodput is measured over windows of this length.
 const WINDOW: TickDuration = 2 * SECOND;
+/// Each window begins so long after the one before.
 const STEP: TickDuration = SECOND / 10;
-/// It is back where it is such a share of what the store bears or is offered.
+/// Goodput has recovered at this share of the session store's rate or of what is offered.
 pub const BACK: f64 = 0.9;
 
-/// One span of a run: sessions a second.
+/// The rates of one window, in sessions a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct GoodputRate {
-    /// When the span begins, tenths of a millisecond.
+    /// When the window begins, tenths of a millisecond.
     pub from: Timestamp,
+    /// Sessions accepted in time.
     pub accepted: f64,
-    /// Clients that asked, each once however often it tried.
+    /// Clients that opened a session, each once however often it retried.
     pub offered: f64,
 }
 
@@ -29,34 +32,36 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Recovery {
     /// When the last proxy that was stopped or killed answered again, tenths of a millisecond.
-    pub restarted: TickDuration,
-    /// From then to the first span from which on all are back, to the end of the run; nothing for never.
+    pub restarted: Timestamp,
+    /// From then to the first window from which on goodput has recovered, to the end of the run; none for never.
     pub took: Option<TickDuration>,
-    /// How long after `restarted` the last span begins that the run is long enough for.
-    pub told: Timestamp,
-    /// From the last restart to the end of the run, and the least of any span that began in it.
+    /// How long after `restarted` the last window begins that the run is long enough for.
+    pub told: TickDuration,
+    /// The rates from the last restart to the end of the run.
     pub after: GoodputRate,
+    /// The window with the least share.
     pub least: GoodputRate,
-    /// What the store bears, calls a second.
+    /// The session store's rate, calls a second.
     pub bears: f64,
 }
 
 impl Recovery {
-    /// What a scenario that demands it within such a span finds wrong.
+    /// What is wrong for a scenario that requires recovery within a time; nothing if it is met.
     pub fn unmet(&self, within: TickDuration) -> Option<String> {
         match self.took {
             Some(took) if took <= within => None,
             Some(took) => Some(format!("goodput back {:.1} s after the last restart", seconds(took))),
-            // A run that ends too early shows nothing, and must not pass for one that is well.
+            // A run that ends too early shows nothing, and must not pass for one that recovered.
             None if self.told < within => Some("the run is too short to show that goodput comes back".into()),
             None => Some("goodput never came back after the last restart".into()),
         }
     }
 }
 
-impl std::fmt::Display for Recovery {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        let (after, at) = (self.after, seconds(self.restarted));
+impl fmt::Display for Recovery {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        let after = self.after;
+        let at = seconds(self.restarted);
         match self.took {
             Some(took) => write!(f, "back {:.1} s after the last restart", seconds(took))?,
             None => write!(f, "never back after the last restart")?,
@@ -69,63 +74,76 @@
     }
 }
 
-fn seconds(t: TickDuration) -> f64 {
-    t as f64 / SECOND as f64
+fn seconds(duration: TickDuration) -> f64 {
+    duration as f64 / SECOND as f64
 }
 
-/// When each client asked, in order, and when sessions were accepted in time.
-struct Asked {
-    opened: Vec<(TickDuration, usize)>,
-    accepted: Vec<TickDuration>,
+/// A session that a client opened.
+struct Opening {
+    at: Timestamp,
+    client: usize,
 }
 
-impl Asked {
+/// When sessions were opened and accepted.
+struct SessionTimes {
+    /// In the order of time.
+    opened: Vec<Opening>,
+    /// Of sessions accepted in time, in the order of time.
+    accepted_at: Vec<Timestamp>,
+}
+
+impl SessionTimes {
     fn read(event_log: &EventLog) -> Self {
-        let (mut opened, mut accepted, mut until) = (Vec::new(), Vec::new(), BTreeMap::new());
-        for entry in &event_log.events {
-            match &entry.kind {
-                EventKind::Opened { request: ask, .. } => {
-                    opened.push((entry.at, ask.client));
-                    until.insert(ask.id, entry.at + ask.patience);
+        let mut opened = Vec::new();
+        let mut accepted_at = Vec::new();
+        let mut patient_until = BTreeMap::new();
+        for event in &event_log.events {
+            match &event.kind {
+                EventKind::Opened { request, .. } => {
+                    opened.push(Opening { at: event.at, client: request.client });
+                    patient_until.insert(request.id, event.at + request.patience);
                 }
                 EventKind::Answered { id, response: ClientResponse::Accepted } => {
-                    accepted.extend(until.remove(id).filter(|&until| entry.at <= until).map(|_| entry.at));
+                    let until = patient_until.remove(id);
+                    if until.is_some_and(|until| event.at <= until) {
+                        accepted_at.push(event.at);
+                    }
                 }
                 _ => {}
             }
         }
-        Self { opened, accepted }
+        Self { opened, accepted_at }
     }
 
-    fn between(&self, from: Timestamp, to: TickDuration) -> GoodputRate {
-        let span = seconds(to - from);
-        let opened = &self.opened[part(&self.opened, |o| o.0 < from)..part(&self.opened, |o| o.0 < to)];
-        let mut clients: Vec<_> = opened.iter().map(|o| o.1).collect();
+    fn rate(&self, from: Timestamp, to: Timestamp) -> GoodputRate {
+        let duration = seconds(to - from);
+        let first = self.opened.partition_point(|opening| opening.at < from);
+        let end = self.opened.partition_point(|opening| opening.at < to);
+        let mut clients: Vec<_> = self.opened[first..end].iter().map(|opening| opening.client).collect();
         clients.sort_unstable();
         clients.dedup();
-        let accepted = part(&self.accepted, |&at| at < to) - part(&self.accepted, |&at| at < from);
-        GoodputRate { from, accepted: accepted as f64 / span, offered: clients.len() as f64 / span }
+        let accepted_before = |time: Timestamp| self.accepted_at.partition_point(|&at| at < time);
+        let accepted = accepted_before(to) - accepted_before(from);
+        GoodputRate { from, accepted: accepted as f64 / duration, offered: clients.len() as f64 / duration }
     }
 }
 
-fn part<T>(of: &[T], before: impl Fn(&T) -> bool) -> usize {
-    of.partition_point(before)
-}
-
-/// Judges a book; nothing where no proxy was started again, or too late for any span.
+/// Judges an event log; none if no proxy was started again, or too late for any window.
 pub fn recovery(scenario: &Scenario, event_log: &EventLog) -> Option<Recovery> {
-    let up = |e: &&crate::event_log::LoggedEvent| e.at > 0 && matches!(e.kind, EventKind::ProxyUp { .. });
-    let restarted = event_log.events.iter().rfind(up)?.at;
-    let (length, bears) = (scenario.length.0, scenario.store.rate);
+    let is_restart = |event: &&LoggedEvent| event.at > 0 && matches!(event.kind, EventKind::ProxyUp { .. });
+    let restarted = event_log.events.iter().rfind(is_restart)?.at;
+    let length = scenario.length.0;
+    let store_rate = scenario.store.rate;
     let last = length.checked_sub(WINDOW).filter(|&last| last >= restarted)?;
-    let asked = Asked::read(event_log);
-    let spans: Vec<_> =
-        (restarted..=last).step_by(STEP as usize).map(|from| asked.between(from, from + WINDOW)).collect();
-    let back = |r: &&GoodputRate| r.accepted >= BACK * r.offered.min(bears);
-    let well = spans.iter().rev().take_while(back).count();
-    let took = (well > 0).then(|| spans[spans.len() - well].from - restarted);
-    let share = |r: &GoodputRate| r.accepted / r.offered.min(bears).max(f64::MIN_POSITIVE);
-    let least = spans.iter().copied().min_by(|a, b| share(a).total_cmp(&share(b)))?;
-    let after = asked.between(restarted, length);
-    Some(Recovery { restarted, took, told: last - restarted, after, least, bears })
+    let times = SessionTimes::read(event_log);
+    let starts = (restarted..=last).step_by(STEP as usize);
+    let windows: Vec<_> = starts.map(|from| times.rate(from, from + WINDOW)).collect();
+    let wanted = |rate: &GoodputRate| rate.offered.min(store_rate);
+    let has_recovered = |rate: &&GoodputRate| rate.accepted >= BACK * wanted(rate);
+    let recovered = windows.iter().rev().take_while(has_recovered).count();
+    let took = (recovered > 0).then(|| windows[windows.len() - recovered].from - restarted);
+    let share = |rate: &GoodputRate| rate.accepted / wanted(rate).max(f64::MIN_POSITIVE);
+    let least = windows.iter().copied().min_by(|a, b| share(a).total_cmp(&share(b)))?;
+    let after = times.rate(restarted, length);
+    Some(Recovery { restarted, took, told: last - restarted, after, least, bears: store_rate })
 }
--- a/crates/larklink-simulation/src/scenario/fault.rs
+++ b/crates/larklink-simulation/src/scenario/fault.rs
@@ -3,53 +3,67 @@
 
 use crate::duration::ConfigDuration;
 
+/// A kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// SIGKILL; starts again after `for`, if that is given.
+    /// SIGKILL; the proxy starts again after `for`, if that is given.
     ProxyKilled,
-    /// SIGTERM; starts again after `for`, once it has ended.
+    /// SIGTERM; the proxy starts again after `for`, once it has ended.
     ProxyStopped,
     /// SIGHUP.
     ProxyReloaded,
-    /// Another process takes over from it while it serves.
+    /// Another process takes over from the proxy while it serves.
     ProxyReplaced,
+    /// Connections stay, but the server neither reads nor writes.
     ServerSilent,
+    /// The server stops for a time, then answers what waited.
     ServerPaused,
-    /// Dies; comes back cold after `for`, if that is given.
+    /// The server dies; it starts again after `for`, if that is given.
     ServerDied,
-    /// Drains, goes after `for`, and is back cold `back_after` later.
+    /// The server drains, stops after `for`, and starts again `back_after` later.
     ServerDrains,
-    /// Drops one in `factor` of those it has just taken.
+    /// The server resets one in `factor` of the sessions that it has just accepted.
     ServerDrops,
-    /// Servers that were not listed start cold.
+    /// Servers that were not listed start.
     ServersJoin,
+    /// The session store takes `factor` times as long.
     StoreSlow,
+    /// The endpoint list is unreachable.
     ListLost,
+    /// The endpoint list shows no changes.
     ListStill,
+    /// Clients lose their connections.
     ClientsDropped,
 }
 
+/// A fault, maybe of several targets and repeated.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultSpec {
+    /// What happens.
     #[serde(rename = "what")]
     pub kind: FaultKind,
+    /// When it first happens.
     pub at: ConfigDuration,
+    /// How long it lasts.
     #[serde(rename = "for")]
     pub lasts: Option<ConfigDuration>,
-    /// Which proxies or servers, by number from 0; else a share of them, drawn; else the first.
+    /// Which proxies or servers, by number from 0; otherwise a share of them, drawn; otherwise the first.
     pub which: Option<Vec<usize>>,
+    /// The share of them that is drawn.
     pub share: Option<f64>,
-    /// Times slower, or one in so many.
+    /// How many times slower, or one in how many.
     pub factor: Option<f64>,
-    /// Each of them so long after the one before; so many of them together, if that is given.
+    /// How long after one target the next is struck.
     pub apart: Option<ConfigDuration>,
+    /// How many targets are struck together.
     pub together: Option<usize>,
-    /// Again so often, so many times in all.
+    /// How long after one time it happens again.
     pub every: Option<ConfigDuration>,
+    /// How often it happens in all.
     pub times: Option<u32>,
-    /// A proxy is killed in the instant in which it has taken its next connection.
+    /// Whether a proxy is killed at the moment at which it has accepted its next connection.
     #[serde(default)]
     pub at_accept: bool,
 }
--- a/crates/larklink-simulation/src/scenario/fleet.rs
+++ b/crates/larklink-simulation/src/scenario/fleet.rs
@@ -3,18 +3,22 @@
 
 use crate::duration::ConfigDuration;
 
+/// The proxies.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ProxyFleet {
+    /// How many there are.
     pub count: usize,
-    /// Proxies, servers and clients lie in so many zones by turns; the front deals within one.
+    /// Proxies, servers and clients lie in so many zones by turns; the external load balancer stays within one.
     pub zones: usize,
+    /// The memory that each may use.
     pub memory_mb: u64,
+    /// The file descriptors that each may use.
     pub descriptors: usize,
-    /// Each has an operators' door, is asked for its figures, and can be replaced.
+    /// Whether each has an admin endpoint, is asked for its metrics, and can be replaced.
     pub doors: bool,
-    /// So many, the last in number, run in another shape than the rest: they may not probe, and crossing zones
-    /// is priced above a move.
+    /// How many, the last in number, run in another shape than the rest: they may not check health, and crossing zones
+    /// costs more than a migration.
     pub moved: usize,
 }
 
@@ -24,18 +28,23 @@
     }
 }
 
-/// What proxies are told of the rules, and are judged by.
+/// What proxies have to keep, and are judged by.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ProxyRules {
+    /// How long a connection to a server may take.
     pub connect_timeout: ConfigDuration,
+    /// The most attempts of one session.
     pub dials: u32,
-    /// The longest retry-after; none is given if it is 0.
+    /// The longest Retry-After of a rejection; none is given if it is 0.
     pub retry_after: ConfigDuration,
+    /// How long after the notification of a drain new sessions may still be sent to the server.
     pub drain_grace: ConfigDuration,
+    /// Whether proxies may check the health of servers.
     pub probes: bool,
+    /// How long after a failed poll a proxy counts as notified of what it could not read.
     pub must_ask_in: ConfigDuration,
-    /// Packets pass through: a proxy that stops moves nobody, and its end breaks what it holds.
+    /// Whether packets pass through: a proxy that stops migrates nothing, and its end breaks its sessions.
     pub passes: bool,
 }
 
@@ -53,31 +62,39 @@
     }
 }
 
-/// Some servers that are alike.
+/// Equal servers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ServerGroup {
+    /// How many there are.
     pub count: usize,
+    /// The cores of each.
     pub cores: usize,
+    /// The speed of a core.
     pub speed: f64,
-    /// Sessions that one holds.
+    /// The most sessions of each.
     pub holds: usize,
-    /// Work of a set-up, on a core of speed 1.
+    /// The work of a set-up, on a core of speed 1.
     pub setup_work: ConfigDuration,
-    /// Set-ups are turned away while one would wait for longer than this.
+    /// Set-ups are rejected while one would wait for longer than this.
     pub queue: ConfigDuration,
-    /// The share of its capacity with which it starts cold, and how long it takes to warm up.
+    /// The share of its capacity that a server has when it starts.
     pub start_capacity: f64,
+    /// How long its slow start takes.
     pub warm_up: ConfigDuration,
-    /// Sent more than so many times what it can do while cold, for so long, it is overrun.
+    /// How many times its capacity it may be sent in slow start before it is overloaded.
     pub fall_multiple: f64,
+    /// The window over which that is counted.
     pub fall_after: ConfigDuration,
-    /// Overrun, it dies, and is back after so long.
+    /// Whether an overloaded server dies.
     pub falls: bool,
+    /// How long after that it starts again.
     pub back_after: ConfigDuration,
+    /// How often it makes a load report.
     pub report_every: ConfigDuration,
-    /// In the list from the start; else they join by a fault.
+    /// Whether it is listed from the start; otherwise it joins by a fault.
     pub listed: bool,
+    /// Its weight in the endpoint list.
     pub weight: f64,
 }
 
@@ -103,12 +120,13 @@
     }
 }
 
+/// The session store.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SessionStoreSettings {
     /// Calls a second.
     pub rate: f64,
-    /// A call that would wait for longer fails.
+    /// The longest wait of a call; one that would wait for longer fails.
     pub bound: ConfigDuration,
 }
 
@@ -118,10 +136,11 @@
     }
 }
 
+/// The endpoint list.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EndpointListSettings {
-    /// A change shows after so long.
+    /// How long after a change it shows.
     pub lag: ConfigDuration,
 }
 
@@ -131,10 +150,11 @@
     }
 }
 
+/// The external load balancer.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LoadBalancerSettings {
-    /// A dead proxy gets connections for so long.
+    /// How long a dead proxy still gets connections.
     pub notices_after: ConfigDuration,
 }
 
--- a/crates/larklink-simulation/src/scenario/listener.rs
+++ b/crates/larklink-simulation/src/scenario/listener.rs
@@ -3,55 +3,71 @@
 
 use crate::duration::ConfigDuration;
 
+/// Whether a session may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SessionKind {
+    /// Idempotent.
     Repeatable,
+    /// Deduplicated by an idempotency key for as long as `window`.
     Referenced,
+    /// Never more than once.
     OnceOnly,
 }
 
+/// When a client retries a session that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RetryBehavior {
     /// As soon as it has failed.
     AtOnce,
-    /// After `wait`, or the retry-after if that is longer, half to one and a half times.
+    /// After half to one and a half times `wait`, or the Retry-After if that is longer.
     After,
+    /// Never.
     Never,
 }
 
+/// A listener and its clients.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ListenerSpec {
+    /// Its name.
     pub name: String,
+    /// Whether its sessions may run more than once.
     pub kind: SessionKind,
-    /// For referenced sessions: repeats are known for so long.
+    /// How long the idempotency key of a referenced session is known.
     pub window: ConfigDuration,
+    /// How soon a session should be accepted.
     pub handshake_target: ConfigDuration,
+    /// How long a client waits for a response.
     pub dial_timeout: ConfigDuration,
-    /// Clients that are there from the start, spread over the first `spread`.
+    /// The clients that are there from the start.
     pub standing: usize,
+    /// The time over which those come.
     pub spread: ConfigDuration,
-    /// Clients that come, a second.
+    /// Clients that come in a second.
     pub rate: f64,
-    /// The mean of how long one stays.
+    /// The mean time for which one stays.
     pub life: ConfigDuration,
-    /// A line goes out so often, and is wanted back within the target.
+    /// How often a client sends a message.
     pub every: ConfigDuration,
+    /// How soon a message should come back.
     pub line_target: ConfigDuration,
-    /// The work of a session, in cores of speed 1.
+    /// The load of a session, in cores of speed 1.
     pub load: f64,
+    /// The weight of a client's service.
     pub utility: f64,
+    /// When a client retries.
     pub retry: RetryBehavior,
+    /// How long it waits before that.
     pub wait: ConfigDuration,
-    /// Times that a client tries before it gives up for good.
+    /// How often it tries before it leaves for good.
     pub tries: u32,
-    /// After a break or a move a client comes again after half to one and a half times this.
+    /// How long it waits after its connection broke or was migrated, half to one and a half times.
     pub again_after: ConfigDuration,
-    /// Clients that share a group key, in the mean.
+    /// The mean number of clients that share a group key.
     pub group: usize,
-    /// A deaf client asks its server for so many kilobytes and never reads.
+    /// The kilobytes that a client requests and never reads; 0 for one that reads.
     pub deaf_kb: usize,
 }
 
--- a/crates/larklink-simulation/src/scenario/requirements.rs
+++ b/crates/larklink-simulation/src/scenario/requirements.rs
@@ -3,19 +3,19 @@
 
 use crate::duration::ConfigDuration;
 
-/// What must hold at the end, beside the rules.
+/// What must hold at the end of a run, beside the rules.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Requirements {
-    /// Utility of well-served seconds over seconds asked for.
+    /// The least utility of well-served time over time asked for.
     pub service: Option<f64>,
-    /// Share of sessions that were accepted.
+    /// The least share of sessions that are accepted.
     pub accepted: Option<f64>,
     /// The same of each shape of proxies, where `proxies.moved` makes two of them.
     pub each_shape: Option<f64>,
-    /// TickDuration to the answer that 99 in 100 accepted sessions do not exceed.
+    /// The time to the response that 99 in 100 accepted sessions must not exceed.
     pub answer_p99: Option<ConfigDuration>,
-    /// Within so long of the last restart of a proxy, goodput is at nine tenths of what the store bears, or of what is
-    /// offered if that is less, and stays there.
+    /// The time from the last restart of a proxy within which goodput must be at nine tenths of the session store's rate,
+    /// or of what is offered if that is less, and stay there.
     pub recovers: Option<ConfigDuration>,
 }
--- a/crates/larklink-simulation/src/server.rs
+++ b/crates/larklink-simulation/src/server.rs
@@ -1,179 +1,207 @@
-//! A tired server. It works at set-ups and lines with its cores, in the order they came; it is slow while cold
-//! and falls over when it is sent more than a multiple of what it can do then; it may pause, go silent, die,
-//! drain, and drop what it has just taken.
-use std::collections::{BTreeMap, VecDeque};
+//! A server. It works at set-ups and messages with its cores, in the order in which they came; it is slow in slow start,
+//! and dies when it is sent more than a multiple of what it can do then; it may pause, go silent, die, drain, and reset
+//! what it has just accepted.
+use std::collections::BTreeMap;
 
 use larklink_balancer::{TickDuration, Timestamp};
 
-use crate::duration::{EventQueue, SECOND};
+use crate::event_queue::EventQueue;
+use crate::server::load_meter::{LoadMeter, SessionLoad};
+use crate::server::overload::OverloadDetector;
 use crate::session_store::SessionStore;
 
+mod load_meter;
+mod load_report;
+mod overload;
+
+pub use load_report::LoadReport;
+
+/// Microseconds in a second.
+const MICROS_PER_SECOND: f64 = 1e6;
+/// Microseconds in one tick of a tenth of a millisecond.
+const MICROS_PER_TICK: f64 = 100.0;
+
 /// A connection to a server, numbered by whoever carries it.
 pub type ConnectionId = u64;
 
-/// What a server is made of. Work is in microseconds of a core that is warm and of speed 1.
+/// What a server is made of. Work is in microseconds of a core of speed 1 after slow start.
 #[derive(Clone, Debug)]
 pub struct ServerProfile {
+    /// The number of cores, at least one.
     pub cores: usize,
+    /// The speed of a core.
     pub speed: f64,
+    /// The most sessions that it holds.
     pub holds: usize,
+    /// The work of a set-up.
     pub setup_work: f64,
-    /// Set-ups are turned away while more work than this waits.
+    /// Set-ups are rejected while one would wait for longer than this.
     pub queue: TickDuration,
+    /// The share of its capacity that it has when it starts.
     pub start_capacity: f64,
+    /// How long its slow start takes.
     pub warm_up: TickDuration,
+    /// How many times its capacity it may be sent in slow start.
     pub fall_multiple: f64,
+    /// The window over which that is counted.
     pub fall_after: TickDuration,
-    /// Whether it dies of that, and after how long it is back.
+    /// Whether it dies when it is sent more.
     pub falls: bool,
+    /// How long after that it starts again.
     pub back_after: TickDuration,
-    /// Load reports are made so often, and are told until the next.
+    /// How often it makes a load report.
     pub report_every: TickDuration,
 }
 
+/// The state of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
+    /// It accepts sessions.
     Up,
+    /// It accepts no new sessions.
     Draining,
-    /// Connections stand, nothing is read or written.
+    /// Connections stay, but nothing is read or written.
     Silent,
+    /// It listens no more.
     Dead,
 }
 
-/// What a server tells of its load when probed.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct LoadReport {
-    pub held: usize,
-    /// Share of the last span that its cores worked.
-    pub used: f64,
-    /// Work asked for in it over what it could have done.
-    pub asked: f64,
-}
-
-/// What a server says on a connection or does to it.
+/// What a server sends on a connection or does to it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServerMessage {
+    /// The session is accepted.
     Accepted,
+    /// The session is rejected.
     AtCapacity,
+    /// The session has failed.
     Failed,
     /// The session's load, microseconds of work a second.
     Load(f64),
+    /// A message of the session, sent back.
     Message(Vec<u8>),
+    /// The session is to be migrated.
     Migrate,
+    /// The answer to a health check.
     HealthReport(LoadReport),
-    /// The connection breaks.
+    /// The connection is reset.
     Reset,
 }
 
-/// What is to be carried out, and what goes into the book.
+/// What a server did.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServerOutput {
+    /// It sends a message on a connection.
     Send(ConnectionId, ServerMessage),
-    /// A set-up was done for a connection that is gone: it ran all the same.
+    /// It has set the session of that id up for a connection that was closed before.
     RanAfterAbandoned(u64),
+    /// It has set the session of that id up.
     Ran(u64),
-    /// Sent more than its multiple for too long, by so much.
+    /// It was sent so many times its capacity in slow start.
     Overloaded(f64),
+    /// It has died.
     Died,
-    /// Takes connections (again).
+    /// It accepts connections.
     Started,
 }
 
 enum ServerTimer {
-    Stored(ConnectionId, bool),
-    Ready(ConnectionId),
-    Line(ConnectionId, Vec<u8>),
-    Pong(ConnectionId),
-    Back,
-    Wakes,
+    /// The session store has served a call.
+    StoreServed(ConnectionId),
+    /// The session store has failed a call.
+    StoreFailed(ConnectionId),
+    /// A set-up is done.
+    SetUp(ConnectionId),
+    /// The work of a message is done.
+    MessageDone(ConnectionId, Vec<u8>),
+    /// A health check is answered.
+    HealthReport(ConnectionId),
+    /// The server starts again.
+    Restart,
+    /// A pause or a silence is over.
+    Resume,
 }
 
 struct ServerSession {
-    session: u64,
+    id: u64,
+    /// Microseconds of work a second.
     load: f64,
-    stands: bool,
+    established: bool,
 }
 
+/// A server.
 pub struct Server {
     profile: ServerProfile,
     state: ServerState,
-    /// When it last started cold; nothing if it was warm from the first.
-    cold_since: Option<TickDuration>,
-    /// When each core is free.
+    /// When its slow start began; none if it started long ago.
+    started_at: Option<Timestamp>,
+    /// When each core is free, in ticks.
     cores: Vec<f64>,
-    held: BTreeMap<ConnectionId, ServerSession>,
-    /// Sessions of connections that were given up while their set-up was under way.
-    orphans: BTreeMap<ConnectionId, u64>,
+    sessions: BTreeMap<ConnectionId, ServerSession>,
+    /// The ids of sessions whose connections were closed during their set-up.
+    abandoned: BTreeMap<ConnectionId, u64>,
     timers: EventQueue<ServerTimer>,
-    paused_until: TickDuration,
-    silent_until: TickDuration,
-    /// One in so many of those just taken is dropped; 0: none.
-    drops: u64,
-    taken: u64,
-    /// Work received of late, for falling over.
-    received: VecDeque<(TickDuration, f64)>,
-    sum: f64,
-    over: bool,
-    report: LoadReport,
-    reported: TickDuration,
-    worked: f64,
-    asked: f64,
-    /// All work done so far, microseconds at the speed of a warm core.
+    paused_until: Timestamp,
+    silent_until: Timestamp,
+    /// One in so many sessions is reset when it was just accepted; 0 for none.
+    reset_one_in: u64,
+    /// The sessions accepted so far.
+    accepted: u64,
+    overload: OverloadDetector,
+    load_meter: LoadMeter,
+    /// All work done so far, microseconds of a core of speed 1 after slow start.
     pub done: f64,
 }
 
 impl Server {
+    /// A server that started long ago.
     pub fn new(profile: ServerProfile) -> Self {
         Self {
-            cores: vec![0.0; profile.cores],
-            profile,
             state: ServerState::Up,
-            cold_since: None,
-            held: BTreeMap::new(),
-            orphans: BTreeMap::new(),
+            started_at: None,
+            cores: vec![0.0; profile.cores],
+            sessions: BTreeMap::new(),
+            abandoned: BTreeMap::new(),
             timers: EventQueue::default(),
             paused_until: 0,
             silent_until: 0,
-            drops: 0,
-            taken: 0,
-            received: VecDeque::new(),
-            sum: 0.0,
-            over: false,
-            report: LoadReport::default(),
-            reported: 0,
-            worked: 0.0,
-            asked: 0.0,
+            reset_one_in: 0,
+            accepted: 0,
+            overload: OverloadDetector::new(profile.fall_after, profile.fall_multiple),
+            load_meter: LoadMeter::new(profile.report_every),
             done: 0.0,
+            profile,
         }
     }
 
+    /// Its state.
     pub fn state(&self) -> ServerState {
         self.state
     }
 
+    /// The sessions that are established.
     pub fn sessions_held(&self) -> usize {
-        self.held.values().filter(|h| h.stands).count()
+        self.sessions.values().filter(|session| session.established).count()
     }
 
-    /// When it last started, for the list; nothing if long ago.
-    pub fn started(&self) -> Option<TickDuration> {
-        self.cold_since
+    /// When it last started; none if that was long ago.
+    pub fn started(&self) -> Option<Timestamp> {
+        self.started_at
     }
 
     /// The share of its full capacity that it has now.
     pub fn warmth(&self, now: Timestamp) -> f64 {
-        let Some(since) = self.cold_since else { return 1.0 };
-        let gone = now.saturating_sub(since) as f64 / (self.profile.warm_up as f64).max(1.0);
-        (self.profile.start_capacity + (1.0 - self.profile.start_capacity) * gone).min(1.0)
+        let Some(started_at) = self.started_at else { return 1.0 };
+        let elapsed = now.saturating_sub(started_at) as f64 / (self.profile.warm_up as f64).max(1.0);
+        (self.profile.start_capacity + (1.0 - self.profile.start_capacity) * elapsed).min(1.0)
     }
 
     /// Microseconds of work that it can do in a second now.
     pub fn capacity(&self, now: Timestamp) -> f64 {
-        self.profile.cores as f64 * self.profile.speed * self.warmth(now) * 1e6
+        self.profile.cores as f64 * self.profile.speed * self.warmth(now) * MICROS_PER_SECOND
     }
 
-    fn cold(&self, now: Timestamp) -> bool {
-        self.cold_since.is_some_and(|since| now < since + self.profile.warm_up)
+    fn is_in_slow_start(&self, now: Timestamp) -> bool {
+        self.started_at.is_some_and(|started_at| now < started_at + self.profile.warm_up)
     }
 
     /// Whether it answers those who connect.
@@ -181,170 +209,171 @@
         matches!(self.state, ServerState::Up | ServerState::Draining)
     }
 
-    /// A session's first line has come.
+    /// A request for a session of that load, in microseconds of work a second, has come.
     pub fn receive_request(
         &mut self,
         now: Timestamp,
-        conn: ConnectionId,
-        session: u64,
+        connection: ConnectionId,
+        id: u64,
         load: f64,
         store: &mut SessionStore,
-        out: &mut Vec<ServerOutput>,
+        outputs: &mut Vec<ServerOutput>,
     ) {
+        let mut send = |message| outputs.push(ServerOutput::Send(connection, message));
         match self.state {
-            ServerState::Dead => return out.push(ServerOutput::Send(conn, ServerMessage::Reset)),
+            ServerState::Dead => return send(ServerMessage::Reset),
             ServerState::Silent => return,
-            ServerState::Draining => return out.push(ServerOutput::Send(conn, ServerMessage::AtCapacity)),
+            ServerState::Draining => return send(ServerMessage::AtCapacity),
             ServerState::Up => {}
         }
-        self.receive(now, self.profile.setup_work, out);
+        self.receive_work(now, self.profile.setup_work, outputs);
+        let mut send = |message| outputs.push(ServerOutput::Send(connection, message));
         if self.state == ServerState::Dead {
-            return out.push(ServerOutput::Send(conn, ServerMessage::Reset));
+            return send(ServerMessage::Reset);
         }
-        let waits = self.cores.iter().copied().fold(f64::MAX, f64::min) - now as f64;
-        if self.held.len() >= self.profile.holds || waits > self.profile.queue as f64 {
-            return out.push(ServerOutput::Send(conn, ServerMessage::AtCapacity));
+        let wait = self.cores.iter().copied().fold(f64::MAX, f64::min) - now as f64;
+        if self.sessions.len() >= self.profile.holds || wait > self.profile.queue as f64 {
+            return send(ServerMessage::AtCapacity);
         }
-        self.taken += 1;
-        if self.drops > 0 && self.taken.is_multiple_of(self.drops) {
-            return out.push(ServerOutput::Send(conn, ServerMessage::Reset));
+        self.accepted += 1;
+        if self.reset_one_in > 0 && self.accepted.is_multiple_of(self.reset_one_in) {
+            return send(ServerMessage::Reset);
         }
-        self.held.insert(conn, ServerSession { session, load, stands: false });
+        self.sessions.insert(connection, ServerSession { id, load, established: false });
         match store.call(now) {
-            Ok(at) => self.timers.push(at, ServerTimer::Stored(conn, true)),
-            Err(at) => self.timers.push(at, ServerTimer::Stored(conn, false)),
+            Ok(at) => self.timers.push(at, ServerTimer::StoreServed(connection)),
+            Err(at) => self.timers.push(at, ServerTimer::StoreFailed(connection)),
         }
     }
 
-    /// A line of an accepted session has come; it is sent back when its work is done.
+    /// A message of an established session has come, with its work in microseconds; it is sent back when that is done.
     pub fn receive_message(
         &mut self,
         now: Timestamp,
-        conn: ConnectionId,
+        connection: ConnectionId,
         work: f64,
         text: Vec<u8>,
-        out: &mut Vec<ServerOutput>,
+        outputs: &mut Vec<ServerOutput>,
     ) {
-        if !self.held.contains_key(&conn) || !self.listens() {
+        if !self.sessions.contains_key(&connection) || !self.listens() {
             return;
         }
-        self.receive(now, work, out);
+        self.receive_work(now, work, outputs);
         if self.state != ServerState::Dead {
-            let at = self.work(now, work);
-            self.timers.push(at, ServerTimer::Line(conn, text));
+            let done_at = self.work(now, work);
+            self.timers.push(done_at, ServerTimer::MessageDone(connection, text));
         }
     }
 
-    pub fn check_health(&mut self, now: Timestamp, conn: ConnectionId) {
+    /// A health check has come.
+    pub fn check_health(&mut self, now: Timestamp, connection: ConnectionId) {
         if self.listens() {
-            self.timers.push(now, ServerTimer::Pong(conn));
+            self.timers.push(now, ServerTimer::HealthReport(connection));
         }
     }
 
-    /// A connection has ended from the other side.
-    pub fn connection_closed(&mut self, conn: ConnectionId) {
-        if let Some(held) = self.held.remove(&conn).filter(|h| !h.stands) {
-            self.orphans.insert(conn, held.session);
+    /// A connection was closed by the other side.
+    pub fn connection_closed(&mut self, connection: ConnectionId) {
+        let closed = self.sessions.remove(&connection);
+        if let Some(session) = closed.filter(|session| !session.established) {
+            self.abandoned.insert(connection, session.id);
         }
     }
 
-    /// The first core that is free does it: when it is done.
-    fn work(&mut self, now: Timestamp, work: f64) -> TickDuration {
+    /// The core that is free first works: returns when it is done.
+    fn work(&mut self, now: Timestamp, work: f64) -> Timestamp {
+        // The speed at the start of the work, which is the least: it only grows.
         let speed = self.profile.speed * self.warmth(now);
-        let core = self.cores.iter_mut().min_by(|a, b| a.total_cmp(b)).expect("a server has a core");
-        // Never faster than it is at the start of the work: it only warms up.
-        *core = core.max(now as f64) + work / 100.0 / speed;
+        let core = self.cores.iter_mut().min_by(|a, b| a.total_cmp(b));
+        // Unreachable by a checked scenario: each server has a core.
+        let core = core.expect("a server has a core");
+        *core = core.max(now as f64) + work / MICROS_PER_TICK / speed;
+        let done_at = core.ceil() as Timestamp;
         self.done += work;
-        self.worked += work;
-        core.ceil() as TickDuration
+        self.load_meter.note_worked(work);
+        done_at
     }
 
-    /// Notes work that was sent here; too much of it for too long, and a cold server falls over.
-    fn receive(&mut self, now: Timestamp, work: f64, out: &mut Vec<ServerOutput>) {
-        self.asked += work;
-        self.received.push_back((now, work));
-        self.sum += work;
-        while let Some(&(at, old)) =
-            self.received.front().filter(|(at, _)| at + self.profile.fall_after <= now)
-        {
-            debug_assert!(at <= now);
-            self.received.pop_front();
-            self.sum -= old;
-        }
-        let may = self.capacity(now) * self.profile.fall_after as f64 / SECOND as f64;
-        let ratio = self.sum / may.max(1e-9);
-        let over = self.cold(now) && ratio > self.profile.fall_multiple;
-        if over && !self.over {
-            out.push(ServerOutput::Overloaded(ratio));
+    /// Work was sent here: if it is too much for too long, a server in slow start dies.
+    fn receive_work(&mut self, now: Timestamp, work: f64, outputs: &mut Vec<ServerOutput>) {
+        self.load_meter.note_asked(work);
+        let capacity = self.capacity(now);
+        let slow_start = self.is_in_slow_start(now);
+        if let Some(ratio) = self.overload.receive(now, work, capacity, slow_start) {
+            outputs.push(ServerOutput::Overloaded(ratio));
             if self.profile.falls {
-                self.stop(now, out);
-                self.timers.push(now + self.profile.back_after, ServerTimer::Back);
+                self.stop(now, outputs);
+                self.timers.push(now + self.profile.back_after, ServerTimer::Restart);
             }
         }
-        self.over = over;
     }
 
-    pub fn stop(&mut self, now: Timestamp, out: &mut Vec<ServerOutput>) {
+    /// Sends a message on each connection of a session, and forgets the sessions.
+    fn end_sessions(&mut self, message: &ServerMessage, outputs: &mut Vec<ServerOutput>) {
+        let sessions = std::mem::take(&mut self.sessions);
+        let send = |connection| ServerOutput::Send(connection, message.clone());
+        outputs.extend(sessions.into_keys().map(send));
+    }
+
+    /// Dies: all its connections are reset.
+    pub fn stop(&mut self, now: Timestamp, outputs: &mut Vec<ServerOutput>) {
         if self.state == ServerState::Dead {
             return;
         }
         self.state = ServerState::Dead;
         self.timers.clear();
-        (self.received, self.sum) = (VecDeque::new(), 0.0);
-        self.orphans.clear();
-        out.extend(
-            std::mem::take(&mut self.held)
-                .into_keys()
-                .map(|conn| ServerOutput::Send(conn, ServerMessage::Reset)),
-        );
-        out.push(ServerOutput::Died);
+        self.overload.clear();
+        self.abandoned.clear();
+        self.end_sessions(&ServerMessage::Reset, outputs);
+        outputs.push(ServerOutput::Died);
         self.cores.fill(now as f64);
     }
 
-    /// Starts anew: cold from now on.
-    pub fn start(&mut self, now: Timestamp, out: &mut Vec<ServerOutput>) {
-        self.stop(now, out);
-        (self.state, self.cold_since, self.over) = (ServerState::Up, Some(now), false);
-        (self.paused_until, self.silent_until) = (0, 0);
-        out.push(ServerOutput::Started);
+    /// Starts, with a slow start.
+    pub fn start(&mut self, now: Timestamp, outputs: &mut Vec<ServerOutput>) {
+        self.stop(now, outputs);
+        self.state = ServerState::Up;
+        self.started_at = Some(now);
+        self.overload.restart();
+        self.paused_until = 0;
+        self.silent_until = 0;
+        outputs.push(ServerOutput::Started);
     }
 
+    /// Accepts no new sessions from now on.
     pub fn drain(&mut self) {
         if self.state == ServerState::Up {
             self.state = ServerState::Draining;
         }
     }
 
-    /// Sends all that still stand away.
-    pub fn migrate_sessions(&mut self, out: &mut Vec<ServerOutput>) {
-        out.extend(
-            std::mem::take(&mut self.held)
-                .into_keys()
-                .map(|conn| ServerOutput::Send(conn, ServerMessage::Migrate)),
-        );
+    /// Asks for all its sessions to be migrated.
+    pub fn migrate_sessions(&mut self, outputs: &mut Vec<ServerOutput>) {
+        self.end_sessions(&ServerMessage::Migrate, outputs);
     }
 
     /// Does nothing until then, and then answers what waited.
     pub fn pause(&mut self, until: Timestamp) {
         self.paused_until = self.paused_until.max(until);
-        self.timers.push(until, ServerTimer::Wakes);
-        self.cores.iter_mut().for_each(|free| *free = free.max(until as f64));
+        self.timers.push(until, ServerTimer::Resume);
+        self.cores.iter_mut().for_each(|free_at| *free_at = free_at.max(until as f64));
     }
 
-    /// Cut off until then; its connections break when it is back.
+    /// Is silent until then; its connections break when that is over.
     pub fn silence(&mut self, until: Timestamp) {
         if self.listens() {
             self.state = ServerState::Silent;
             self.silent_until = until;
-            self.timers.push(until, ServerTimer::Wakes);
+            self.timers.push(until, ServerTimer::Resume);
         }
     }
 
-    /// Drops one in so many of those it takes; 0 ends that.
-    pub fn drop_one_in(&mut self, n: u64) {
-        self.drops = n;
+    /// Resets one in so many of the sessions that it has just accepted; 0 ends that.
+    pub fn drop_one_in(&mut self, one_in: u64) {
+        self.reset_one_in = one_in;
     }
 
+    /// When something happens next.
     pub fn next_event_at(&self) -> Timestamp {
         match self.state {
             ServerState::Silent => self.silent_until,
@@ -352,72 +381,78 @@
         }
     }
 
-    /// All that is done by now.
-    pub fn advance(&mut self, now: Timestamp, out: &mut Vec<ServerOutput>) {
+    /// All that happens by now.
+    pub fn advance(&mut self, now: Timestamp, outputs: &mut Vec<ServerOutput>) {
         if self.state == ServerState::Silent {
             if now < self.silent_until {
                 return;
             }
-            // What it held breaks now; it has been running all the time and is as warm as it was.
-            self.stop(now, out);
+            // Its connections break now; it has been running all the time, so that there is no slow start.
+            self.stop(now, outputs);
             self.state = ServerState::Up;
-            out.push(ServerOutput::Started);
+            outputs.push(ServerOutput::Started);
         }
         if now < self.paused_until {
             return;
         }
-        self.measure(now);
-        while let Some((at, due)) = self.timers.pop_due(now) {
-            match due {
-                ServerTimer::Stored(conn, true) => {
-                    // Given up or not, it is worked at.
-                    if self.held.contains_key(&conn) || self.orphans.contains_key(&conn) {
-                        let ready = self.work(at.max(self.paused_until), self.profile.setup_work);
-                        self.timers.push(ready, ServerTimer::Ready(conn));
-                    }
-                }
-                ServerTimer::Stored(conn, false) => {
-                    self.orphans.remove(&conn);
-                    if self.held.remove(&conn).is_some() {
-                        out.push(ServerOutput::Send(conn, ServerMessage::Failed));
-                    }
+        if self.load_meter.is_due(now) {
+            let established = self.sessions.values().filter(|session| session.established);
+            let load = established.map(|session| session.load).sum();
+            let sessions = SessionLoad { held: self.sessions.len(), load };
+            self.load_meter.make_report(now, self.capacity(now), sessions);
+        }
+        while let Some((due_at, timer)) = self.timers.pop_due(now) {
+            self.timer_due(now, due_at, timer, outputs);
+        }
+    }
+
+    fn timer_due(
+        &mut self,
+        now: Timestamp,
+        due_at: Timestamp,
+        timer: ServerTimer,
+        outputs: &mut Vec<ServerOutput>,
+    ) {
+        let mut send = |connection, message| outputs.push(ServerOutput::Send(connection, message));
+        match timer {
+            ServerTimer::StoreServed(connection) => {
+                // The work is done even if the connection was closed.
+                let is_known =
+                    self.sessions.contains_key(&connection) || self.abandoned.contains_key(&connection);
+                if is_known {
+                    let done_at = self.work(due_at.max(self.paused_until), self.profile.setup_work);
+                    self.timers.push(done_at, ServerTimer::SetUp(connection));
                 }
-                ServerTimer::Ready(conn) => match (self.held.get_mut(&conn), self.orphans.remove(&conn)) {
-                    (Some(held), _) => {
-                        held.stands = true;
-                        let load = held.load;
-                        out.push(ServerOutput::Ran(held.session));
-                        out.push(ServerOutput::Send(conn, ServerMessage::Accepted));
-                        out.push(ServerOutput::Send(conn, ServerMessage::Load(load)));
-                    }
-                    (None, Some(session)) => out.push(ServerOutput::RanAfterAbandoned(session)),
-                    (None, None) => {}
-                },
-                ServerTimer::Line(conn, text) => {
-                    if self.held.contains_key(&conn) {
-                        out.push(ServerOutput::Send(conn, ServerMessage::Message(text)));
-                    }
+            }
+            ServerTimer::StoreFailed(connection) => {
+                self.abandoned.remove(&connection);
+                if self.sessions.remove(&connection).is_some() {
+                    send(connection, ServerMessage::Failed);
                 }
-                ServerTimer::Pong(conn) => {
-                    out.push(ServerOutput::Send(conn, ServerMessage::HealthReport(self.report)))
+            }
+            ServerTimer::SetUp(connection) => self.set_up(connection, outputs),
+            ServerTimer::MessageDone(connection, text) => {
+                if self.sessions.contains_key(&connection) {
+                    send(connection, ServerMessage::Message(text));
                 }
-                ServerTimer::Back => self.start(now, out),
-                ServerTimer::Wakes => {}
             }
+            ServerTimer::HealthReport(connection) => {
+                send(connection, ServerMessage::HealthReport(self.load_meter.report()));
+            }
+            ServerTimer::Restart => self.start(now, outputs),
+            ServerTimer::Resume => {}
         }
     }
 
-    fn measure(&mut self, now: Timestamp) {
-        let span = now.saturating_sub(self.reported);
-        if span < self.profile.report_every {
-            return;
+    fn set_up(&mut self, connection: ConnectionId, outputs: &mut Vec<ServerOutput>) {
+        let abandoned = self.abandoned.remove(&connection);
+        if let Some(session) = self.sessions.get_mut(&connection) {
+            session.established = true;
+            outputs.push(ServerOutput::Ran(session.id));
+            outputs.push(ServerOutput::Send(connection, ServerMessage::Accepted));
+            outputs.push(ServerOutput::Send(connection, ServerMessage::Load(session.load)));
+        } else if let Some(id) = abandoned {
+            outputs.push(ServerOutput::RanAfterAbandoned(id));
         }
-        let could = self.capacity(now) * span as f64 / SECOND as f64;
-        let load: f64 = self.held.values().filter(|h| h.stands).map(|h| h.load).sum();
-        // What it holds asks for so much, whatever has come of it yet; set-ups come on top.
-        let asked = (load * span as f64 / SECOND as f64).max(self.asked);
-        self.report =
-            LoadReport { held: self.held.len(), used: (self.worked / could).min(1.0), asked: asked / could };
-        (self.worked, self.asked, self.reported) = (0.0, 0.0, now);
     }
 }
--- a/crates/larklink-simulation/src/simulate/state.rs
+++ b/crates/larklink-simulation/src/simulate/state.rs
@@ -5,9 +5,10 @@
 use larklink_engine::engine::{Engine, ProxyAction, SessionId};
 use larklink_engine::settings::ProxySettings;
 
-use crate::duration::{EventQueue, TICKS_PER_MS};
+use crate::duration::TICKS_PER_MS;
 use crate::endpoint_list::{EndpointListEntry, EndpointStatus};
 use crate::event_log::{AttemptEnd, ClientResponse};
+use crate::event_queue::EventQueue;
 use crate::scenario::Scenario;
 use crate::server::{ConnectionId, ServerState};
 use crate::simulate::connections::{Attempt, Connections, HealthCheck, Purpose};
--- a/crates/larklink-simulation/src/world.rs
+++ b/crates/larklink-simulation/src/world.rs
@@ -1,4 +1,8 @@
-//! The whole world behind one door: faults and falling due go in with the time, deeds for the carrier come out.
+//! The whole world of the proxies: time goes in, and what happens to clients, servers and proxies comes out as actions
+//! for a carrier.
+use std::iter::Peekable;
+use std::vec::IntoIter;
+
 use larklink_balancer::{TickDuration, Timestamp};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -10,147 +14,170 @@
     AttemptEnd, ClientRequest, ClientResponse, ConnectionEnd, Direction, EventKind, EventLog,
 };
 use crate::external_load_balancer::ExternalLoadBalancer;
-use crate::faults::{FaultBand, FaultEvent, ProxyFault, timeline};
-use crate::scenario::Scenario;
+use crate::faults::{FaultBand, FaultEvent, ProxyFault, TimedFault, timeline};
+use crate::scenario::{Scenario, ServerGroup};
 use crate::server::{ConnectionId, Server, ServerMessage, ServerOutput, ServerProfile};
 use crate::session_store::SessionStore;
 
-/// A line may be held for so long, and what is measured on sockets is so much late.
-const HELD: TickDuration = SECOND + SECOND / 20;
+/// The longest that a message may be on its way, with what sockets may be late.
+const MAX_MESSAGE_DELAY: TickDuration = SECOND + SECOND / 20;
+/// Microseconds in one tick of a tenth of a millisecond.
+const MICROS_PER_TICK: f64 = 100.0;
+/// Streams of the random numbers, one for each use: another fault draws no other clients.
+const FAULT_STREAM: u64 = 1;
+const CLIENT_STREAM: u64 = 2;
 
-/// What the carrier is to do.
+/// What a carrier is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorldAction {
-    /// On a connection to a server.
+    /// Send a server's message on one of its connections.
     Send {
+        /// The server's number.
         server: usize,
+        /// The connection.
         connection: ConnectionId,
+        /// The message.
         message: ServerMessage,
     },
-    /// Nobody listens there any more, and all its connections break.
+    /// A server listens no more, and all its connections break.
     StopListening {
+        /// The server's number.
         server: usize,
     },
-    /// It listens (again).
+    /// A server listens.
     Listen {
+        /// The server's number.
         server: usize,
     },
+    /// A client does something.
     Client(ClientAction),
-    /// These clients lose their connections.
+    /// The clients of these sessions lose their connections.
     DisconnectClients(Vec<u64>),
+    /// Something happens to the proxy of that number.
     Proxy(usize, ProxyFault),
-    /// The list has a newer version.
+    /// The endpoint list has a newer version.
     EndpointListChanged,
 }
 
+/// The world of a scenario.
 pub struct World {
+    /// The servers, by their numbers.
     pub servers: Vec<Server>,
+    /// The session store that they share.
     pub session_store: SessionStore,
+    /// The clients.
     pub clients: Clients,
+    /// The external load balancer.
     pub load_balancer: ExternalLoadBalancer,
+    /// The endpoint list.
     pub endpoint_list: EndpointList,
+    /// What all of them saw.
     pub event_log: EventLog,
+    /// The faults as bands, for plots.
     pub fault_bands: Vec<FaultBand>,
-    faults: std::iter::Peekable<std::vec::IntoIter<(TickDuration, FaultEvent)>>,
+    faults: Peekable<IntoIter<TimedFault>>,
 }
 
-fn profile(s: &crate::scenario::ServerGroup) -> ServerProfile {
+fn server_profile(group: &ServerGroup) -> ServerProfile {
     ServerProfile {
-        cores: s.cores,
-        speed: s.speed,
-        holds: s.holds,
-        setup_work: s.setup_work.0 as f64 * 100.0,
-        queue: s.queue.0,
-        start_capacity: s.start_capacity,
-        warm_up: s.warm_up.0,
-        fall_multiple: s.fall_multiple,
-        fall_after: s.fall_after.0,
-        falls: s.falls,
-        back_after: s.back_after.0,
-        report_every: s.report_every.0,
+        cores: group.cores,
+        speed: group.speed,
+        holds: group.holds,
+        setup_work: group.setup_work.0 as f64 * MICROS_PER_TICK,
+        queue: group.queue.0,
+        start_capacity: group.start_capacity,
+        warm_up: group.warm_up.0,
+        fall_multiple: group.fall_multiple,
+        fall_after: group.fall_after.0,
+        falls: group.falls,
+        back_after: group.back_after.0,
+        report_every: group.report_every.0,
     }
 }
 
+fn random_stream(seed: u64, stream: u64) -> ChaCha8Rng {
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
+    rng.set_stream(stream);
+    rng
+}
+
 impl World {
-    /// A world as its scenario and a seed have it.
+    /// The world of a scenario, from a seed.
     pub fn new(scenario: &Scenario, seed: u64) -> Self {
-        // Streams of their own: one more fault draws no other clients.
-        let chance = |stream| {
-            let mut rng = ChaCha8Rng::seed_from_u64(seed);
-            rng.set_stream(stream);
-            rng
-        };
-        let (faults, bands) = timeline(scenario, &mut chance(1));
-        let listeners = scenario.listeners.iter().map(|l| l.get_ref().clone()).collect();
-        let mut servers: Vec<_> = scenario.each_server().map(|s| Server::new(profile(s))).collect();
+        let timeline = timeline(scenario, &mut random_stream(seed, FAULT_STREAM));
+        let listeners = scenario.listeners.iter().map(|listener| listener.get_ref().clone()).collect();
+        let mut servers: Vec<_> =
+            scenario.each_server().map(|group| Server::new(server_profile(group))).collect();
         let mut endpoint_list = EndpointList::new(servers.len(), scenario.list.lag.0);
-        for (i, _) in scenario.each_server().enumerate().filter(|(_, s)| !s.listed) {
-            servers[i].stop(0, &mut Vec::new());
-            endpoint_list.leave_out(i);
+        for (index, _) in scenario.each_server().enumerate().filter(|(_, group)| !group.listed) {
+            servers[index].stop(0, &mut Vec::new());
+            endpoint_list.leave_out(index);
         }
         Self {
             servers,
             endpoint_list,
             session_store: SessionStore::new(scenario.store.rate, scenario.store.bound.0),
-            clients: Clients::new(listeners, scenario.length.0, chance(2)),
+            clients: Clients::new(listeners, scenario.length.0, random_stream(seed, CLIENT_STREAM)),
             load_balancer: ExternalLoadBalancer::new(
                 scenario.proxies.count,
                 scenario.proxies.zones,
                 scenario.front.notices_after.0,
             ),
             event_log: EventLog::default(),
-            fault_bands: bands,
-            faults: faults.into_iter().peekable(),
+            fault_bands: timeline.bands,
+            faults: timeline.faults.into_iter().peekable(),
         }
     }
 
+    /// When something happens next.
     pub fn next_event_at(&mut self) -> Timestamp {
         let servers = self.servers.iter().map(Server::next_event_at).min().unwrap_or(Timestamp::MAX);
-        let fault = self.faults.peek().map_or(Timestamp::MAX, |&(at, _)| at);
+        let fault = self.faults.peek().map_or(Timestamp::MAX, |fault| fault.at);
         servers.min(fault).min(self.clients.next_event_at()).min(self.endpoint_list.next_event_at())
     }
 
     /// All that happens by now.
     pub fn advance(&mut self, now: Timestamp) -> Vec<WorldAction> {
-        let mut deeds = Vec::new();
-        while let Some((_, event)) = self.faults.next_if(|&(at, _)| at <= now) {
-            self.event_log.record(now, EventKind::FaultInjected(format!("{event:?}")));
-            self.strike(now, event, &mut deeds);
+        let mut actions = Vec::new();
+        while let Some(fault) = self.faults.next_if(|fault| fault.at <= now) {
+            self.event_log.record(now, EventKind::FaultInjected(format!("{:?}", fault.event)));
+            self.inject(now, fault.event, &mut actions);
         }
-        let mut out = Vec::new();
+        let mut outputs = Vec::new();
         for server in 0..self.servers.len() {
-            self.servers[server].advance(now, &mut out);
-            self.carry(now, server, &mut out, &mut deeds);
+            self.servers[server].advance(now, &mut outputs);
+            self.apply_outputs(now, server, &mut outputs, &mut actions);
         }
-        let mut acts = Vec::new();
-        self.clients.advance(now, &mut acts);
-        for act in acts {
-            match act {
-                ClientAction::TimeOut { id } => self.event_log.record(now, EventKind::ClientTimedOut { id }),
-                ClientAction::Leave { id } => {
-                    self.event_log.record(now, EventKind::ConnectionEnded { id, end: ConnectionEnd::Left })
-                }
-                ClientAction::Silent { id, duration: span } => {
-                    self.event_log.record(now, EventKind::ConnectionSilent { id, duration: span })
-                }
-                _ => {}
-            }
-            deeds.push(WorldAction::Client(act));
+        let mut client_actions = Vec::new();
+        self.clients.advance(now, &mut client_actions);
+        for action in client_actions {
+            self.record_client_action(now, &action);
+            actions.push(WorldAction::Client(action));
         }
         if self.endpoint_list.advance(now) {
-            deeds.push(WorldAction::EndpointListChanged);
+            actions.push(WorldAction::EndpointListChanged);
         }
-        deeds
+        actions
     }
 
-    fn strike(&mut self, now: Timestamp, event: FaultEvent, deeds: &mut Vec<WorldAction>) {
-        let mut out = Vec::new();
+    fn record_client_action(&mut self, now: Timestamp, action: &ClientAction) {
+        let kind = match *action {
+            ClientAction::TimeOut { id } => EventKind::ClientTimedOut { id },
+            ClientAction::Leave { id } => EventKind::ConnectionEnded { id, end: ConnectionEnd::Left },
+            ClientAction::Silent { id, duration } => EventKind::ConnectionSilent { id, duration },
+            ClientAction::Connect(_) | ClientAction::SendMessage { .. } => return,
+        };
+        self.event_log.record(now, kind);
+    }
+
+    fn inject(&mut self, now: Timestamp, event: FaultEvent, actions: &mut Vec<WorldAction>) {
+        let mut outputs = Vec::new();
         match event {
-            FaultEvent::Proxy(proxy, upon) => {
-                if matches!(upon, ProxyFault::Stop { .. }) {
+            FaultEvent::Proxy(proxy, fault) => {
+                if matches!(fault, ProxyFault::Stop { .. }) {
                     self.load_balancer.remove_proxy(proxy);
                 }
-                deeds.push(WorldAction::Proxy(proxy, upon));
+                actions.push(WorldAction::Proxy(proxy, fault));
             }
             FaultEvent::Silence { server, until } => {
                 if self.servers[server].listens() {
@@ -160,164 +187,161 @@
             }
             FaultEvent::Pause { server, until } => self.servers[server].pause(until),
             FaultEvent::Die { server } => {
-                self.servers[server].stop(now, &mut out);
-                self.carry(now, server, &mut out, deeds);
+                self.servers[server].stop(now, &mut outputs);
+                self.apply_outputs(now, server, &mut outputs, actions);
             }
             FaultEvent::Back { server } => {
-                self.servers[server].start(now, &mut out);
-                self.carry(now, server, &mut out, deeds);
+                self.servers[server].start(now, &mut outputs);
+                self.apply_outputs(now, server, &mut outputs, actions);
             }
             FaultEvent::Drain { server } => {
                 self.servers[server].drain();
-                self.endpoint_list.change(
-                    now,
-                    EndpointListEntry {
-                        server,
-                        status: EndpointStatus::Draining,
-                        started: self.started(server),
-                    },
-                );
+                self.change_list(now, server, EndpointStatus::Draining);
             }
             FaultEvent::Gone { server } => {
                 let sessions = self.servers[server].sessions_held();
                 if sessions > 0 {
                     self.event_log.record(now, EventKind::SessionsLeftBehind { server, sessions });
                 }
-                self.servers[server].migrate_sessions(&mut out);
-                self.servers[server].stop(now, &mut out);
-                self.carry(now, server, &mut out, deeds);
+                self.servers[server].migrate_sessions(&mut outputs);
+                self.servers[server].stop(now, &mut outputs);
+                self.apply_outputs(now, server, &mut outputs, actions);
             }
             FaultEvent::Drops { server, one_in } => self.servers[server].drop_one_in(one_in),
             FaultEvent::StoreSlow { factor } => self.session_store.set_slowdown(factor),
             FaultEvent::ListLost { until } => self.endpoint_list.make_unreachable(until),
             FaultEvent::ListStill { until } => self.endpoint_list.freeze_until(until),
             FaultEvent::DropClients { share } => {
-                let ids = self.clients.sample_established(share);
-                for &id in &ids {
-                    self.event_log.record(now, EventKind::ConnectionEnded { id, end: ConnectionEnd::Left });
-                    self.clients.connection_ended(now, id, ConnectionEnd::Broken);
-                }
-                deeds.push(WorldAction::DisconnectClients(ids));
+                let ids = self.disconnect_clients(now, share);
+                actions.push(WorldAction::DisconnectClients(ids));
             }
         }
     }
 
-    fn started(&self, server: usize) -> TickDuration {
-        self.servers[server].started().unwrap_or(0)
+    fn disconnect_clients(&mut self, now: Timestamp, share: f64) -> Vec<u64> {
+        let ids = self.clients.sample_established(share);
+        for &id in &ids {
+            self.event_log.record(now, EventKind::ConnectionEnded { id, end: ConnectionEnd::Left });
+            self.clients.connection_ended(now, id, ConnectionEnd::Broken);
+        }
+        ids
+    }
+
+    fn change_list(&mut self, now: Timestamp, server: usize, status: EndpointStatus) {
+        let started = self.servers[server].started().unwrap_or(0);
+        self.endpoint_list.change(now, EndpointListEntry { server, status, started });
     }
 
-    fn carry(
+    /// Records what a server did, and adds what a carrier is to do.
+    fn apply_outputs(
         &mut self,
         now: Timestamp,
         server: usize,
-        out: &mut Vec<ServerOutput>,
-        deeds: &mut Vec<WorldAction>,
+        outputs: &mut Vec<ServerOutput>,
+        actions: &mut Vec<WorldAction>,
     ) {
-        for one in out.drain(..) {
-            match one {
-                ServerOutput::Send(conn, say) => {
-                    deeds.push(WorldAction::Send { server, connection: conn, message: say })
+        for output in outputs.drain(..) {
+            match output {
+                ServerOutput::Send(connection, message) => {
+                    actions.push(WorldAction::Send { server, connection, message });
                 }
                 ServerOutput::Ran(id) => self.event_log.record(now, EventKind::SessionRan { id, server }),
                 ServerOutput::RanAfterAbandoned(id) => {
-                    self.event_log.record(now, EventKind::RanAfterAbandoned { id, server })
+                    self.event_log.record(now, EventKind::RanAfterAbandoned { id, server });
                 }
                 ServerOutput::Overloaded(ratio) => {
-                    self.event_log.record(now, EventKind::Overloaded { server, ratio })
+                    self.event_log.record(now, EventKind::Overloaded { server, ratio });
                 }
                 ServerOutput::Died => {
                     self.event_log.record(now, EventKind::ServerDied { server });
-                    self.endpoint_list.change(
-                        now,
-                        EndpointListEntry {
-                            server,
-                            status: EndpointStatus::Removed,
-                            started: self.started(server),
-                        },
-                    );
-                    deeds.push(WorldAction::StopListening { server });
+                    self.change_list(now, server, EndpointStatus::Removed);
+                    actions.push(WorldAction::StopListening { server });
                 }
                 ServerOutput::Started => {
                     self.event_log.record(now, EventKind::ServerStarted { server });
-                    self.endpoint_list.change(
-                        now,
-                        EndpointListEntry {
-                            server,
-                            status: EndpointStatus::Up,
-                            started: self.started(server),
-                        },
-                    );
-                    deeds.push(WorldAction::Listen { server });
+                    self.change_list(now, server, EndpointStatus::Up);
+                    actions.push(WorldAction::Listen { server });
                 }
             }
         }
     }
 
-    /// A first line has come to a server, telling that its sender waits for so many milliseconds.
+    /// The start of an attempt has reached a server, with how many milliseconds the proxy waits.
     pub fn attempt_started(
         &mut self,
         now: Timestamp,
         server: usize,
-        conn: ConnectionId,
+        connection: ConnectionId,
         id: u64,
-        told: u64,
+        timeout_ms: u64,
         listener: usize,
     ) -> Vec<WorldAction> {
-        self.event_log
-            .record(now, EventKind::AttemptStarted { id, server, connection: conn, timeout_ms: told });
-        let (mut out, mut deeds) = (Vec::new(), Vec::new());
+        self.event_log.record(now, EventKind::AttemptStarted { id, server, connection, timeout_ms });
+        let mut outputs = Vec::new();
+        let mut actions = Vec::new();
         let load = self.clients.load(listener);
-        self.servers[server].receive_request(now, conn, id, load, &mut self.session_store, &mut out);
-        self.carry(now, server, &mut out, &mut deeds);
-        deeds
+        self.servers[server].receive_request(
+            now,
+            connection,
+            id,
+            load,
+            &mut self.session_store,
+            &mut outputs,
+        );
+        self.apply_outputs(now, server, &mut outputs, &mut actions);
+        actions
     }
 
-    /// How a dial or an accepted session's connection ended at its server.
+    /// An attempt, or the connection of an established session, ended at its server.
     pub fn attempt_ended(
         &mut self,
         now: Timestamp,
         server: usize,
-        conn: ConnectionId,
+        connection: ConnectionId,
         id: u64,
-        how: AttemptEnd,
+        end: AttemptEnd,
     ) {
-        if how == AttemptEnd::Abandoned {
-            self.servers[server].connection_closed(conn);
+        if end == AttemptEnd::Abandoned {
+            self.servers[server].connection_closed(connection);
         }
-        self.event_log.record(now, EventKind::AttemptEnded { id, server, connection: conn, end: how });
+        self.event_log.record(now, EventKind::AttemptEnded { id, server, connection, end });
     }
 
-    /// A session's line has come to its server, sent then.
+    /// A client's message has reached the server of its session; `sent` is when it was sent.
     pub fn message_to_server(
         &mut self,
         now: Timestamp,
         server: usize,
-        conn: ConnectionId,
+        connection: ConnectionId,
         id: u64,
         sent: Option<Timestamp>,
         text: Vec<u8>,
     ) -> Vec<WorldAction> {
         self.record_delay(now, id, Direction::ToServer, sent);
-        let work = self.clients.listener_of(id).map_or(0.0, |l| self.clients.line_work(l));
-        let (mut out, mut deeds) = (Vec::new(), Vec::new());
-        self.servers[server].receive_message(now, conn, work, text, &mut out);
-        self.carry(now, server, &mut out, &mut deeds);
-        deeds
+        let listener = self.clients.listener_of(id);
+        let work = listener.map_or(0.0, |listener| self.clients.message_work(listener));
+        let mut outputs = Vec::new();
+        let mut actions = Vec::new();
+        self.servers[server].receive_message(now, connection, work, text, &mut outputs);
+        self.apply_outputs(now, server, &mut outputs, &mut actions);
+        actions
     }
 
-    fn record_delay(&mut self, now: Timestamp, id: u64, way: Direction, sent: Option<Timestamp>) {
+    fn record_delay(&mut self, now: Timestamp, id: u64, direction: Direction, sent: Option<Timestamp>) {
         let took = sent.map_or(0, |at| now.saturating_sub(at));
-        if took > HELD {
-            self.event_log.record(now, EventKind::MessageDelayed { id, direction: way, took });
+        if took > MAX_MESSAGE_DELAY {
+            self.event_log.record(now, EventKind::MessageDelayed { id, direction, took });
         }
     }
 
-    pub fn response_received(&mut self, now: Timestamp, id: u64, answer: ClientResponse) {
-        self.event_log.record(now, EventKind::Answered { id, response: answer });
-        self.clients.response_received(now, id, answer);
+    /// A client has received the final response.
+    pub fn response_received(&mut self, now: Timestamp, id: u64, response: ClientResponse) {
+        self.event_log.record(now, EventKind::Answered { id, response });
+        self.clients.response_received(now, id, response);
     }
 
-    /// A session's line is back at its client, sent back by its server then.
+    /// The message of that number is back at its client; `sent` is when its server sent it back. Returns how long it took
+    /// in all, if the client waits for it.
     pub fn message_returned(
         &mut self,
         now: Timestamp,
@@ -326,62 +350,66 @@
         sent: Option<Timestamp>,
     ) -> Option<TickDuration> {
         self.record_delay(now, id, Direction::ToClient, sent);
-        let (took, late) = self.clients.message_returned(now, id, number)?;
-        if late {
+        let returned = self.clients.message_returned(now, id, number)?;
+        let took = returned.took;
+        if returned.late {
             self.event_log.record(now, EventKind::MessageLate { id, took });
         }
         Some(took)
     }
 
-    /// A connection ended before it had an answer.
-    pub fn ended_without_response(&mut self, now: Timestamp, id: u64, how: ConnectionEnd) {
-        self.event_log.record(now, EventKind::ConnectionEnded { id, end: how });
+    /// A connection ended before the final response.
+    pub fn ended_without_response(&mut self, now: Timestamp, id: u64, end: ConnectionEnd) {
+        self.event_log.record(now, EventKind::ConnectionEnded { id, end });
         self.clients.ended_without_response(now, id);
     }
 
+    /// The proxy of a request could not be reached.
     pub fn proxy_unreachable(&mut self, now: Timestamp, id: u64, proxy: usize) {
         self.event_log.record(now, EventKind::ProxyUnreachable { id, proxy });
         self.clients.ended_without_response(now, id);
     }
 
-    /// An accepted session's connection ended.
-    pub fn connection_ended(&mut self, now: Timestamp, id: u64, how: ConnectionEnd) {
-        self.event_log.record(now, EventKind::ConnectionEnded { id, end: how });
-        self.clients.connection_ended(now, id, how);
+    /// The connection of an established session ended at its client.
+    pub fn connection_ended(&mut self, now: Timestamp, id: u64, end: ConnectionEnd) {
+        self.event_log.record(now, EventKind::ConnectionEnded { id, end });
+        self.clients.connection_ended(now, id, end);
     }
 
-    /// The proxy to which the front deals a session; where nobody is in front, its client tries again like one
-    /// without an answer.
-    pub fn assign_proxy(&mut self, now: Timestamp, ask: &ClientRequest) -> Option<usize> {
-        let proxy = self.load_balancer.next_proxy(now, ask.key);
+    /// The proxy to which the external load balancer sends a request. If there is none, the client retries as after a
+    /// connection without a response.
+    pub fn assign_proxy(&mut self, now: Timestamp, request: &ClientRequest) -> Option<usize> {
+        let proxy = self.load_balancer.next_proxy(now, request.key);
         if proxy.is_none() {
-            self.clients.ended_without_response(now, ask.id);
+            self.clients.ended_without_response(now, request.id);
         }
         proxy
     }
 
+    /// A proxy answers.
     pub fn proxy_up(&mut self, now: Timestamp, proxy: usize) {
         self.load_balancer.proxy_answered(proxy);
         self.event_log.record(now, EventKind::ProxyUp { proxy });
     }
 
+    /// A proxy has exited.
     pub fn proxy_exited(&mut self, now: Timestamp, proxy: usize, planned: bool) {
         self.load_balancer.proxy_died(now, proxy);
         self.event_log.record(now, EventKind::ProxyExited { proxy, planned });
     }
 
-    /// The lines of the list that are newer than what a proxy has, as they are written to it.
+    /// A proxy reads the endpoint list: its version, and the entries that are newer than the version that the proxy has.
     pub fn notify_proxy(
         &mut self,
         now: Timestamp,
         proxy: usize,
         after: Option<u64>,
     ) -> (u64, Vec<EndpointListEntry>) {
-        let lines = self.endpoint_list.entries_after(after);
-        for line in &lines {
-            let ready = line.status == EndpointStatus::Up;
-            self.event_log.record(now, EventKind::EndpointNotified { proxy, server: line.server, ready });
+        let entries = self.endpoint_list.entries_after(after);
+        for entry in &entries {
+            let ready = entry.status == EndpointStatus::Up;
+            self.event_log.record(now, EventKind::EndpointNotified { proxy, server: entry.server, ready });
         }
-        (self.endpoint_list.version(), lines)
+        (self.endpoint_list.version(), entries)
     }
 }
--- a/crates/larklink-simulation/tests/audit.rs
+++ b/crates/larklink-simulation/tests/audit.rs
@@ -1,4 +1,6 @@
 //! The audit on books written by hand: each thing that can be broken, beside the nearest thing that is sound.
+#![expect(clippy::unwrap_used, reason = "a test fails by panicking")]
+
 use larklink_simulation::audit::{Findings, ViolationKind, audit};
 use larklink_simulation::duration::SECOND;
 use larklink_simulation::event_log::{
@@ -78,7 +80,6 @@
 
 #[test]
 fn an_answer_in_time_is_sound_and_one_too_many_too_late_or_none_is_not() {
-    use ViolationKind::*;
     let at = |ms, rest: Vec<(u64, EventKind)>| {
         let mut all = vec![(0, opened(0)), (1, dial(0)), (2, dial_ended(0, AttemptEnd::Accepted))];
         all.push((ms, answered(ClientResponse::Accepted)));
@@ -86,20 +87,23 @@
         broken(all)
     };
     assert_eq!(at(3049, vec![]), []);
-    assert_eq!(at(3051, vec![]), [LateAnswer]);
-    assert_eq!(at(10, vec![(11, answered(ClientResponse::Rejected(0)))]), [TwoAnswers]);
-    assert_eq!(at(10, vec![(11, EventKind::ExtraMessage { id: ID })]), [TwoAnswers]);
-    assert_eq!(broken(vec![(0, opened(0))]), [NoAnswer]);
-    assert_eq!(broken(vec![(0, opened(0)), (5, ended(ConnectionEnd::Closed))]), [NoAnswer]);
+    assert_eq!(at(3051, vec![]), [ViolationKind::LateAnswer]);
+    assert_eq!(at(10, vec![(11, answered(ClientResponse::Rejected(0)))]), [ViolationKind::TwoAnswers]);
+    assert_eq!(at(10, vec![(11, EventKind::ExtraMessage { id: ID })]), [ViolationKind::TwoAnswers]);
+    assert_eq!(broken(vec![(0, opened(0))]), [ViolationKind::NoAnswer]);
+    assert_eq!(broken(vec![(0, opened(0)), (5, ended(ConnectionEnd::Closed))]), [ViolationKind::NoAnswer]);
     assert_eq!(
         broken(vec![
             (0, opened(0)),
             (5, EventKind::MalformedResponse { id: ID }),
             (5, ended(ConnectionEnd::Closed))
         ]),
-        [NoAnswer, NotAnAnswer]
+        [ViolationKind::NoAnswer, ViolationKind::NotAnAnswer]
+    );
+    assert_eq!(
+        broken(vec![(0, opened(0)), (9, answered(ClientResponse::Accepted))]),
+        [ViolationKind::AcceptedByNobody]
     );
-    assert_eq!(broken(vec![(0, opened(0)), (9, answered(ClientResponse::Accepted))]), [AcceptedByNobody]);
     // Its client left, or the run ended before it had to be answered.
     assert_eq!(broken(vec![(0, opened(0)), (5, ended(ConnectionEnd::Left))]), []);
     assert_eq!(broken(vec![(18_000, opened(0))]), []);
@@ -120,7 +124,6 @@
 
 #[test]
 fn a_dial_after_one_that_may_have_run_goes_by_the_kind() {
-    use ViolationKind::*;
     let again = |listener, first: AttemptEnd, at| {
         let entries = vec![
             (0, opened(listener)),
@@ -134,10 +137,10 @@
     };
     assert_eq!(again(0, AttemptEnd::Abandoned, 30), []);
     assert_eq!(again(1, AttemptEnd::Rejected, 30), []);
-    assert_eq!(again(1, AttemptEnd::Abandoned, 30), [MayRunTwice]);
-    assert_eq!(again(1, AttemptEnd::Reset, 30), [MayRunTwice]);
+    assert_eq!(again(1, AttemptEnd::Abandoned, 30), [ViolationKind::MayRunTwice]);
+    assert_eq!(again(1, AttemptEnd::Reset, 30), [ViolationKind::MayRunTwice]);
     assert_eq!(again(2, AttemptEnd::Abandoned, 900), []);
-    assert_eq!(again(2, AttemptEnd::Abandoned, 1060), [MayRunTwice]);
+    assert_eq!(again(2, AttemptEnd::Abandoned, 1060), [ViolationKind::MayRunTwice]);
     // The end of the first is seen up to 50 ms after the second has come.
     let out = |first_ends| {
         broken(vec![
@@ -149,7 +152,7 @@
             (90, answered(ClientResponse::Accepted)),
         ])
     };
-    assert_eq!((out(79), out(81)), (vec![], vec![TwoDialsOut]));
+    assert_eq!((out(79), out(81)), (vec![], vec![ViolationKind::TwoDialsOut]));
     let refused = |listener, first, at| {
         broken(vec![
             (0, opened(listener)),
@@ -159,18 +162,17 @@
         ])
     };
     assert_eq!(refused(1, AttemptEnd::Rejected, 30), []);
-    assert_eq!(refused(1, AttemptEnd::Failed, 30), [RefusedThoughItMayHaveRun]);
+    assert_eq!(refused(1, AttemptEnd::Failed, 30), [ViolationKind::RefusedThoughItMayHaveRun]);
     assert_eq!(refused(2, AttemptEnd::Failed, 30), []);
-    assert_eq!(refused(2, AttemptEnd::Failed, 1100), [RefusedThoughItMayHaveRun]);
+    assert_eq!(refused(2, AttemptEnd::Failed, 1100), [ViolationKind::RefusedThoughItMayHaveRun]);
     let many = (0..5)
         .flat_map(|n| [(n * 10, dial(n as usize)), (n * 10 + 1, dial_ended(n as usize, AttemptEnd::Failed))]);
     let many = std::iter::once((0, opened(0))).chain(many).chain([(60, answered(ClientResponse::Failed))]);
-    assert_eq!(broken(many.collect()), [TooManyDials]);
+    assert_eq!(broken(many.collect()), [ViolationKind::TooManyDials]);
 }
 
 #[test]
 fn servers_that_drain_or_are_cold_are_let_be() {
-    use ViolationKind::*;
     let told = |ready| EventKind::EndpointNotified { proxy: 0, server: 0, ready };
     let dialled = |at| {
         broken(vec![
@@ -181,7 +183,7 @@
             (at + 1, answered(ClientResponse::Failed)),
         ])
     };
-    assert_eq!((dialled(549), dialled(551)), (vec![], vec![AfterDrain]));
+    assert_eq!((dialled(549), dialled(551)), (vec![], vec![ViolationKind::AfterDrain]));
     // Told twice, the first counts; told that it is up again, none does.
     let back = vec![
         (0, told(false)),
@@ -193,34 +195,42 @@
         (1003, answered(ClientResponse::Failed)),
     ];
     assert_eq!(broken(back), []);
-    assert_eq!(broken(vec![(0, EventKind::Overloaded { server: 0, ratio: 5.0 })]), [ColdRushed]);
-    assert_eq!(broken(vec![(0, EventKind::SessionsLeftBehind { server: 0, sessions: 3 })]), [LeftBehind]);
+    assert_eq!(
+        broken(vec![(0, EventKind::Overloaded { server: 0, ratio: 5.0 })]),
+        [ViolationKind::ColdRushed]
+    );
+    assert_eq!(
+        broken(vec![(0, EventKind::SessionsLeftBehind { server: 0, sessions: 3 })]),
+        [ViolationKind::LeftBehind]
+    );
 }
 
 #[test]
 fn an_accepted_session_is_cut_by_its_server_or_moved() {
-    use ViolationKind::*;
     let stood = |rest: Vec<(u64, EventKind)>| {
         let mut all = vec![(0, opened(0)), (1, dial(0)), (2, dial_ended(0, AttemptEnd::Accepted))];
         all.push((3, answered(ClientResponse::Accepted)));
         all.extend(rest);
         broken(all)
     };
-    assert_eq!(stood(vec![(500, ended(ConnectionEnd::Closed))]), [CutWithoutMove]);
+    assert_eq!(stood(vec![(500, ended(ConnectionEnd::Closed))]), [ViolationKind::CutWithoutMove]);
     assert_eq!(stood(vec![(500, ended(ConnectionEnd::Migrated))]), []);
     let cut =
         |client| stood(vec![(500, dial_ended(0, AttemptEnd::Reset)), (client, ended(ConnectionEnd::Broken))]);
-    assert_eq!((cut(501), cut(1540), cut(1560)), (vec![], vec![], vec![EndedLate]));
+    assert_eq!((cut(501), cut(1540), cut(1560)), (vec![], vec![], vec![ViolationKind::EndedLate]));
     assert_eq!(
         stood(vec![(499, EventKind::ServerDied { server: 0 }), (500, ended(ConnectionEnd::Broken))]),
         []
     );
     assert_eq!(
         stood(vec![(5, EventKind::MessageDelayed { id: ID, direction: Direction::ToClient, took: 11_000 })]),
-        [LineHeld]
+        [ViolationKind::LineHeld]
+    );
+    assert_eq!(stood(vec![(5, EventKind::MessageAltered { id: ID })]), [ViolationKind::LineChanged]);
+    assert_eq!(
+        stood(vec![(5, EventKind::ConnectionSilent { id: ID, duration: 71_000 })]),
+        [ViolationKind::SilentTooLong]
     );
-    assert_eq!(stood(vec![(5, EventKind::MessageAltered { id: ID })]), [LineChanged]);
-    assert_eq!(stood(vec![(5, EventKind::ConnectionSilent { id: ID, duration: 71_000 })]), [SilentTooLong]);
     // Told to wait for longer than its client does.
     let long = EventKind::AttemptStarted { id: ID, server: 0, connection: 0, timeout_ms: 3060 };
     let told = vec![
@@ -229,7 +239,7 @@
         (2, dial_ended(0, AttemptEnd::Accepted)),
         (3, answered(ClientResponse::Accepted)),
     ];
-    assert_eq!(broken(told), [ToldTooLong]);
+    assert_eq!(broken(told), [ViolationKind::ToldTooLong]);
 }
 
 #[test]
--- a/crates/larklink-simulation/tests/format_fixtures.rs
+++ b/crates/larklink-simulation/tests/format_fixtures.rs
@@ -70,9 +70,8 @@
     assert_eq!(ShapeOutcomes::NAMES, ["old", "moved"]);
 }
 
-/// One of each thing that is noted, with each way in which it can be.
-fn event_log() -> EventLog {
-    let id = u64::MAX;
+/// One of each kind of event, with each value that it can have.
+fn events_of_sessions(id: u64) -> Vec<EventKind> {
     let ask = |again, retry| ClientRequest {
         client: 1,
         id: 2,
@@ -117,7 +116,11 @@
         AttemptEnd::Abandoned,
     ];
     all.extend(ends.map(|how| EventKind::AttemptEnded { id, server: 15, connection: 16, end: how }));
-    all.extend([
+    all
+}
+
+fn events_of_servers_and_proxies(id: u64) -> Vec<EventKind> {
+    vec![
         EventKind::SessionRan { id, server: 17 },
         EventKind::RanAfterAbandoned { id, server: 18 },
         EventKind::Overloaded { server: 19, ratio: 2.5 },
@@ -129,9 +132,15 @@
         EventKind::ProxyUp { proxy: 28 },
         EventKind::ProxyExited { proxy: 29, planned: false },
         EventKind::FaultInjected("\u{e9} \"fault\"".into()),
-    ]);
+    ]
+}
+
+fn event_log() -> EventLog {
+    let id = u64::MAX;
+    let mut kinds = events_of_sessions(id);
+    kinds.extend(events_of_servers_and_proxies(id));
     let mut event_log = EventLog::default();
-    (0..).zip(all).for_each(|(at, what)| event_log.record(at, what));
+    (0..).zip(kinds).for_each(|(at, kind)| event_log.record(at, kind));
     event_log
 }
 
@@ -142,88 +151,132 @@
 
 #[test]
 fn every_key_of_a_scenario_is_read_from_the_file() {
-    let s = Scenario::parse(include_str!("fixtures/scenario.toml")).unwrap();
+    let scenario = Scenario::parse(include_str!("fixtures/scenario.toml")).unwrap();
     assert_eq!(
-        (s.name.as_str(), s.about.as_str(), s.seed, s.length.0),
+        (scenario.name.as_str(), scenario.about.as_str(), scenario.seed, scenario.length.0),
         ("all of it", "Every key.", 77, 900_000)
     );
-    let p = &s.proxies;
-    assert_eq!((p.count, p.zones, p.memory_mb, p.descriptors, p.doors, p.moved), (5, 2, 64, 512, true, 2));
-    let r = &s.rules;
-    assert_eq!((r.connect_timeout.0, r.dials, r.retry_after.0, r.drain_grace.0), (3000, 7, 20_000, 7505));
-    assert_eq!((r.probes, r.must_ask_in.0, r.passes), (false, 80_000, true));
-    let [one, other] = &s.servers[..] else { panic!("{:?}", s.servers) };
-    let v = one.get_ref();
-    assert_eq!((v.count, v.cores, v.speed, v.holds), (3, 4, 1.5, 100));
-    assert_eq!((v.setup_work.0, v.queue.0, v.start_capacity, v.warm_up.0), (5, 10_000, 0.5, 90_000));
-    assert_eq!((v.fall_multiple, v.fall_after.0, v.falls, v.back_after.0), (2.5, 12_000, false, 30_000));
-    assert_eq!((v.report_every.0, v.listed, v.weight), (1500, false, 0.25));
-    let v = other.get_ref();
-    assert_eq!((v.count, v.cores, v.speed, v.holds), (6, 2, 1.0, 5000));
-    assert_eq!((v.setup_work.0, v.queue.0, v.start_capacity, v.warm_up.0), (20, 15_000, 0.12, 200_000));
-    assert_eq!((v.fall_multiple, v.fall_after.0, v.falls, v.back_after.0), (4.0, 10_000, true, 20_000));
-    assert_eq!((v.report_every.0, v.listed, v.weight), (2000, true, 1.0));
-    assert_eq!((s.store.rate, s.store.bound.0), (123.5, 12_500));
-    assert_eq!((s.list.lag.0, s.front.notices_after.0), (500, 7000));
-    let m = &s.must;
-    assert_eq!((m.service, m.accepted, m.each_shape), (Some(0.9), Some(0.95), Some(0.8)));
-    assert_eq!((m.answer_p99.map(|l| l.0), m.recovers.map(|l| l.0)), (Some(11_000), Some(60_000)));
+    let proxies = &scenario.proxies;
+    assert_eq!(
+        (proxies.count, proxies.zones, proxies.memory_mb, proxies.descriptors, proxies.doors, proxies.moved),
+        (5, 2, 64, 512, true, 2)
+    );
+    let rules = &scenario.rules;
+    assert_eq!(
+        (rules.connect_timeout.0, rules.dials, rules.retry_after.0, rules.drain_grace.0),
+        (3000, 7, 20_000, 7505)
+    );
+    assert_eq!((rules.probes, rules.must_ask_in.0, rules.passes), (false, 80_000, true));
+    let [one, other] = &scenario.servers[..] else { panic!("{:?}", scenario.servers) };
+    let group = one.get_ref();
+    assert_eq!((group.count, group.cores, group.speed, group.holds), (3, 4, 1.5, 100));
+    assert_eq!(
+        (group.setup_work.0, group.queue.0, group.start_capacity, group.warm_up.0),
+        (5, 10_000, 0.5, 90_000)
+    );
+    assert_eq!(
+        (group.fall_multiple, group.fall_after.0, group.falls, group.back_after.0),
+        (2.5, 12_000, false, 30_000)
+    );
+    assert_eq!((group.report_every.0, group.listed, group.weight), (1500, false, 0.25));
+    let group = other.get_ref();
+    assert_eq!((group.count, group.cores, group.speed, group.holds), (6, 2, 1.0, 5000));
+    assert_eq!(
+        (group.setup_work.0, group.queue.0, group.start_capacity, group.warm_up.0),
+        (20, 15_000, 0.12, 200_000)
+    );
+    assert_eq!(
+        (group.fall_multiple, group.fall_after.0, group.falls, group.back_after.0),
+        (4.0, 10_000, true, 20_000)
+    );
+    assert_eq!((group.report_every.0, group.listed, group.weight), (2000, true, 1.0));
+    assert_eq!((scenario.store.rate, scenario.store.bound.0), (123.5, 12_500));
+    assert_eq!((scenario.list.lag.0, scenario.front.notices_after.0), (500, 7000));
+    let must = &scenario.must;
+    assert_eq!((must.service, must.accepted, must.each_shape), (Some(0.9), Some(0.95), Some(0.8)));
+    assert_eq!((must.answer_p99.map(|l| l.0), must.recovers.map(|l| l.0)), (Some(11_000), Some(60_000)));
 }
 
 #[test]
 fn every_key_of_its_listeners_is_read_from_the_file() {
-    let s = Scenario::parse(include_str!("fixtures/scenario.toml")).unwrap();
-    let [one, other, last] = &s.listeners[..] else { panic!("{:?}", s.listeners) };
-    let l = one.get_ref();
-    assert_eq!((l.name.as_str(), l.kind, l.window.0), ("pay_1.x", SessionKind::Referenced, 40_000));
-    assert_eq!((l.handshake_target.0, l.dial_timeout.0), (2500, 50_000));
-    assert_eq!((l.standing, l.spread.0, l.rate, l.life.0), (9, 1000, 2.5, 450_000));
-    assert_eq!((l.every.0, l.line_target.0, l.load, l.utility), (20_000, 800, 0.125, 3.5));
-    assert_eq!((l.retry, l.wait.0, l.tries, l.again_after.0), (RetryBehavior::AtOnce, 9000, 3, 600));
-    assert_eq!((l.group, l.deaf_kb), (2, 64));
-    let l = other.get_ref();
-    assert_eq!((l.name.as_str(), l.kind, l.window.0), ("pick-list", SessionKind::OnceOnly, 10_000));
-    assert_eq!((l.handshake_target.0, l.dial_timeout.0), (5000, 30_000));
-    assert_eq!((l.standing, l.spread.0, l.rate, l.life.0), (200, 30_000, 20.0, 150_000));
-    assert_eq!((l.every.0, l.line_target.0, l.load, l.utility), (10_000, 1000, 0.004, 1.0));
-    assert_eq!((l.retry, l.wait.0, l.tries, l.again_after.0), (RetryBehavior::Never, 5000, 8, 2000));
-    assert_eq!((l.group, l.deaf_kb), (4, 0));
-    let l = last.get_ref();
-    assert_eq!((l.name.as_str(), l.kind, l.retry), ("last", SessionKind::Repeatable, RetryBehavior::After));
+    let scenario = Scenario::parse(include_str!("fixtures/scenario.toml")).unwrap();
+    let [one, other, last] = &scenario.listeners[..] else { panic!("{:?}", scenario.listeners) };
+    let listener = one.get_ref();
+    assert_eq!(
+        (listener.name.as_str(), listener.kind, listener.window.0),
+        ("pay_1.x", SessionKind::Referenced, 40_000)
+    );
+    assert_eq!((listener.handshake_target.0, listener.dial_timeout.0), (2500, 50_000));
+    assert_eq!(
+        (listener.standing, listener.spread.0, listener.rate, listener.life.0),
+        (9, 1000, 2.5, 450_000)
+    );
+    assert_eq!(
+        (listener.every.0, listener.line_target.0, listener.load, listener.utility),
+        (20_000, 800, 0.125, 3.5)
+    );
+    assert_eq!(
+        (listener.retry, listener.wait.0, listener.tries, listener.again_after.0),
+        (RetryBehavior::AtOnce, 9000, 3, 600)
+    );
+    assert_eq!((listener.group, listener.deaf_kb), (2, 64));
+    let listener = other.get_ref();
+    assert_eq!(
+        (listener.name.as_str(), listener.kind, listener.window.0),
+        ("pick-list", SessionKind::OnceOnly, 10_000)
+    );
+    assert_eq!((listener.handshake_target.0, listener.dial_timeout.0), (5000, 30_000));
+    assert_eq!(
+        (listener.standing, listener.spread.0, listener.rate, listener.life.0),
+        (200, 30_000, 20.0, 150_000)
+    );
+    assert_eq!(
+        (listener.every.0, listener.line_target.0, listener.load, listener.utility),
+        (10_000, 1000, 0.004, 1.0)
+    );
+    assert_eq!(
+        (listener.retry, listener.wait.0, listener.tries, listener.again_after.0),
+        (RetryBehavior::Never, 5000, 8, 2000)
+    );
+    assert_eq!((listener.group, listener.deaf_kb), (4, 0));
+    let listener = last.get_ref();
+    assert_eq!(
+        (listener.name.as_str(), listener.kind, listener.retry),
+        ("last", SessionKind::Repeatable, RetryBehavior::After)
+    );
 }
 
 #[test]
 fn every_key_of_its_faults_is_read_from_the_file() {
-    use FaultKind::*;
-    let s = Scenario::parse(include_str!("fixtures/scenario.toml")).unwrap();
+    let scenario = Scenario::parse(include_str!("fixtures/scenario.toml")).unwrap();
     // What, when, for how long, and by what factor.
-    let seen: Vec<_> = s.faults.iter().map(|f| f.get_ref()).collect();
+    let seen: Vec<_> = scenario.faults.iter().map(|f| f.get_ref()).collect();
     let seen: Vec<_> = seen.iter().map(|f| (f.kind, f.at.0, f.lasts.map(|l| l.0), f.factor)).collect();
     assert_eq!(
         seen,
         [
-            (ProxyKilled, 10_000, Some(20_000), None),
-            (ServerDrops, 20_000, Some(10_000), Some(3.0)),
-            (ProxyStopped, 30_000, None, None),
-            (ProxyReloaded, 40_000, None, None),
-            (ProxyReplaced, 50_000, None, None),
-            (ServerSilent, 60_000, Some(10_000), None),
-            (ServerPaused, 70_000, Some(10_000), None),
-            (ServerDied, 80_000, None, None),
-            (ServerDrains, 90_000, Some(10_000), None),
-            (ServersJoin, 100_000, None, None),
-            (StoreSlow, 110_000, Some(10_000), Some(8.0)),
-            (ListLost, 120_000, Some(10_000), None),
-            (ListStill, 130_000, Some(10_000), None),
-            (ClientsDropped, 140_000, None, None),
+            (FaultKind::ProxyKilled, 10_000, Some(20_000), None),
+            (FaultKind::ServerDrops, 20_000, Some(10_000), Some(3.0)),
+            (FaultKind::ProxyStopped, 30_000, None, None),
+            (FaultKind::ProxyReloaded, 40_000, None, None),
+            (FaultKind::ProxyReplaced, 50_000, None, None),
+            (FaultKind::ServerSilent, 60_000, Some(10_000), None),
+            (FaultKind::ServerPaused, 70_000, Some(10_000), None),
+            (FaultKind::ServerDied, 80_000, None, None),
+            (FaultKind::ServerDrains, 90_000, Some(10_000), None),
+            (FaultKind::ServersJoin, 100_000, None, None),
+            (FaultKind::StoreSlow, 110_000, Some(10_000), Some(8.0)),
+            (FaultKind::ListLost, 120_000, Some(10_000), None),
+            (FaultKind::ListStill, 130_000, Some(10_000), None),
+            (FaultKind::ClientsDropped, 140_000, None, None),
         ]
     );
-    let (first, second) = (s.faults[0].get_ref(), s.faults[1].get_ref());
+    let (first, second) = (scenario.faults[0].get_ref(), scenario.faults[1].get_ref());
     assert_eq!((first.which.as_deref(), first.share), (Some(&[0, 4][..]), None));
     assert_eq!((first.apart.map(|l| l.0), first.together), (Some(100), Some(2)));
     assert_eq!((first.every.map(|l| l.0), first.times, first.at_accept), (Some(200_000), Some(3), true));
     assert_eq!((second.which.as_deref(), second.share), (None, Some(0.5)));
     assert_eq!((second.apart.map(|l| l.0), second.together), (None, None));
     assert_eq!((second.every.map(|l| l.0), second.times, second.at_accept), (None, None, false));
-    assert_eq!(s.faults[13].get_ref().share, Some(0.75));
+    assert_eq!(scenario.faults[13].get_ref().share, Some(0.75));
 }
