--- a/crates/larklink-simulation/src/audit/judge.rs
+++ b/crates/larklink-simulation/src/audit/judge.rs
@@ -157,7 +157,7 @@
 
     fn judge_attempts(&mut self, id: u64, session: &SessionHistory) {
         let attempts = &session.attempts;
-        let allowed = self.scenario.rules.dials;
+        let allowed = self.scenario.rules.max_attempts;
         if attempts.len() > allowed as usize {
             let observed = format!("{} dials, {allowed} allowed", attempts.len());
             let last_at = attempts.last().map_or(0, |attempt| attempt.started_at);
--- a/crates/larklink-simulation/src/audit/run_history.rs
+++ b/crates/larklink-simulation/src/audit/run_history.rs
@@ -127,7 +127,7 @@
         match event.kind {
             EventKind::Overloaded { server, ratio } => {
                 let group = self.scenario.each_server().nth(server);
-                let allowed = group.map_or(0.0, |group| group.fall_multiple);
+                let allowed = group.map_or(0.0, |group| group.overload_multiple);
                 let observed = format!("server {server}: {ratio:.1} times what it can do, {allowed} allowed");
                 self.violation(ViolationKind::ColdRushed, 0, at, observed);
             }
@@ -144,7 +144,7 @@
                 *since = if ready { None } else { since.or(Some(at)) };
             }
             // A planned stop excuses nothing, but where packets pass through no session can be migrated.
-            EventKind::ProxyExited { proxy, planned } if !planned || self.scenario.rules.passes => {
+            EventKind::ProxyExited { proxy, planned } if !planned || self.scenario.rules.passthrough => {
                 self.proxies_away[proxy].begin(at);
             }
             EventKind::ProxyUp { proxy } => {
--- a/crates/larklink-simulation/src/clients.rs
+++ b/crates/larklink-simulation/src/clients.rs
@@ -170,8 +170,8 @@
             standing: 0,
         };
         for listener in 0..clients.listeners.len() {
-            for _ in 0..clients.listeners[listener].standing {
-                let at = clients.draw_fraction(clients.listeners[listener].spread.0, 0.0, 1.0);
+            for _ in 0..clients.listeners[listener].initial_clients {
+                let at = clients.draw_fraction(clients.listeners[listener].initial_spread.0, 0.0, 1.0);
                 clients.arrive(at, listener);
             }
             clients.schedule_arrival(0, listener);
@@ -182,7 +182,7 @@
     /// The work of one message, microseconds of a core.
     pub fn message_work(&self, listener: usize) -> f64 {
         let listener = &self.listeners[listener];
-        listener.load * listener.every.0 as f64 * MICROS_PER_TICK
+        listener.load * listener.message_interval.0 as f64 * MICROS_PER_TICK
     }
 
     /// The load of one session, microseconds of work a second.
@@ -218,7 +218,7 @@
     }
 
     fn schedule_arrival(&mut self, now: Timestamp, listener: usize) {
-        let rate = self.listeners[listener].rate;
+        let rate = self.listeners[listener].arrivals_per_second;
         if rate > 0.0 {
             let at = now + self.draw_exponential(SECOND as f64 / rate);
             if at < self.length {
@@ -230,9 +230,10 @@
     fn arrive(&mut self, at: Timestamp, listener: usize) {
         let spec = &self.listeners[listener];
         // As many groups as have the mean number of clients each.
-        let mean_clients = spec.standing as f64 + spec.rate * spec.life.0 as f64 / SECOND as f64;
-        let groups = ((mean_clients / spec.group as f64).ceil() as u64).max(1);
-        let mean_stay = spec.life.0 as f64;
+        let mean_clients =
+            spec.initial_clients as f64 + spec.arrivals_per_second * spec.mean_stay.0 as f64 / SECOND as f64;
+        let groups = ((mean_clients / spec.clients_per_group as f64).ceil() as u64).max(1);
+        let mean_stay = spec.mean_stay.0 as f64;
         let until = at + self.draw_exponential(mean_stay).max(MIN_STAY);
         let group_number = self.rng.random_range(0..groups);
         let group = (group_number + 1) * GROUP_KEY_STEP + listener as u64;
@@ -317,10 +318,10 @@
         let Some(session) = established else { return };
         let listener_index = self.clients[session.client].listener;
         let listener = &self.listeners[listener_index];
-        self.timers.push(now + listener.every.0, ClientTimer::Message { id });
+        self.timers.push(now + listener.message_interval.0, ClientTimer::Message { id });
         if let Some(&first) = session.messages_in_flight.first() {
             // What is in flight for longer than the objective is no service, whether or not it comes back.
-            if now - first.sent_at > listener.line_target.0
+            if now - first.sent_at > listener.message_objective.0
                 && let Some(from) = session.well_served_from.take()
             {
                 self.tallies[listener_index].well += first.sent_at.saturating_sub(from);
@@ -364,7 +365,7 @@
         client.reconnecting = false;
         let listener = client.listener;
         self.timers.push(client.until.max(now), ClientTimer::Leave { id });
-        let first = self.draw_fraction(self.listeners[listener].every.0, 0.0, 1.0);
+        let first = self.draw_fraction(self.listeners[listener].message_interval.0, 0.0, 1.0);
         self.timers.push(now + first, ClientTimer::Message { id });
     }
 
@@ -377,7 +378,7 @@
         let listener = self.clients[session.client].listener;
         let tally = &mut self.tallies[listener];
         let took = now - sent_at;
-        let late = took > self.listeners[listener].line_target.0;
+        let late = took > self.listeners[listener].message_objective.0;
         tally.lines += 1;
         if late {
             tally.late += 1;
@@ -400,7 +401,7 @@
         let ended = self.end_session(now, id);
         let Some(client) = ended.filter(|_| end != ConnectionEnd::Left) else { return };
         self.clients[client].reconnecting = true;
-        let wait = self.listeners[self.clients[client].listener].again_after.0;
+        let wait = self.listeners[self.clients[client].listener].reconnect_wait.0;
         let at = now + self.draw_wait(wait);
         self.timers.push(at, ClientTimer::Request { client });
     }
@@ -410,12 +411,12 @@
         let Some(client) = self.end_session(now, id) else { return };
         let sender = &mut self.clients[client];
         let listener = &self.listeners[sender.listener];
-        if sender.tries >= listener.tries || listener.retry == RetryBehavior::Never {
+        if sender.tries >= listener.max_tries || listener.retry == RetryBehavior::Never {
             self.tallies[sender.listener].gone_without += 1;
             return;
         }
         sender.retry = true;
-        let mean_wait = listener.wait.0.max(retry_after);
+        let mean_wait = listener.retry_wait.0.max(retry_after);
         let at = match listener.retry {
             RetryBehavior::AtOnce => now + RETRY_AT_ONCE_AFTER,
             RetryBehavior::After | RetryBehavior::Never => now + self.draw_wait(mean_wait).max(retry_after),
@@ -465,7 +466,7 @@
         let wants = |client: &&Client| (client.from..client.until.min(self.length)).contains(&now);
         let wanted: f64 = self.clients.iter().filter(wants).map(utility).sum();
         let well_served = self.sessions.values().filter(|session| {
-            let objective = self.listeners[self.listener_index(session)].line_target.0;
+            let objective = self.listeners[self.listener_index(session)].message_objective.0;
             let first = session.messages_in_flight.first();
             session.well_served_from.is_some()
                 && first.is_none_or(|message| now - message.sent_at <= objective)
--- a/crates/larklink-simulation/src/faults.rs
+++ b/crates/larklink-simulation/src/faults.rs
@@ -122,15 +122,15 @@
     let mut timeline = FaultTimeline::default();
     for fault in &scenario.faults {
         let fault = fault.get_ref();
-        for repeat in 0..fault.times.unwrap_or(1) {
-            let at = fault.at.0 + TickDuration::from(repeat) * fault.every.unwrap_or_default().0;
+        for repeat in 0..fault.repeats.unwrap_or(1) {
+            let at = fault.at.0 + TickDuration::from(repeat) * fault.repeat_interval.unwrap_or_default().0;
             let targets = draw_targets(scenario, fault, rng);
             let delay = |index: usize| {
-                let steps = (index / fault.together.unwrap_or(1)) as TickDuration;
-                steps * fault.apart.unwrap_or_default().0
+                let steps = (index / fault.batch_size.unwrap_or(1)) as TickDuration;
+                steps * fault.interval.unwrap_or_default().0
             };
             let last_at = at + delay(targets.len().saturating_sub(1));
-            let band_end = last_at + fault.lasts.unwrap_or_default().0;
+            let band_end = last_at + fault.duration.unwrap_or_default().0;
             timeline.bands.push((at, band_end, band_name(fault.kind).to_owned()));
             for (index, &target) in targets.iter().enumerate() {
                 add_fault(scenario, fault, at + delay(index), target, &mut timeline.faults);
@@ -176,7 +176,7 @@
             servers.filter(|(_, server)| server.listed != joins).map(|(index, _)| index).collect()
         }
     };
-    if let Some(which) = &fault.which {
+    if let Some(which) = &fault.targets {
         return which.clone();
     }
     if let Some(share) = fault.share {
@@ -196,7 +196,7 @@
     target: usize,
     faults: &mut Vec<TimedFault>,
 ) {
-    let lasts = fault.lasts.map(|lasts| lasts.0);
+    let lasts = fault.duration.map(|lasts| lasts.0);
     let until = at + lasts.unwrap_or(0);
     let mut add = |at, event| faults.push(TimedFault { at, event });
     let server = target;
@@ -222,7 +222,7 @@
             }
         }
         FaultKind::ServerDrains => {
-            let restart_after = scenario.each_server().nth(server).map_or(0, |group| group.back_after.0);
+            let restart_after = scenario.each_server().nth(server).map_or(0, |group| group.restart_after.0);
             add(at, FaultEvent::Drain { server });
             add(until, FaultEvent::Gone { server });
             add(until + restart_after, FaultEvent::Back { server });
--- a/crates/larklink-simulation/src/goodput.rs
+++ b/crates/larklink-simulation/src/goodput.rs
@@ -133,7 +133,7 @@
     let is_restart = |event: &&LoggedEvent| event.at > 0 && matches!(event.kind, EventKind::ProxyUp { .. });
     let restarted = event_log.events.iter().rfind(is_restart)?.at;
     let length = scenario.length.0;
-    let store_rate = scenario.store.rate;
+    let store_rate = scenario.session_store.rate;
     let last = length.checked_sub(WINDOW).filter(|&last| last >= restarted)?;
     let times = SessionTimes::read(event_log);
     let starts = (restarted..=last).step_by(STEP as usize);
--- a/crates/larklink-simulation/src/scenario.rs
+++ b/crates/larklink-simulation/src/scenario.rs
@@ -41,11 +41,14 @@
     /// The servers, in groups of equal ones.
     pub servers: Vec<Spanned<ServerGroup>>,
     /// The session store.
-    pub store: SessionStoreSettings,
+    #[serde(rename = "store")]
+    pub session_store: SessionStoreSettings,
     /// The endpoint list.
-    pub list: EndpointListSettings,
+    #[serde(rename = "list")]
+    pub endpoint_list: EndpointListSettings,
     /// The external load balancer.
-    pub front: LoadBalancerSettings,
+    #[serde(rename = "front")]
+    pub load_balancer: LoadBalancerSettings,
     /// The listeners.
     pub listeners: Vec<Spanned<ListenerSpec>>,
     /// The faults.
@@ -64,9 +67,9 @@
             proxies: ProxyFleet::default(),
             rules: ProxyRules::default(),
             servers: vec![Spanned::new(0..0, ServerGroup::default())],
-            store: SessionStoreSettings::default(),
-            list: EndpointListSettings::default(),
-            front: LoadBalancerSettings::default(),
+            session_store: SessionStoreSettings::default(),
+            endpoint_list: EndpointListSettings::default(),
+            load_balancer: LoadBalancerSettings::default(),
             listeners: vec![Spanned::new(0..0, ListenerSpec::default())],
             faults: Vec::new(),
             must: Requirements::default(),
@@ -117,9 +120,9 @@
     /// The mean number of sessions that are established at once, at most.
     pub fn standing(&self) -> usize {
         let sessions = |listener: &ListenerSpec| {
-            let stay = self.length.0.min(listener.life.0) as f64;
-            let coming = listener.rate * stay / SECOND as f64;
-            listener.standing + coming.ceil() as usize
+            let stay = self.length.0.min(listener.mean_stay.0) as f64;
+            let coming = listener.arrivals_per_second * stay / SECOND as f64;
+            listener.initial_clients + coming.ceil() as usize
         };
         self.listeners.iter().map(|listener| sessions(listener.get_ref())).sum()
     }
@@ -131,7 +134,7 @@
         }
         validation::check_proxies(&self.proxies, &self.must, &mut found);
         validation::check_rules(&self.rules, &mut found);
-        validation::check_session_store(&self.store, &mut found);
+        validation::check_session_store(&self.session_store, &mut found);
         validation::check_requirements(&self.must, &self.faults, &mut found);
         let listed: Vec<_> = self.each_server().map(|server| server.listed).collect();
         validation::check_server_count(listed.len(), listed.contains(&true), &mut found);
--- a/crates/larklink-simulation/src/scenario/fault.rs
+++ b/crates/larklink-simulation/src/scenario/fault.rs
@@ -48,21 +48,26 @@
     pub at: ConfigDuration,
     /// How long it lasts.
     #[serde(rename = "for")]
-    pub lasts: Option<ConfigDuration>,
+    pub duration: Option<ConfigDuration>,
     /// Which proxies or servers, by number from 0; otherwise a share of them, drawn; otherwise the first.
-    pub which: Option<Vec<usize>>,
+    #[serde(rename = "which")]
+    pub targets: Option<Vec<usize>>,
     /// The share of them that is drawn.
     pub share: Option<f64>,
     /// How many times slower, or one in how many.
     pub factor: Option<f64>,
     /// How long after one target the next is struck.
-    pub apart: Option<ConfigDuration>,
+    #[serde(rename = "apart")]
+    pub interval: Option<ConfigDuration>,
     /// How many targets are struck together.
-    pub together: Option<usize>,
+    #[serde(rename = "together")]
+    pub batch_size: Option<usize>,
     /// How long after one time it happens again.
-    pub every: Option<ConfigDuration>,
+    #[serde(rename = "every")]
+    pub repeat_interval: Option<ConfigDuration>,
     /// How often it happens in all.
-    pub times: Option<u32>,
+    #[serde(rename = "times")]
+    pub repeats: Option<u32>,
     /// Whether a proxy is killed at the moment at which it has accepted its next connection.
     #[serde(default)]
     pub at_accept: bool,
--- a/crates/larklink-simulation/src/scenario/fleet.rs
+++ b/crates/larklink-simulation/src/scenario/fleet.rs
@@ -35,29 +35,34 @@
     /// How long a connection to a server may take.
     pub connect_timeout: ConfigDuration,
     /// The most attempts of one session.
-    pub dials: u32,
+    #[serde(rename = "dials")]
+    pub max_attempts: u32,
     /// The longest Retry-After of a rejection; none is given if it is 0.
-    pub retry_after: ConfigDuration,
+    #[serde(rename = "retry_after")]
+    pub max_retry_after: ConfigDuration,
     /// How long after the notification of a drain new sessions may still be sent to the server.
     pub drain_grace: ConfigDuration,
     /// Whether proxies may check the health of servers.
-    pub probes: bool,
+    #[serde(rename = "probes")]
+    pub health_checks: bool,
     /// How long after a failed poll a proxy counts as notified of what it could not read.
-    pub must_ask_in: ConfigDuration,
+    #[serde(rename = "must_ask_in")]
+    pub discovery_deadline: ConfigDuration,
     /// Whether packets pass through: a proxy that stops migrates nothing, and its end breaks its sessions.
-    pub passes: bool,
+    #[serde(rename = "passes")]
+    pub passthrough: bool,
 }
 
 impl Default for ProxyRules {
     fn default() -> Self {
         Self {
             connect_timeout: ConfigDuration::from_millis(250),
-            dials: 4,
-            retry_after: ConfigDuration::from_millis(1500),
+            max_attempts: 4,
+            max_retry_after: ConfigDuration::from_millis(1500),
             drain_grace: ConfigDuration::from_millis(500),
-            probes: true,
-            must_ask_in: ConfigDuration::from_millis(10_000),
-            passes: false,
+            health_checks: true,
+            discovery_deadline: ConfigDuration::from_millis(10_000),
+            passthrough: false,
         }
     }
 }
@@ -73,25 +78,34 @@
     /// The speed of a core.
     pub speed: f64,
     /// The most sessions of each.
-    pub holds: usize,
+    #[serde(rename = "holds")]
+    pub max_sessions: usize,
     /// The work of a set-up, on a core of speed 1.
     pub setup_work: ConfigDuration,
     /// Set-ups are rejected while one would wait for longer than this.
-    pub queue: ConfigDuration,
+    #[serde(rename = "queue")]
+    pub max_queue_wait: ConfigDuration,
     /// The share of its capacity that a server has when it starts.
-    pub start_capacity: f64,
+    #[serde(rename = "start_capacity")]
+    pub initial_capacity: f64,
     /// How long its slow start takes.
-    pub warm_up: ConfigDuration,
+    #[serde(rename = "warm_up")]
+    pub slow_start_duration: ConfigDuration,
     /// How many times its capacity it may be sent in slow start before it is overloaded.
-    pub fall_multiple: f64,
+    #[serde(rename = "fall_multiple")]
+    pub overload_multiple: f64,
     /// The window over which that is counted.
-    pub fall_after: ConfigDuration,
+    #[serde(rename = "fall_after")]
+    pub overload_window: ConfigDuration,
     /// Whether an overloaded server dies.
-    pub falls: bool,
+    #[serde(rename = "falls")]
+    pub dies_when_overloaded: bool,
     /// How long after that it starts again.
-    pub back_after: ConfigDuration,
+    #[serde(rename = "back_after")]
+    pub restart_after: ConfigDuration,
     /// How often it makes a load report.
-    pub report_every: ConfigDuration,
+    #[serde(rename = "report_every")]
+    pub report_interval: ConfigDuration,
     /// Whether it is listed from the start; otherwise it joins by a fault.
     pub listed: bool,
     /// Its weight in the endpoint list.
@@ -104,16 +118,16 @@
             count: 6,
             cores: 2,
             speed: 1.0,
-            holds: 5000,
+            max_sessions: 5000,
             setup_work: ConfigDuration::from_millis(2),
-            queue: ConfigDuration::from_millis(1500),
-            start_capacity: 0.12,
-            warm_up: ConfigDuration::from_millis(20_000),
-            fall_multiple: 4.0,
-            fall_after: ConfigDuration::from_millis(1000),
-            falls: true,
-            back_after: ConfigDuration::from_millis(2000),
-            report_every: ConfigDuration::from_millis(200),
+            max_queue_wait: ConfigDuration::from_millis(1500),
+            initial_capacity: 0.12,
+            slow_start_duration: ConfigDuration::from_millis(20_000),
+            overload_multiple: 4.0,
+            overload_window: ConfigDuration::from_millis(1000),
+            dies_when_overloaded: true,
+            restart_after: ConfigDuration::from_millis(2000),
+            report_interval: ConfigDuration::from_millis(200),
             listed: true,
             weight: 1.0,
         }
--- a/crates/larklink-simulation/src/scenario/listener.rs
+++ b/crates/larklink-simulation/src/scenario/listener.rs
@@ -38,21 +38,28 @@
     /// How long the idempotency key of a referenced session is known.
     pub window: ConfigDuration,
     /// How soon a session should be accepted.
-    pub handshake_target: ConfigDuration,
+    #[serde(rename = "handshake_target")]
+    pub handshake_objective: ConfigDuration,
     /// How long a client waits for a response.
     pub dial_timeout: ConfigDuration,
     /// The clients that are there from the start.
-    pub standing: usize,
+    #[serde(rename = "standing")]
+    pub initial_clients: usize,
     /// The time over which those come.
-    pub spread: ConfigDuration,
+    #[serde(rename = "spread")]
+    pub initial_spread: ConfigDuration,
     /// Clients that come in a second.
-    pub rate: f64,
+    #[serde(rename = "rate")]
+    pub arrivals_per_second: f64,
     /// The mean time for which one stays.
-    pub life: ConfigDuration,
+    #[serde(rename = "life")]
+    pub mean_stay: ConfigDuration,
     /// How often a client sends a message.
-    pub every: ConfigDuration,
+    #[serde(rename = "every")]
+    pub message_interval: ConfigDuration,
     /// How soon a message should come back.
-    pub line_target: ConfigDuration,
+    #[serde(rename = "line_target")]
+    pub message_objective: ConfigDuration,
     /// The load of a session, in cores of speed 1.
     pub load: f64,
     /// The weight of a client's service.
@@ -60,13 +67,17 @@
     /// When a client retries.
     pub retry: RetryBehavior,
     /// How long it waits before that.
-    pub wait: ConfigDuration,
+    #[serde(rename = "wait")]
+    pub retry_wait: ConfigDuration,
     /// How often it tries before it leaves for good.
-    pub tries: u32,
+    #[serde(rename = "tries")]
+    pub max_tries: u32,
     /// How long it waits after its connection broke or was migrated, half to one and a half times.
-    pub again_after: ConfigDuration,
+    #[serde(rename = "again_after")]
+    pub reconnect_wait: ConfigDuration,
     /// The mean number of clients that share a group key.
-    pub group: usize,
+    #[serde(rename = "group")]
+    pub clients_per_group: usize,
     /// The kilobytes that a client requests and never reads; 0 for one that reads.
     pub deaf_kb: usize,
 }
@@ -77,21 +88,21 @@
             name: "pick-list".into(),
             kind: SessionKind::Repeatable,
             window: ConfigDuration::from_millis(1000),
-            handshake_target: ConfigDuration::from_millis(500),
+            handshake_objective: ConfigDuration::from_millis(500),
             dial_timeout: ConfigDuration::from_millis(3000),
-            standing: 200,
-            spread: ConfigDuration::from_millis(3000),
-            rate: 20.0,
-            life: ConfigDuration::from_millis(15_000),
-            every: ConfigDuration::from_millis(1000),
-            line_target: ConfigDuration::from_millis(100),
+            initial_clients: 200,
+            initial_spread: ConfigDuration::from_millis(3000),
+            arrivals_per_second: 20.0,
+            mean_stay: ConfigDuration::from_millis(15_000),
+            message_interval: ConfigDuration::from_millis(1000),
+            message_objective: ConfigDuration::from_millis(100),
             load: 0.004,
             utility: 1.0,
             retry: RetryBehavior::After,
-            wait: ConfigDuration::from_millis(500),
-            tries: 8,
-            again_after: ConfigDuration::from_millis(200),
-            group: 4,
+            retry_wait: ConfigDuration::from_millis(500),
+            max_tries: 8,
+            reconnect_wait: ConfigDuration::from_millis(200),
+            clients_per_group: 4,
             deaf_kb: 0,
         }
     }
--- a/crates/larklink-simulation/src/scenario/validation.rs
+++ b/crates/larklink-simulation/src/scenario/validation.rs
@@ -86,7 +86,7 @@
 }
 
 pub(super) fn check_rules(rules: &ProxyRules, found: &mut Findings) {
-    if rules.dials == 0 {
+    if rules.max_attempts == 0 {
         found.add("rules.dials", "a session needs one at least");
     }
     if rules.connect_timeout.0 == 0 {
@@ -116,7 +116,7 @@
     }
     let restarts_proxy = |fault: &Spanned<FaultSpec>| {
         let fault = fault.get_ref();
-        matches!(fault.kind, FaultKind::ProxyKilled | FaultKind::ProxyStopped) && fault.lasts.is_some()
+        matches!(fault.kind, FaultKind::ProxyKilled | FaultKind::ProxyStopped) && fault.duration.is_some()
     };
     if requirements.recovers.is_some() && !faults.iter().any(restarts_proxy) {
         found.add("must.recovers", "no proxy is stopped or killed and started again");
@@ -141,13 +141,13 @@
     if !is_positive(group.speed) {
         found.add("speed", format!("a speed of {}", group.speed));
     }
-    if !is_share_above_zero(group.start_capacity) {
+    if !is_share_above_zero(group.initial_capacity) {
         found.add("start_capacity", "a share over 0, up to 1");
     }
-    if !is_positive(group.fall_multiple) {
-        found.add("fall_multiple", format!("a multiple of {}", group.fall_multiple));
+    if !is_positive(group.overload_multiple) {
+        found.add("fall_multiple", format!("a multiple of {}", group.overload_multiple));
     }
-    if group.fall_after.0 == 0 || group.report_every.0 == 0 {
+    if group.overload_window.0 == 0 || group.report_interval.0 == 0 {
         found.add("fall_after", "fall_after and report_every are spans over 0");
     }
     if !is_positive(group.weight) {
@@ -171,14 +171,18 @@
     if name.is_empty() || !name.chars().all(is_plain) {
         found.add("name", format!("{name:?}: letters, digits, - _ . only"));
     }
-    if listener.dial_timeout < listener.handshake_target || listener.dial_timeout.0 == 0 {
-        let target = listener.handshake_target;
+    if listener.dial_timeout < listener.handshake_objective || listener.dial_timeout.0 == 0 {
+        let target = listener.handshake_objective;
         found.add("dial_timeout", format!("{} is under the target, {target}", listener.dial_timeout));
     }
-    if !(listener.rate >= 0.0 && listener.rate <= MAX_ARRIVALS_PER_SECOND) {
-        found.add("rate", format!("{} clients a second", listener.rate));
+    if !(listener.arrivals_per_second >= 0.0 && listener.arrivals_per_second <= MAX_ARRIVALS_PER_SECOND) {
+        found.add("rate", format!("{} clients a second", listener.arrivals_per_second));
     }
-    if listener.every.0 == 0 || listener.life.0 == 0 || listener.group == 0 || listener.tries == 0 {
+    if listener.message_interval.0 == 0
+        || listener.mean_stay.0 == 0
+        || listener.clients_per_group == 0
+        || listener.max_tries == 0
+    {
         found.add("every", "every, life, group and tries are over 0");
     }
     if listener.deaf_kb > MAX_UNREAD_KB {
@@ -231,7 +235,7 @@
     check_fault_strength(fault, found);
     check_fault_repeats(fault, found);
     if fault.kind == FaultKind::ServersJoin {
-        let which = fault.which.clone().unwrap_or_default();
+        let which = fault.targets.clone().unwrap_or_default();
         let strikes_listed = which.iter().any(|&server| targets.listed.get(server) == Some(&true));
         if strikes_listed || !targets.listed.contains(&false) {
             found.add("what", "only servers with listed = false can join");
@@ -240,7 +244,7 @@
 }
 
 fn check_fault_targets(fault: &FaultSpec, count: Option<usize>, found: &mut Findings) {
-    match (&fault.which, fault.share, count) {
+    match (&fault.targets, fault.share, count) {
         (Some(_), _, None) => found.add("which", "there is only one of it"),
         (Some(_), Some(_), _) => found.add("share", "either which or a share of them"),
         (Some(which), _, Some(count)) => {
@@ -266,7 +270,7 @@
             | FaultKind::ListLost
             | FaultKind::ListStill
     );
-    if needs_duration && fault.lasts.is_none_or(|lasts| lasts.0 == 0) {
+    if needs_duration && fault.duration.is_none_or(|lasts| lasts.0 == 0) {
         found.add("for", "missing: how long it lasts");
     }
     let takes_factor = matches!(fault.kind, FaultKind::StoreSlow | FaultKind::ServerDrops);
@@ -282,13 +286,14 @@
 }
 
 fn check_fault_repeats(fault: &FaultSpec, found: &mut Findings) {
-    if fault.together == Some(0) {
+    if fault.batch_size == Some(0) {
         found.add("together", "one at least");
     }
-    if fault.times.is_some_and(|times| times == 0 || times > MAX_REPEATS) {
+    if fault.repeats.is_some_and(|times| times == 0 || times > MAX_REPEATS) {
         found.add("times", format!("from 1 to {MAX_REPEATS}"));
     }
-    if fault.times.is_some_and(|times| times > 1) && fault.every.is_none_or(|every| every.0 == 0) {
+    if fault.repeats.is_some_and(|times| times > 1) && fault.repeat_interval.is_none_or(|every| every.0 == 0)
+    {
         found.add("every", "missing: how often");
     }
 }
--- a/crates/larklink-simulation/src/server.rs
+++ b/crates/larklink-simulation/src/server.rs
@@ -32,25 +32,25 @@
     /// The speed of a core.
     pub speed: f64,
     /// The most sessions that it holds.
-    pub holds: usize,
+    pub max_sessions: usize,
     /// The work of a set-up.
     pub setup_work: f64,
     /// Set-ups are rejected while one would wait for longer than this.
-    pub queue: TickDuration,
+    pub max_queue_wait: TickDuration,
     /// The share of its capacity that it has when it starts.
-    pub start_capacity: f64,
+    pub initial_capacity: f64,
     /// How long its slow start takes.
-    pub warm_up: TickDuration,
+    pub slow_start_duration: TickDuration,
     /// How many times its capacity it may be sent in slow start.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// The window over which that is counted.
-    pub fall_after: TickDuration,
+    pub overload_window: TickDuration,
     /// Whether it dies when it is sent more.
-    pub falls: bool,
+    pub dies_when_overloaded: bool,
     /// How long after that it starts again.
-    pub back_after: TickDuration,
+    pub restart_after: TickDuration,
     /// How often it makes a load report.
-    pub report_every: TickDuration,
+    pub report_interval: TickDuration,
 }
 
 /// The state of a server.
@@ -166,8 +166,8 @@
             silent_until: 0,
             reset_one_in: 0,
             accepted: 0,
-            overload: OverloadDetector::new(profile.fall_after, profile.fall_multiple),
-            load_meter: LoadMeter::new(profile.report_every),
+            overload: OverloadDetector::new(profile.overload_window, profile.overload_multiple),
+            load_meter: LoadMeter::new(profile.report_interval),
             done: 0.0,
             profile,
         }
@@ -191,8 +191,9 @@
     /// The share of its full capacity that it has now.
     pub fn warmth(&self, now: Timestamp) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
-        let elapsed = now.saturating_sub(started_at) as f64 / (self.profile.warm_up as f64).max(1.0);
-        (self.profile.start_capacity + (1.0 - self.profile.start_capacity) * elapsed).min(1.0)
+        let elapsed =
+            now.saturating_sub(started_at) as f64 / (self.profile.slow_start_duration as f64).max(1.0);
+        (self.profile.initial_capacity + (1.0 - self.profile.initial_capacity) * elapsed).min(1.0)
     }
 
     /// Microseconds of work that it can do in a second now.
@@ -201,7 +202,7 @@
     }
 
     fn is_in_slow_start(&self, now: Timestamp) -> bool {
-        self.started_at.is_some_and(|started_at| now < started_at + self.profile.warm_up)
+        self.started_at.is_some_and(|started_at| now < started_at + self.profile.slow_start_duration)
     }
 
     /// Whether it answers those who connect.
@@ -232,7 +233,7 @@
             return send(ServerMessage::Reset);
         }
         let wait = self.cores.iter().copied().fold(f64::MAX, f64::min) - now as f64;
-        if self.sessions.len() >= self.profile.holds || wait > self.profile.queue as f64 {
+        if self.sessions.len() >= self.profile.max_sessions || wait > self.profile.max_queue_wait as f64 {
             return send(ServerMessage::AtCapacity);
         }
         self.accepted += 1;
@@ -301,9 +302,9 @@
         let slow_start = self.is_in_slow_start(now);
         if let Some(ratio) = self.overload.receive(now, work, capacity, slow_start) {
             outputs.push(ServerOutput::Overloaded(ratio));
-            if self.profile.falls {
+            if self.profile.dies_when_overloaded {
                 self.stop(now, outputs);
-                self.timers.push(now + self.profile.back_after, ServerTimer::Restart);
+                self.timers.push(now + self.profile.restart_after, ServerTimer::Restart);
             }
         }
     }
--- a/crates/larklink-simulation/src/simulate/settings_object.rs
+++ b/crates/larklink-simulation/src/simulate/settings_object.rs
@@ -18,7 +18,8 @@
 /// The settings object that the proxy of that number is given.
 pub fn settings(scenario: &Scenario, proxy: usize) -> Value {
     let listeners: Vec<_> = scenario.listeners.iter().map(|listener| listener.get_ref()).collect();
-    let message_objectives: Vec<_> = listeners.iter().map(|listener| nanos(listener.line_target.0)).collect();
+    let message_objectives: Vec<_> =
+        listeners.iter().map(|listener| nanos(listener.message_objective.0)).collect();
     let rules = &scenario.rules;
     let server = scenario.servers[0].get_ref();
     let moved = scenario.moved(proxy);
@@ -26,18 +27,18 @@
         if moved { json!({"cross_zone": CROSS_ZONE_COST, "moves": MIGRATION_COST}) } else { json!({}) };
     json!({
         "discovery": "pushed",
-        "domain": {"mode": if rules.passes { "pass" } else { "proxy" }, "groups": true,
+        "domain": {"mode": if rules.passthrough { "pass" } else { "proxy" }, "groups": true,
                    "message_aim_ns": message_objectives, "tells_delay": true, "tells_load": true},
         "feedback": {"names": ["inflight", "util", "x0"], "source": "on_probe"},
         "fees": costs,
         "grades": listeners.into_iter().map(listener_object).collect::<Vec<_>>(),
         "group_size": scenario.proxies.count,
-        "policy_limits": {"dial_timeout_ns": nanos(rules.connect_timeout.0), "send_cap": rules.dials,
-                          "max_retry_after_ns": nanos(rules.retry_after.0),
-                          "retry_after": rules.retry_after.0 > 0, "probing": rules.probes && !moved},
-        "safety": {"cold_ns": nanos(server.warm_up.0), "drain_grace_ns": nanos(rules.drain_grace.0),
-                   "fall_multiple": server.fall_multiple, "must_ask_in_ns": nanos(rules.must_ask_in.0),
-                   "overload_for_ns": nanos(server.fall_after.0), "start_capacity": server.start_capacity},
+        "policy_limits": {"dial_timeout_ns": nanos(rules.connect_timeout.0), "send_cap": rules.max_attempts,
+                          "max_retry_after_ns": nanos(rules.max_retry_after.0),
+                          "retry_after": rules.max_retry_after.0 > 0, "probing": rules.health_checks && !moved},
+        "safety": {"cold_ns": nanos(server.slow_start_duration.0), "drain_grace_ns": nanos(rules.drain_grace.0),
+                   "fall_multiple": server.overload_multiple, "must_ask_in_ns": nanos(rules.discovery_deadline.0),
+                   "overload_for_ns": nanos(server.overload_window.0), "start_capacity": server.initial_capacity},
         "weights": "nominal",
         "zone": proxy % scenario.proxies.zones,
         "zones": (0..scenario.proxies.zones).map(|zone| scenario.zone(zone)).collect::<Vec<_>>(),
@@ -51,6 +52,6 @@
         SessionKind::OnceOnly => "at_most_once",
     };
     json!({"name": listener.name, "idempotency": idempotency, "group": "all",
-        "window_ns": nanos(listener.window.0), "aim_ns": nanos(listener.handshake_target.0),
+        "window_ns": nanos(listener.window.0), "aim_ns": nanos(listener.handshake_objective.0),
         "deadline_ns": nanos(listener.dial_timeout.0)})
 }
--- a/crates/larklink-simulation/src/world.rs
+++ b/crates/larklink-simulation/src/world.rs
@@ -82,16 +82,16 @@
     ServerProfile {
         cores: group.cores,
         speed: group.speed,
-        holds: group.holds,
+        max_sessions: group.max_sessions,
         setup_work: group.setup_work.0 as f64 * MICROS_PER_TICK,
-        queue: group.queue.0,
-        start_capacity: group.start_capacity,
-        warm_up: group.warm_up.0,
-        fall_multiple: group.fall_multiple,
-        fall_after: group.fall_after.0,
-        falls: group.falls,
-        back_after: group.back_after.0,
-        report_every: group.report_every.0,
+        max_queue_wait: group.max_queue_wait.0,
+        initial_capacity: group.initial_capacity,
+        slow_start_duration: group.slow_start_duration.0,
+        overload_multiple: group.overload_multiple,
+        overload_window: group.overload_window.0,
+        dies_when_overloaded: group.dies_when_overloaded,
+        restart_after: group.restart_after.0,
+        report_interval: group.report_interval.0,
     }
 }
 
@@ -108,7 +108,7 @@
         let listeners = scenario.listeners.iter().map(|listener| listener.get_ref().clone()).collect();
         let mut servers: Vec<_> =
             scenario.each_server().map(|group| Server::new(server_profile(group))).collect();
-        let mut endpoint_list = EndpointList::new(servers.len(), scenario.list.lag.0);
+        let mut endpoint_list = EndpointList::new(servers.len(), scenario.endpoint_list.lag.0);
         for (index, _) in scenario.each_server().enumerate().filter(|(_, group)| !group.listed) {
             servers[index].stop(0, &mut Vec::new());
             endpoint_list.leave_out(index);
@@ -116,12 +116,12 @@
         Self {
             servers,
             endpoint_list,
-            session_store: SessionStore::new(scenario.store.rate, scenario.store.bound.0),
+            session_store: SessionStore::new(scenario.session_store.rate, scenario.session_store.bound.0),
             clients: Clients::new(listeners, scenario.length.0, random_stream(seed, CLIENT_STREAM)),
             load_balancer: ExternalLoadBalancer::new(
                 scenario.proxies.count,
                 scenario.proxies.zones,
-                scenario.front.notices_after.0,
+                scenario.load_balancer.notices_after.0,
             ),
             event_log: EventLog::default(),
             fault_bands: timeline.bands,
--- a/crates/larklink-simulation/tests/format_fixtures.rs
+++ b/crates/larklink-simulation/tests/format_fixtures.rs
@@ -163,35 +163,35 @@
     );
     let rules = &scenario.rules;
     assert_eq!(
-        (rules.connect_timeout.0, rules.dials, rules.retry_after.0, rules.drain_grace.0),
+        (rules.connect_timeout.0, rules.max_attempts, rules.max_retry_after.0, rules.drain_grace.0),
         (3000, 7, 20_000, 7505)
     );
-    assert_eq!((rules.probes, rules.must_ask_in.0, rules.passes), (false, 80_000, true));
+    assert_eq!((rules.health_checks, rules.discovery_deadline.0, rules.passthrough), (false, 80_000, true));
     let [one, other] = &scenario.servers[..] else { panic!("{:?}", scenario.servers) };
     let group = one.get_ref();
-    assert_eq!((group.count, group.cores, group.speed, group.holds), (3, 4, 1.5, 100));
+    assert_eq!((group.count, group.cores, group.speed, group.max_sessions), (3, 4, 1.5, 100));
     assert_eq!(
-        (group.setup_work.0, group.queue.0, group.start_capacity, group.warm_up.0),
+        (group.setup_work.0, group.max_queue_wait.0, group.initial_capacity, group.slow_start_duration.0),
         (5, 10_000, 0.5, 90_000)
     );
     assert_eq!(
-        (group.fall_multiple, group.fall_after.0, group.falls, group.back_after.0),
+        (group.overload_multiple, group.overload_window.0, group.dies_when_overloaded, group.restart_after.0),
         (2.5, 12_000, false, 30_000)
     );
-    assert_eq!((group.report_every.0, group.listed, group.weight), (1500, false, 0.25));
+    assert_eq!((group.report_interval.0, group.listed, group.weight), (1500, false, 0.25));
     let group = other.get_ref();
-    assert_eq!((group.count, group.cores, group.speed, group.holds), (6, 2, 1.0, 5000));
+    assert_eq!((group.count, group.cores, group.speed, group.max_sessions), (6, 2, 1.0, 5000));
     assert_eq!(
-        (group.setup_work.0, group.queue.0, group.start_capacity, group.warm_up.0),
+        (group.setup_work.0, group.max_queue_wait.0, group.initial_capacity, group.slow_start_duration.0),
         (20, 15_000, 0.12, 200_000)
     );
     assert_eq!(
-        (group.fall_multiple, group.fall_after.0, group.falls, group.back_after.0),
+        (group.overload_multiple, group.overload_window.0, group.dies_when_overloaded, group.restart_after.0),
         (4.0, 10_000, true, 20_000)
     );
-    assert_eq!((group.report_every.0, group.listed, group.weight), (2000, true, 1.0));
-    assert_eq!((scenario.store.rate, scenario.store.bound.0), (123.5, 12_500));
-    assert_eq!((scenario.list.lag.0, scenario.front.notices_after.0), (500, 7000));
+    assert_eq!((group.report_interval.0, group.listed, group.weight), (2000, true, 1.0));
+    assert_eq!((scenario.session_store.rate, scenario.session_store.bound.0), (123.5, 12_500));
+    assert_eq!((scenario.endpoint_list.lag.0, scenario.load_balancer.notices_after.0), (500, 7000));
     let must = &scenario.must;
     assert_eq!((must.service, must.accepted, must.each_shape), (Some(0.9), Some(0.95), Some(0.8)));
     assert_eq!((must.answer_p99.map(|l| l.0), must.recovers.map(|l| l.0)), (Some(11_000), Some(60_000)));
@@ -206,39 +206,49 @@
         (listener.name.as_str(), listener.kind, listener.window.0),
         ("pay_1.x", SessionKind::Referenced, 40_000)
     );
-    assert_eq!((listener.handshake_target.0, listener.dial_timeout.0), (2500, 50_000));
+    assert_eq!((listener.handshake_objective.0, listener.dial_timeout.0), (2500, 50_000));
     assert_eq!(
-        (listener.standing, listener.spread.0, listener.rate, listener.life.0),
+        (
+            listener.initial_clients,
+            listener.initial_spread.0,
+            listener.arrivals_per_second,
+            listener.mean_stay.0
+        ),
         (9, 1000, 2.5, 450_000)
     );
     assert_eq!(
-        (listener.every.0, listener.line_target.0, listener.load, listener.utility),
+        (listener.message_interval.0, listener.message_objective.0, listener.load, listener.utility),
         (20_000, 800, 0.125, 3.5)
     );
     assert_eq!(
-        (listener.retry, listener.wait.0, listener.tries, listener.again_after.0),
+        (listener.retry, listener.retry_wait.0, listener.max_tries, listener.reconnect_wait.0),
         (RetryBehavior::AtOnce, 9000, 3, 600)
     );
-    assert_eq!((listener.group, listener.deaf_kb), (2, 64));
+    assert_eq!((listener.clients_per_group, listener.deaf_kb), (2, 64));
     let listener = other.get_ref();
     assert_eq!(
         (listener.name.as_str(), listener.kind, listener.window.0),
         ("pick-list", SessionKind::OnceOnly, 10_000)
     );
-    assert_eq!((listener.handshake_target.0, listener.dial_timeout.0), (5000, 30_000));
+    assert_eq!((listener.handshake_objective.0, listener.dial_timeout.0), (5000, 30_000));
     assert_eq!(
-        (listener.standing, listener.spread.0, listener.rate, listener.life.0),
+        (
+            listener.initial_clients,
+            listener.initial_spread.0,
+            listener.arrivals_per_second,
+            listener.mean_stay.0
+        ),
         (200, 30_000, 20.0, 150_000)
     );
     assert_eq!(
-        (listener.every.0, listener.line_target.0, listener.load, listener.utility),
+        (listener.message_interval.0, listener.message_objective.0, listener.load, listener.utility),
         (10_000, 1000, 0.004, 1.0)
     );
     assert_eq!(
-        (listener.retry, listener.wait.0, listener.tries, listener.again_after.0),
+        (listener.retry, listener.retry_wait.0, listener.max_tries, listener.reconnect_wait.0),
         (RetryBehavior::Never, 5000, 8, 2000)
     );
-    assert_eq!((listener.group, listener.deaf_kb), (4, 0));
+    assert_eq!((listener.clients_per_group, listener.deaf_kb), (4, 0));
     let listener = last.get_ref();
     assert_eq!(
         (listener.name.as_str(), listener.kind, listener.retry),
@@ -251,7 +261,7 @@
     let scenario = Scenario::parse(include_str!("fixtures/scenario.toml")).unwrap();
     // What, when, for how long, and by what factor.
     let seen: Vec<_> = scenario.faults.iter().map(|f| f.get_ref()).collect();
-    let seen: Vec<_> = seen.iter().map(|f| (f.kind, f.at.0, f.lasts.map(|l| l.0), f.factor)).collect();
+    let seen: Vec<_> = seen.iter().map(|f| (f.kind, f.at.0, f.duration.map(|l| l.0), f.factor)).collect();
     assert_eq!(
         seen,
         [
@@ -272,11 +282,14 @@
         ]
     );
     let (first, second) = (scenario.faults[0].get_ref(), scenario.faults[1].get_ref());
-    assert_eq!((first.which.as_deref(), first.share), (Some(&[0, 4][..]), None));
-    assert_eq!((first.apart.map(|l| l.0), first.together), (Some(100), Some(2)));
-    assert_eq!((first.every.map(|l| l.0), first.times, first.at_accept), (Some(200_000), Some(3), true));
-    assert_eq!((second.which.as_deref(), second.share), (None, Some(0.5)));
-    assert_eq!((second.apart.map(|l| l.0), second.together), (None, None));
-    assert_eq!((second.every.map(|l| l.0), second.times, second.at_accept), (None, None, false));
+    assert_eq!((first.targets.as_deref(), first.share), (Some(&[0, 4][..]), None));
+    assert_eq!((first.interval.map(|l| l.0), first.batch_size), (Some(100), Some(2)));
+    assert_eq!(
+        (first.repeat_interval.map(|l| l.0), first.repeats, first.at_accept),
+        (Some(200_000), Some(3), true)
+    );
+    assert_eq!((second.targets.as_deref(), second.share), (None, Some(0.5)));
+    assert_eq!((second.interval.map(|l| l.0), second.batch_size), (None, None));
+    assert_eq!((second.repeat_interval.map(|l| l.0), second.repeats, second.at_accept), (None, None, false));
     assert_eq!(scenario.faults[13].get_ref().share, Some(0.75));
 }
--- a/crates/larklink-simulation/tests/world.rs
+++ b/crates/larklink-simulation/tests/world.rs
@@ -16,16 +16,16 @@
     ServerProfile {
         cores: 2,
         speed: 1.0,
-        holds: 50,
+        max_sessions: 50,
         setup_work: 2000.0,
-        queue: 2 * SECOND,
-        start_capacity: 0.1,
-        warm_up: 10 * SECOND,
-        fall_multiple: 4.0,
-        fall_after: SECOND,
-        falls: true,
-        back_after: SECOND,
-        report_every: SECOND / 5,
+        max_queue_wait: 2 * SECOND,
+        initial_capacity: 0.1,
+        slow_start_duration: 10 * SECOND,
+        overload_multiple: 4.0,
+        overload_window: SECOND,
+        dies_when_overloaded: true,
+        restart_after: SECOND,
+        report_interval: SECOND / 5,
     }
 }
 
@@ -47,7 +47,7 @@
         steps in prop::collection::vec((0u64..400, 0u8..6, 100f64..20_000.0), 1..300),
         cold in any::<bool>(),
     ) {
-        let mut server = Server::new(ServerProfile { falls: false, ..profile() });
+        let mut server = Server::new(ServerProfile { dies_when_overloaded: false, ..profile() });
         let (mut now, mut conn, mut out) = (SECOND, 0, Vec::new());
         if cold {
             server.start(now, &mut out);
