--- a/crates/larklink-simulation/tests/audit.rs
+++ b/crates/larklink-simulation/tests/audit.rs
@@ -1,4 +1,4 @@
-//! The audit on books written by hand: each thing that can be broken, beside the nearest thing that is sound.
+//! The audit on event logs written by hand: each violation, beside the nearest thing that is none.
 #![expect(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use larklink_simulation::audit::{Findings, ViolationKind, audit};
@@ -18,7 +18,7 @@
 }
 
 fn opened(listener: usize) -> EventKind {
-    let ask = ClientRequest {
+    let request = ClientRequest {
         client: 0,
         id: ID,
         key: 1,
@@ -28,35 +28,35 @@
         reconnecting: false,
         retry: false,
     };
-    EventKind::Opened { request: ask, proxy: 0 }
+    EventKind::Opened { request, proxy: 0 }
 }
 
-fn dial(server: usize) -> EventKind {
+fn attempt(server: usize) -> EventKind {
     EventKind::AttemptStarted { id: ID, server, connection: server as u64, timeout_ms: 1000 }
 }
 
-fn dial_ended(server: usize, how: AttemptEnd) -> EventKind {
-    EventKind::AttemptEnded { id: ID, server, connection: server as u64, end: how }
+fn attempt_ended(server: usize, end: AttemptEnd) -> EventKind {
+    EventKind::AttemptEnded { id: ID, server, connection: server as u64, end }
 }
 
-fn answered(answer: ClientResponse) -> EventKind {
-    EventKind::Answered { id: ID, response: answer }
+fn answered(response: ClientResponse) -> EventKind {
+    EventKind::Answered { id: ID, response }
 }
 
-fn ended(how: ConnectionEnd) -> EventKind {
-    EventKind::ConnectionEnded { id: ID, end: how }
+fn ended(end: ConnectionEnd) -> EventKind {
+    EventKind::ConnectionEnded { id: ID, end }
 }
 
-/// The findings in a book of these entries, in milliseconds.
-fn judge(entries: Vec<(u64, EventKind)>) -> Findings {
+/// The findings in a log of these events, at their milliseconds.
+fn judge(events: Vec<(u64, EventKind)>) -> Findings {
     let mut event_log = EventLog::default();
-    entries.into_iter().for_each(|(ms, what)| event_log.record(ms * 10, what));
+    events.into_iter().for_each(|(ms, kind)| event_log.record(ms * 10, kind));
     audit(&scenario(""), &event_log, END)
 }
 
-/// What was broken, once each.
-fn broken(entries: Vec<(u64, EventKind)>) -> Vec<ViolationKind> {
-    judge(entries).counts().into_keys().collect()
+/// The kinds of violations, once each.
+fn broken(events: Vec<(u64, EventKind)>) -> Vec<ViolationKind> {
+    judge(events).counts().into_keys().collect()
 }
 
 #[test]
@@ -64,8 +64,8 @@
     let mixed = scenario("[proxies]\ncount = 2\nmoved = 1\n");
     let got = |proxy, answer| {
         let mut event_log = EventLog::default();
-        let EventKind::Opened { request: ask, .. } = opened(0) else { unreachable!() };
-        event_log.record(0, EventKind::Opened { request: ask, proxy });
+        let EventKind::Opened { request, .. } = opened(0) else { unreachable!() };
+        event_log.record(0, EventKind::Opened { request, proxy });
         event_log.record(20, answered(answer));
         audit(&mixed, &event_log, END).shapes.map(|s| (s.opened, s.accepted))
     };
@@ -81,7 +81,7 @@
 #[test]
 fn an_answer_in_time_is_sound_and_one_too_many_too_late_or_none_is_not() {
     let at = |ms, rest: Vec<(u64, EventKind)>| {
-        let mut all = vec![(0, opened(0)), (1, dial(0)), (2, dial_ended(0, AttemptEnd::Accepted))];
+        let mut all = vec![(0, opened(0)), (1, attempt(0)), (2, attempt_ended(0, AttemptEnd::Accepted))];
         all.push((ms, answered(ClientResponse::Accepted)));
         all.extend(rest);
         broken(all)
@@ -125,15 +125,15 @@
 #[test]
 fn a_dial_after_one_that_may_have_run_goes_by_the_kind() {
     let again = |listener, first: AttemptEnd, at| {
-        let entries = vec![
+        let events = vec![
             (0, opened(listener)),
-            (1, dial(0)),
-            (20, dial_ended(0, first)),
-            (at, dial(1)),
-            (at + 1, dial_ended(1, AttemptEnd::Accepted)),
+            (1, attempt(0)),
+            (20, attempt_ended(0, first)),
+            (at, attempt(1)),
+            (at + 1, attempt_ended(1, AttemptEnd::Accepted)),
             (at + 1, answered(ClientResponse::Accepted)),
         ];
-        broken(entries)
+        broken(events)
     };
     assert_eq!(again(0, AttemptEnd::Abandoned, 30), []);
     assert_eq!(again(1, AttemptEnd::Rejected, 30), []);
@@ -141,14 +141,14 @@
     assert_eq!(again(1, AttemptEnd::Reset, 30), [ViolationKind::MayRunTwice]);
     assert_eq!(again(2, AttemptEnd::Abandoned, 900), []);
     assert_eq!(again(2, AttemptEnd::Abandoned, 1060), [ViolationKind::MayRunTwice]);
-    // The end of the first is seen up to 50 ms after the second has come.
+    // The end of the first is logged up to 50 ms after the second has come.
     let out = |first_ends| {
         broken(vec![
             (0, opened(0)),
-            (1, dial(0)),
-            (30, dial(1)),
-            (first_ends, dial_ended(0, AttemptEnd::Abandoned)),
-            (90, dial_ended(1, AttemptEnd::Accepted)),
+            (1, attempt(0)),
+            (30, attempt(1)),
+            (first_ends, attempt_ended(0, AttemptEnd::Abandoned)),
+            (90, attempt_ended(1, AttemptEnd::Accepted)),
             (90, answered(ClientResponse::Accepted)),
         ])
     };
@@ -156,8 +156,8 @@
     let refused = |listener, first, at| {
         broken(vec![
             (0, opened(listener)),
-            (1, dial(0)),
-            (20, dial_ended(0, first)),
+            (1, attempt(0)),
+            (20, attempt_ended(0, first)),
             (at, answered(ClientResponse::Rejected(0))),
         ])
     };
@@ -165,33 +165,34 @@
     assert_eq!(refused(1, AttemptEnd::Failed, 30), [ViolationKind::RefusedThoughItMayHaveRun]);
     assert_eq!(refused(2, AttemptEnd::Failed, 30), []);
     assert_eq!(refused(2, AttemptEnd::Failed, 1100), [ViolationKind::RefusedThoughItMayHaveRun]);
-    let many = (0..5)
-        .flat_map(|n| [(n * 10, dial(n as usize)), (n * 10 + 1, dial_ended(n as usize, AttemptEnd::Failed))]);
+    let many = (0..5).flat_map(|n| {
+        [(n * 10, attempt(n as usize)), (n * 10 + 1, attempt_ended(n as usize, AttemptEnd::Failed))]
+    });
     let many = std::iter::once((0, opened(0))).chain(many).chain([(60, answered(ClientResponse::Failed))]);
     assert_eq!(broken(many.collect()), [ViolationKind::TooManyDials]);
 }
 
 #[test]
 fn servers_that_drain_or_are_cold_are_let_be() {
-    let told = |ready| EventKind::EndpointNotified { proxy: 0, server: 0, ready };
-    let dialled = |at| {
+    let notified = |ready| EventKind::EndpointNotified { proxy: 0, server: 0, ready };
+    let attempted = |at| {
         broken(vec![
-            (0, told(false)),
+            (0, notified(false)),
             (0, opened(0)),
-            (at, dial(0)),
-            (at + 1, dial_ended(0, AttemptEnd::Failed)),
+            (at, attempt(0)),
+            (at + 1, attempt_ended(0, AttemptEnd::Failed)),
             (at + 1, answered(ClientResponse::Failed)),
         ])
     };
-    assert_eq!((dialled(549), dialled(551)), (vec![], vec![ViolationKind::AfterDrain]));
-    // Told twice, the first counts; told that it is up again, none does.
+    assert_eq!((attempted(549), attempted(551)), (vec![], vec![ViolationKind::AfterDrain]));
+    // Of two notifications the first counts; after one that it is up again, none does.
     let back = vec![
-        (0, told(false)),
-        (500, told(false)),
-        (600, told(true)),
+        (0, notified(false)),
+        (500, notified(false)),
+        (600, notified(true)),
         (1000, opened(0)),
-        (1001, dial(0)),
-        (1002, dial_ended(0, AttemptEnd::Failed)),
+        (1001, attempt(0)),
+        (1002, attempt_ended(0, AttemptEnd::Failed)),
         (1003, answered(ClientResponse::Failed)),
     ];
     assert_eq!(broken(back), []);
@@ -207,53 +208,57 @@
 
 #[test]
 fn an_accepted_session_is_cut_by_its_server_or_moved() {
-    let stood = |rest: Vec<(u64, EventKind)>| {
-        let mut all = vec![(0, opened(0)), (1, dial(0)), (2, dial_ended(0, AttemptEnd::Accepted))];
+    let established = |rest: Vec<(u64, EventKind)>| {
+        let mut all = vec![(0, opened(0)), (1, attempt(0)), (2, attempt_ended(0, AttemptEnd::Accepted))];
         all.push((3, answered(ClientResponse::Accepted)));
         all.extend(rest);
         broken(all)
     };
-    assert_eq!(stood(vec![(500, ended(ConnectionEnd::Closed))]), [ViolationKind::CutWithoutMove]);
-    assert_eq!(stood(vec![(500, ended(ConnectionEnd::Migrated))]), []);
-    let cut =
-        |client| stood(vec![(500, dial_ended(0, AttemptEnd::Reset)), (client, ended(ConnectionEnd::Broken))]);
+    assert_eq!(established(vec![(500, ended(ConnectionEnd::Closed))]), [ViolationKind::CutWithoutMove]);
+    assert_eq!(established(vec![(500, ended(ConnectionEnd::Migrated))]), []);
+    let cut = |client| {
+        established(vec![(500, attempt_ended(0, AttemptEnd::Reset)), (client, ended(ConnectionEnd::Broken))])
+    };
     assert_eq!((cut(501), cut(1540), cut(1560)), (vec![], vec![], vec![ViolationKind::EndedLate]));
     assert_eq!(
-        stood(vec![(499, EventKind::ServerDied { server: 0 }), (500, ended(ConnectionEnd::Broken))]),
+        established(vec![(499, EventKind::ServerDied { server: 0 }), (500, ended(ConnectionEnd::Broken))]),
         []
     );
     assert_eq!(
-        stood(vec![(5, EventKind::MessageDelayed { id: ID, direction: Direction::ToClient, took: 11_000 })]),
+        established(vec![(
+            5,
+            EventKind::MessageDelayed { id: ID, direction: Direction::ToClient, took: 11_000 }
+        )]),
         [ViolationKind::LineHeld]
     );
-    assert_eq!(stood(vec![(5, EventKind::MessageAltered { id: ID })]), [ViolationKind::LineChanged]);
+    assert_eq!(established(vec![(5, EventKind::MessageAltered { id: ID })]), [ViolationKind::LineChanged]);
     assert_eq!(
-        stood(vec![(5, EventKind::ConnectionSilent { id: ID, duration: 71_000 })]),
+        established(vec![(5, EventKind::ConnectionSilent { id: ID, duration: 71_000 })]),
         [ViolationKind::SilentTooLong]
     );
-    // Told to wait for longer than its client does.
+    // Notified of more time than its client has.
     let long = EventKind::AttemptStarted { id: ID, server: 0, connection: 0, timeout_ms: 3060 };
-    let told = vec![
+    let notified = vec![
         (0, opened(0)),
         (1, long),
-        (2, dial_ended(0, AttemptEnd::Accepted)),
+        (2, attempt_ended(0, AttemptEnd::Accepted)),
         (3, answered(ClientResponse::Accepted)),
     ];
-    assert_eq!(broken(told), [ViolationKind::ToldTooLong]);
+    assert_eq!(broken(notified), [ViolationKind::ToldTooLong]);
 }
 
 #[test]
 fn where_packets_pass_through_the_end_of_a_proxy_is_no_cut() {
     let mut event_log = EventLog::default();
-    let entries = [
+    let events = [
         (0, opened(0)),
-        (1, dial(0)),
-        (2, dial_ended(0, AttemptEnd::Accepted)),
+        (1, attempt(0)),
+        (2, attempt_ended(0, AttemptEnd::Accepted)),
         (3, answered(ClientResponse::Accepted)),
         (500, ended(ConnectionEnd::Closed)),
         (520, EventKind::ProxyExited { proxy: 0, planned: true }),
     ];
-    entries.into_iter().for_each(|(ms, what)| event_log.record(ms * 10, what));
+    events.into_iter().for_each(|(ms, kind)| event_log.record(ms * 10, kind));
     let found = |more| audit(&scenario(more), &event_log, END).violations.len();
     assert_eq!((found(""), found("[rules]\npasses = true\n")), (1, 0));
 }
--- a/crates/larklink-simulation/tests/rolling.rs
+++ b/crates/larklink-simulation/tests/rolling.rs
@@ -1,5 +1,5 @@
-//! Goodput after a restart: its figure on books written by hand, and the shipped rolling restart in simulated time, where
-//! the session store serves its queue in order and works at what is given up all the same.
+//! Goodput after a restart: on event logs written by hand, and in the shipped rolling restart in simulated time, where
+//! the session store serves its queue in order, also calls that have been abandoned.
 use larklink_simulation::duration::SECOND;
 use larklink_simulation::event_log::{ClientRequest, ClientResponse, EventKind, EventLog};
 use larklink_simulation::goodput::{Recovery, recovery};
@@ -14,7 +14,7 @@
     Scenario::parse(text).unwrap_or_else(|wrong| panic!("{wrong:?}"))
 }
 
-/// The shipped day with so many proxies, of which a tenth is restarted at a time, and such a dial timeout. Three hundred
+/// The shipped run with so many proxies, of which a tenth is restarted at a time, and such a dial timeout. Three hundred
 /// stand before a store three times as fast, with as many more clients: so each sees under one session a second.
 fn rolling(proxies: usize, dial_timeout: &str) -> Scenario {
     let times = if proxies > 30 { 3 } else { 1 };
@@ -38,34 +38,34 @@
     let Run { recovery, findings, .. } = run(&rolling(proxies, dial_timeout), seed);
     assert!(findings.violations.is_empty(), "{:?}", findings.counts());
     let recovery = recovery.expect("proxies were restarted");
-    let told = |wrong| format!("{proxies} proxies, {dial_timeout}, seed {seed}: {wrong}: {recovery}");
-    recovery.unmet(WITHIN).map(told)
+    let describe = |wrong| format!("{proxies} proxies, {dial_timeout}, seed {seed}: {wrong}: {recovery}");
+    recovery.unmet(WITHIN).map(describe)
 }
 
-/// Restarted proxies knew of no trouble and took the time-outs of their dials for none, so that all of them kept the queue
-/// of the store longer than a dial lasts, with no cause left outside: nobody was accepted up to the end.
+/// Restarted proxies that know of no faults, and do not count the time-outs of their attempts as any, may keep the queue
+/// of the session store longer than an attempt lasts, with no cause left outside: no session was accepted up to the end.
 #[test]
 fn goodput_comes_back_after_a_rolling_restart() {
-    let days = [(30, "900ms"), (30, "3200ms"), (300, "900ms"), (300, "3200ms")];
+    let runs = [(30, "900ms"), (30, "3200ms"), (300, "900ms"), (300, "3200ms")];
     let wrong: Vec<_> = std::thread::scope(|scope| {
-        let day = |(proxies, timeout)| {
+        let run_of = |(proxies, timeout)| {
             scope.spawn(move || (1..=5).filter_map(|seed| wrong(proxies, timeout, seed)).collect())
         };
-        let days: Vec<_> = days.map(day).into();
-        days.into_iter().flat_map(|day| -> Vec<String> { day.join().unwrap() }).collect()
+        let runs: Vec<_> = runs.map(run_of).into();
+        runs.into_iter().flat_map(|run_of| -> Vec<String> { run_of.join().unwrap() }).collect()
     });
     assert!(wrong.is_empty(), "{} of 20:\n{}", wrong.len(), wrong.join("\n"));
 }
 
-/// A book of one restart at 2 s, in a run of 12 s before a store that bears 10 calls a second: each 50 ms a client asks,
+/// A log of one restart at 2 s, in a run of 12 s before a store that bears 10 calls a second: each 50 ms a client opens a session,
 /// and is accepted by what `accepts` says of its time, so long after it asked.
 fn event_log(accepts: impl Fn(u64) -> Option<u64>) -> EventLog {
     let mut event_log = EventLog::default();
     event_log.record(0, EventKind::ProxyUp { proxy: 0 });
-    let mut entries = vec![(2 * SECOND, EventKind::ProxyUp { proxy: 0 })];
+    let mut events = vec![(2 * SECOND, EventKind::ProxyUp { proxy: 0 })];
     for n in 0..240 {
         let (at, id) = (n * SECOND / 20, n + 1);
-        let ask = ClientRequest {
+        let request = ClientRequest {
             client: n as usize,
             id,
             key: 1,
@@ -75,14 +75,14 @@
             reconnecting: false,
             retry: false,
         };
-        entries.push((at, EventKind::Opened { request: ask, proxy: 0 }));
-        entries.extend(
+        events.push((at, EventKind::Opened { request, proxy: 0 }));
+        events.extend(
             accepts(at)
                 .map(|after| (at + after, EventKind::Answered { id, response: ClientResponse::Accepted })),
         );
     }
-    entries.sort_by_key(|e| e.0);
-    entries.into_iter().for_each(|(at, what)| event_log.record(at, what));
+    events.sort_by_key(|e| e.0);
+    events.into_iter().for_each(|(at, kind)| event_log.record(at, kind));
     event_log
 }
 
@@ -99,12 +99,12 @@
 fn goodput_is_back_at_the_first_span_from_which_on_all_are() {
     let took = |rate, accepts: &dyn Fn(u64) -> Option<u64>| judged(rate, accepts).unwrap().took;
     assert_eq!(took(10.0, &half_from(0)), Some(0));
-    // A span of 2 s may lack a tenth at its start.
+    // A window of 2 s may lack a tenth at its start.
     assert_eq!(took(10.0, &half_from(6 * SECOND)), Some(38 * SECOND / 10));
-    // The store bears what is offered: half of it is too little. Offered less, it has to be all of that.
+    // The store serves what is offered: half of it is too little. Offered less, it has to be all of that.
     assert_eq!(took(20.0, &half_from(0)), None);
     assert_eq!(took(1000.0, &|_| Some(10)), Some(0));
-    // Answers after a client's patience are no goodput, nor is a good second between two bad ones.
+    // Responses after a client's patience are no goodput, nor is a good second between two bad ones.
     assert_eq!(took(10.0, &|_| Some(SECOND + 1)), None);
     assert_eq!(took(10.0, &|at| half_from(0)(at).filter(|_| at < 9 * SECOND)), None);
 }
@@ -113,8 +113,8 @@
 fn who_tries_often_is_offered_once() {
     let mut all = event_log(|_| None);
     for entry in &mut all.events {
-        if let EventKind::Opened { request: ask, .. } = &mut entry.kind {
-            ask.client %= 4;
+        if let EventKind::Opened { request, .. } = &mut entry.kind {
+            request.client %= 4;
         }
     }
     let after = recovery(&scenario("length = '12s'\n"), &all).unwrap().after;
--- a/crates/larklink-simulation/tests/world.rs
+++ b/crates/larklink-simulation/tests/world.rs
@@ -1,4 +1,4 @@
-//! The world alone, in simulated time: seeded runs that check after every step, and a case for each hard thing.
+//! The world in simulated time: seeded runs that check after every step, and a case for each kind of fault.
 use std::ops::Range;
 
 use larklink_simulation::audit::ViolationKind;
@@ -48,9 +48,9 @@
         cold in any::<bool>(),
     ) {
         let mut server = Server::new(ServerProfile { dies_when_overloaded: false, ..profile() });
-        let (mut now, mut conn, mut out) = (SECOND, 0, Vec::new());
+        let (mut now, mut connection, mut outputs) = (SECOND, 0, Vec::new());
         if cold {
-            server.start(now, &mut out);
+            server.start(now, &mut outputs);
         }
         let mut store = SessionStore::new(500.0, SECOND);
         let (mut lines, mut answered) = (0, 0);
@@ -58,28 +58,28 @@
             now += wait;
             match kind {
                 0 | 1 => {
-                    conn += 1;
-                    server.receive_request(now, conn, conn, 1000.0, &mut store, &mut out);
+                    connection += 1;
+                    server.receive_request(now, connection, connection, 1000.0, &mut store, &mut outputs);
                 }
-                2 => server.connection_closed(conn),
+                2 => server.connection_closed(connection),
                 3 => server.pause(now + wait),
                 _ => {
                     lines += 1;
-                    server.receive_message(now, conn, work, vec![1], &mut out);
+                    server.receive_message(now, connection, work, vec![1], &mut outputs);
                 }
             }
-            server.advance(now, &mut out);
-            answered += out.iter().filter(|o| matches!(o, ServerOutput::Send(_, ServerMessage::Message(_)))).count();
+            server.advance(now, &mut outputs);
+            answered += outputs.iter().filter(|o| matches!(o, ServerOutput::Send(_, ServerMessage::Message(_)))).count();
             prop_assert!(answered <= lines, "each line comes back once at most");
             prop_assert!(server.sessions_held() <= 50);
-            out.clear();
+            outputs.clear();
         }
         // What it has taken on is done by then and not before: two cores at full speed at the best.
         let begun = SECOND;
         let mut end = now;
         while server.next_event_at() != u64::MAX {
             end = end.max(server.next_event_at());
-            server.advance(end, &mut out);
+            server.advance(end, &mut outputs);
         }
         let could = (end - begun) as f64 / SECOND as f64 * 2e6;
         prop_assert!(server.done <= could + 1.0, "{} done of {could}", server.done);
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Whatever is struck, each session ends once and the books of the decisions alone keep the rules.
+    /// Whatever fault is injected, each session ends once, and the decisions alone keep the rules.
     #[test]
     fn every_session_ends_once(seed in 0u64..1000, what in 0usize..6) {
         let fault = [
@@ -131,18 +131,25 @@
     assert_ne!(one.event_log.to_json_lines(), other.event_log.to_json_lines());
 }
 
-/// A zone whose only proxy is dead waits until the front has noticed, and then until it is back; the other goes on.
+/// A zone whose only proxy is dead waits until the external load balancer has noticed, and then until it is back; the other
+/// zone goes on.
 #[test]
 fn the_front_deals_within_a_zone() {
-    let mut front = ExternalLoadBalancer::new(3, 2, SECOND);
-    assert_eq!(front.next_proxy(0, 0), None, "none has answered yet");
-    (0..3).for_each(|proxy| front.proxy_answered(proxy));
-    let dealt: Vec<_> = (0..4).map(|_| front.next_proxy(0, 4)).collect();
+    let mut load_balancer = ExternalLoadBalancer::new(3, 2, SECOND);
+    assert_eq!(load_balancer.next_proxy(0, 0), None, "none has answered yet");
+    (0..3).for_each(|proxy| load_balancer.proxy_answered(proxy));
+    let dealt: Vec<_> = (0..4).map(|_| load_balancer.next_proxy(0, 4)).collect();
     assert_eq!(dealt, [Some(0), Some(2), Some(0), Some(2)]);
-    front.proxy_died(0, 1);
-    assert_eq!((front.next_proxy(SECOND - 1, 5), front.next_proxy(SECOND, 5)), (Some(1), None));
-    front.remove_proxy(0);
-    assert_eq!((front.next_proxy(SECOND, 4), front.next_proxy(SECOND, 4)), (Some(2), Some(2)));
+    load_balancer.proxy_died(0, 1);
+    assert_eq!(
+        (load_balancer.next_proxy(SECOND - 1, 5), load_balancer.next_proxy(SECOND, 5)),
+        (Some(1), None)
+    );
+    load_balancer.remove_proxy(0);
+    assert_eq!(
+        (load_balancer.next_proxy(SECOND, 4), load_balancer.next_proxy(SECOND, 4)),
+        (Some(2), Some(2))
+    );
     let text =
         "length = '6s'\n[proxies]\ncount = 4\nzones = 2\n[[faults]]\nwhat = 'proxy-killed'\nat = '2s'\n";
     clean(&run(&scenario(text), 1));
@@ -156,7 +163,8 @@
     assert!(run.findings.listeners[0].accepted > 300);
 }
 
-/// What a killed proxy held is its clients' to try again; the front goes on sending to it for two seconds.
+/// The sessions of a killed proxy are its clients' to retry; the external load balancer goes on sending to it for two
+/// seconds.
 #[test]
 fn what_a_killed_proxy_held_is_told_apart_from_a_loss() {
     let run = run(&scenario("length = '8s'\n[[faults]]\nwhat = 'proxy-killed'\nat = '3s'\nfor = '3s'\n"), 1);
@@ -165,7 +173,7 @@
     assert!(run.service > 0.8, "{}", run.service);
 }
 
-/// Not at its time but with the next connection after it: that is what went down with it, and it is back once.
+/// It is killed not at its time but with the next connection after it, which goes down with it, and it starts again once.
 #[test]
 fn a_proxy_killed_at_an_accept_is_killed_by_a_connection() {
     let day = |more| {
@@ -178,8 +186,8 @@
     let at = |of: fn(&EventKind) -> bool| {
         run.event_log.events.iter().filter(move |e| e.at > 0 && of(&e.kind)).map(|e| e.at)
     };
-    let gone = at(|what| matches!(what, EventKind::ProxyExited { planned: false, .. })).collect::<Vec<_>>();
-    let [end] = gone[..] else { panic!("{gone:?}") };
+    let exits = at(|what| matches!(what, EventKind::ProxyExited { planned: false, .. })).collect::<Vec<_>>();
+    let [end] = exits[..] else { panic!("{exits:?}") };
     assert!(end > 2 * SECOND, "{end}");
     let opened = at(|what| matches!(what, EventKind::Opened { proxy: 0, .. }));
     assert!(opened.into_iter().any(|at| at + 2 == end), "no connection came at {end}");
@@ -190,7 +198,7 @@
     assert!(wrong.problems.iter().any(|p| p.key == "at_accept"), "{wrong:?}");
 }
 
-/// Any change of the list started a killed proxy again, where another was stopped by plan.
+/// No change of the endpoint list starts a killed proxy again, where another is stopped by plan.
 #[test]
 fn a_killed_proxy_stays_dead_where_another_is_stopped_and_started() {
     let s = scenario(
@@ -202,23 +210,23 @@
         let some = run.event_log.events.iter().filter(|e| e.at > 0);
         some.filter_map(|e| of(&e.kind).map(|proxy| (proxy, e.at))).collect::<Vec<_>>()
     };
-    let gone = at(|what| match what {
+    let exits = at(|what| match what {
         EventKind::ProxyExited { proxy, planned: true } => Some(*proxy),
         _ => None,
     });
-    let ups = at(|what| match what {
+    let starts = at(|what| match what {
         EventKind::ProxyUp { proxy } => Some(*proxy),
         _ => None,
     });
-    // A stop takes as long as the daemon's may, and what it held has to be moved by then; 2 s later it is back.
-    let [(0, end)] = gone[..] else { panic!("{gone:?}") };
+    // A shutdown takes as long as that of the daemon, and its sessions have to be migrated by then; 2 s later it is back.
+    let [(0, end)] = exits[..] else { panic!("{exits:?}") };
     assert!((2 * SECOND + 6000..=2 * SECOND + 36_000).contains(&end), "{end}");
-    assert_eq!(ups, [(0, end + 2 * SECOND)]);
+    assert_eq!(starts, [(0, end + 2 * SECOND)]);
     clean(&run);
 }
 
-/// A server that pauses for longer than a client's patience and then works off what waited: the run is in the
-/// book as late, and no client hears of it.
+/// A server that pauses for longer than a client's patience and then does what waited: the event log has a session that ran
+/// after it was abandoned, and no client is notified of it.
 #[test]
 fn a_set_up_after_a_pause_runs_late_and_answers_nobody() {
     let text = "length = '8s'\n[servers.0]\n";
@@ -235,26 +243,29 @@
 
 #[test]
 fn a_cold_server_that_is_rushed_falls_over_once_and_comes_back_cold() {
-    let (mut server, mut store, mut out) =
+    let (mut server, mut store, mut outputs) =
         (Server::new(profile()), SessionStore::new(1e6, SECOND), Vec::new());
     let mut now = SECOND;
-    server.start(now, &mut out);
-    out.clear();
+    server.start(now, &mut outputs);
+    outputs.clear();
     // A tenth of two cores is 100 set-ups a second; four times that for a second is the most it bears.
-    for conn in 0..900 {
+    for connection in 0..900 {
         now += 5;
-        server.receive_request(now, conn, conn, 0.0, &mut store, &mut out);
-        server.advance(now, &mut out);
+        server.receive_request(now, connection, connection, 0.0, &mut store, &mut outputs);
+        server.advance(now, &mut outputs);
     }
-    let over = out.iter().filter(|o| matches!(o, ServerOutput::Overloaded(ratio) if *ratio > 4.0)).count();
+    let over =
+        outputs.iter().filter(|o| matches!(o, ServerOutput::Overloaded(ratio) if *ratio > 4.0)).count();
     assert_eq!((over, server.state()), (1, ServerState::Dead));
-    server.advance(now + SECOND, &mut out);
+    server.advance(now + SECOND, &mut outputs);
     assert_eq!(server.state(), ServerState::Up);
     assert!(server.warmth(now + SECOND) < 0.2);
     // The same to a warm one is nothing.
-    let (mut warm, mut out) = (Server::new(profile()), Vec::new());
-    (0..900).for_each(|conn| warm.receive_request(SECOND + conn * 5, conn, conn, 0.0, &mut store, &mut out));
-    assert!(!out.iter().any(|o| matches!(o, ServerOutput::Overloaded(_))));
+    let (mut warm, mut outputs) = (Server::new(profile()), Vec::new());
+    (0..900).for_each(|connection| {
+        warm.receive_request(SECOND + connection * 5, connection, connection, 0.0, &mut store, &mut outputs)
+    });
+    assert!(!outputs.iter().any(|o| matches!(o, ServerOutput::Overloaded(_))));
 }
 
 #[test]
@@ -267,7 +278,7 @@
     clean(&run);
 }
 
-/// A hundred proxies before so many of sixty servers, the others not listed yet: the run, which must be clean and
+/// A run of a hundred proxies before so many of sixty servers, the others not listed yet. It must be without a violation and
 /// serve so much.
 fn vast(listed: usize, least: f64, faults: &str) -> Run {
     let run = run(
@@ -283,7 +294,7 @@
     run
 }
 
-/// The sessions that these servers accepted.
+/// How many sessions these servers accepted.
 fn accepted(run: &Run, servers: Range<usize>) -> usize {
     let ends = |e: &&LoggedEvent| matches!(e.kind, EventKind::AttemptEnded { server, end: AttemptEnd::Accepted, .. } if servers.contains(&server));
     run.event_log.events.iter().filter(ends).count()
@@ -307,7 +318,7 @@
     vast(60, 0.6, &faults);
 }
 
-/// Six in ten servers are replaced: the cold ones are used, none falls over, and who drains is empty in time.
+/// Six in ten servers are replaced: those in slow start are used, none is overloaded, and those that drain are empty in time.
 #[test]
 fn six_in_ten_servers_replaced_within_seven_seconds() {
     let six_in_ten = (0..22).collect::<Vec<_>>();
@@ -320,7 +331,7 @@
     assert!(new > old / 10, "{new} of {old} sessions on new servers");
 }
 
-/// All wrong things are told at once, each with its line.
+/// All problems are reported at once, each with its line.
 #[test]
 fn a_bad_scenario_is_refused_with_line_key_and_reason() {
     let wrong = |text: &str| -> Vec<String> {
