--- a/crates/larklink-balancer/tests/decision_trace.rs
+++ b/crates/larklink-balancer/tests/decision_trace.rs
@@ -24,6 +24,15 @@
     Dead,
 }
 
+/// What the events of a run stress.
+#[derive(Clone, Copy, PartialEq)]
+enum Stress {
+    /// Every kind of event and every setting.
+    Everything,
+    /// Large groups, endpoints that restart all the time, and times that fall on the edges of windows.
+    SlowStart,
+}
+
 struct Open {
     handle: SessionHandle,
     server: EndpointIndex,
@@ -34,6 +43,7 @@
 struct Trace {
     rng: ChaCha8Rng,
     settings: Settings,
+    stress: Stress,
     balancer: Balancer,
     now: Timestamp,
     open: Vec<Open>,
@@ -94,12 +104,21 @@
 }
 
 impl Trace {
-    fn new(variant: u64) -> Self {
-        let settings = settings(variant);
+    fn new(stress: Stress, variant: u64) -> Self {
+        let mut settings = settings(variant);
+        if stress == Stress::SlowStart {
+            settings.proxy_count = [6, 40, 300][(variant % 3) as usize];
+            settings.retry_budget = Some(if variant.is_multiple_of(2) {
+                RetryBudgetSettings { min_retries: 1.0, retry_ratio: 0.02, window: 2_000 }
+            } else {
+                RetryBudgetSettings { min_retries: 2.0, retry_ratio: 0.1, window: 2 * SECOND }
+            });
+        }
         let mut trace = Self {
             rng: ChaCha8Rng::seed_from_u64(1_000 + variant),
             balancer: Balancer::new(settings.clone(), variant, 0),
             settings,
+            stress,
             now: 0,
             open: Vec::new(),
             health: vec![Health::Good; SERVERS],
@@ -127,8 +146,8 @@
         self.balancer.update_endpoints(self.now, scope, &entries);
     }
 
-    fn verdict(&mut self, handle: SessionHandle, verdict: Decision) {
-        match verdict {
+    fn decided(&mut self, handle: SessionHandle, decision: Decision) {
+        match decision {
             Decision::Connect { endpoint: server, timeout: limit, send_deadline: by } => {
                 self.output(0, &[handle as u64, server as u64, limit, by]);
                 match self.open.iter_mut().find(|o| o.handle == handle) {
@@ -152,12 +171,12 @@
     }
 
     fn poll(&mut self) {
-        for chore in self.balancer.poll(self.now) {
-            match chore {
+        for action in self.balancer.poll(self.now) {
+            match action {
                 Action::CheckHealth(server) => self.output(4, &[server as u64]),
-                Action::Decided(handle, verdict) => {
+                Action::Decided(handle, decision) => {
                     self.output(5, &[handle as u64]);
-                    self.verdict(handle, verdict);
+                    self.decided(handle, decision);
                 }
                 Action::LimitSendDeadline(handle, by) => self.output(6, &[handle as u64, by]),
                 Action::Migrate(handle) => {
@@ -174,6 +193,9 @@
     }
 
     fn session(&mut self) -> SessionRequest {
+        if self.stress == Stress::SlowStart {
+            return self.grouped_session();
+        }
         let key = self.rng.random_range(1..60u64);
         SessionRequest {
             listener: self.rng.random_range(0..5),
@@ -186,10 +208,30 @@
         }
     }
 
+    /// Two fifths of the sessions are of one group, a fifth of none.
+    fn grouped_session(&mut self) -> SessionRequest {
+        let client_key = self.rng.random_range(1..500u64);
+        let group_key = match self.rng.random_range(0..5) {
+            0..2 => 1,
+            2..4 => self.rng.random_range(2..200u64),
+            _ => 0,
+        };
+        let dial_timeout = [3_000, 5_000, SECOND, 2 * SECOND][self.rng.random_range(0..4)];
+        let (listener, reconnecting) = (self.rng.random_range(0..5), self.rng.random_bool(0.2));
+        SessionRequest {
+            listener,
+            group_key,
+            client_key,
+            dial_timeout,
+            reconnecting,
+            ..SessionRequest::default()
+        }
+    }
+
     fn place(&mut self) {
         let session = self.session();
-        let (handle, verdict) = self.balancer.place(self.now, session);
-        self.verdict(handle, verdict);
+        let (handle, decision) = self.balancer.place(self.now, session);
+        self.decided(handle, decision);
     }
 
     fn settle(&mut self, at: usize, how: AttemptOutcome, over: bool) {
@@ -197,7 +239,7 @@
         self.open[at].dialling = false;
         self.open[at].established = false;
         match self.balancer.attempt_ended(self.now, handle, how, over) {
-            Some(verdict) => self.verdict(handle, verdict),
+            Some(decision) => self.decided(handle, decision),
             None => {
                 self.output(10, &[handle as u64]);
                 self.open.retain(|o| o.handle != handle);
@@ -206,7 +248,7 @@
     }
 
     /// Some dial that is out goes on as its server's health has it.
-    fn dial_ends(&mut self) {
+    fn attempt_ends(&mut self) {
         let Some(at) = self.pick(|o| o.dialling && !o.established) else { return };
         let odd = [
             AttemptOutcome::Cancelled,
@@ -237,7 +279,7 @@
         self.settle(at, if broken { AttemptOutcome::Reset } else { AttemptOutcome::Succeeded }, over);
     }
 
-    fn note(&mut self) {
+    fn observe(&mut self) {
         let Some(at) = self.pick(|o| o.established) else { return };
         let health = self.health[self.open[at].server];
         let note = match self.rng.random_range(0..10) {
@@ -253,7 +295,7 @@
         self.balancer.observe(self.now, self.open[at].handle, note);
     }
 
-    fn probe_answers(&mut self) {
+    fn health_check_ends(&mut self) {
         let server = self.rng.random_range(0..SERVERS);
         let (how, took) = match self.health[server] {
             Health::Good => (AttemptOutcome::Succeeded, self.rng.random_range(0..200)),
@@ -331,14 +373,45 @@
         (!fit.is_empty()).then(|| fit[self.rng.random_range(0..fit.len())])
     }
 
+    /// Often a whole fraction of the window of the retry budget, or one tick more or less.
+    fn edge_of_a_window(&mut self) -> TickDuration {
+        [1, 1_999, 2_000, 2_001, SECOND][self.rng.random_range(0..5)]
+    }
+
+    /// A new process of the proxy comes up while half of the endpoints have just started.
+    fn restart_with_endpoints(&mut self) {
+        self.restart();
+        let started: Vec<_> = (0..SERVERS / 2).map(|s| entry(s, EndpointState::Ready, self.now)).collect();
+        self.balancer.update_endpoints(self.now, ListScope::Changes, &started);
+    }
+
+    fn slow_start_step(&mut self, n: usize) {
+        match self.rng.random_range(0..1_000) {
+            _ if n % 500 == 499 => self.restart_with_endpoints(),
+            0..450 => self.place(),
+            450..700 => self.attempt_ends(),
+            700..760 => self.established_ends(),
+            760..800 => self.observe(),
+            800..840 => self.health_check_ends(),
+            840..855 => {
+                let server = self.rng.random_range(0..SERVERS);
+                let line = entry(server, EndpointState::Ready, self.now);
+                self.balancer.update_endpoints(self.now, ListScope::Changes, &[line]);
+            }
+            855..862 => self.health_changes(),
+            _ => self.now += self.edge_of_a_window(),
+        }
+        self.poll();
+    }
+
     fn step(&mut self, n: usize) {
         match self.rng.random_range(0..1_000) {
             _ if n % 3_000 == 2_999 => self.restart(),
             0..240 => self.place(),
-            240..500 => self.dial_ends(),
+            240..500 => self.attempt_ends(),
             500..590 => self.established_ends(),
-            590..740 => self.note(),
-            740..800 => self.probe_answers(),
+            590..740 => self.observe(),
+            740..800 => self.health_check_ends(),
             800..815 => self.list_changes(),
             815..825 => self.health_changes(),
             825..835 if !self.open.is_empty() => {
@@ -354,10 +427,13 @@
         self.poll();
     }
 
-    fn run(variant: u64) -> (u64, [usize; 11]) {
-        let mut trace = Self::new(variant);
+    fn run(stress: Stress, variant: u64) -> (u64, [usize; 11]) {
+        let mut trace = Self::new(stress, variant);
         for n in 0..EVENTS {
-            trace.step(n);
+            match stress {
+                Stress::Everything => trace.step(n),
+                Stress::SlowStart => trace.slow_start_step(n),
+            }
         }
         (trace.hash.digest(), trace.seen)
     }
@@ -383,14 +459,42 @@
     0x0a21_fea0_4a47_b68e, 0x2d31_b203_df9b_2555, 0x3401_8eca_2cdc_a1d4, 0x6590_720d_414c_ee97,
 ];
 
-#[test]
-fn every_decision_is_as_it_was() {
-    let runs: Vec<_> = (0..HASHES.len() as u64).map(Trace::run).collect();
-    let hashes: Vec<_> = runs.iter().map(|(hash, _)| *hash).collect();
+#[rustfmt::skip]
+const SLOW_START_HASHES: [u64; 48] = [
+    0x8c1b_b7b9_c1e9_5a4d, 0x92ce_8419_32b8_f320, 0x99da_a49a_5459_8fe8, 0x1ef0_ea6f_503e_d5d4,
+    0x046d_7cfc_1e16_6b3c, 0x1118_d208_3938_9d5a, 0x62f6_5c56_70ad_f67c, 0xcb78_0290_1fb4_9bae,
+    0x7c72_fda7_8508_2ad2, 0xd4c7_ac3d_df65_b927, 0x0ab7_6b98_2895_780b, 0x62d3_c6af_fa4a_7224,
+    0x27e2_1937_5a22_a07f, 0xf28b_7e41_dc22_937f, 0x10ca_e98c_ec77_9e95, 0x9e38_2088_50c7_f1a9,
+    0xd791_94da_a2d8_38d4, 0x75b8_1832_7b57_a4b1, 0x1edf_8b97_b348_e684, 0x646a_5c89_07ae_f920,
+    0xf3f2_68af_ffc2_b274, 0x0f27_3538_962a_bb5a, 0xe7a4_85c8_0de2_84a2, 0x224d_87c9_4b5a_010e,
+    0xd284_cd11_8292_0e45, 0xb7c1_36e8_89d3_c1ba, 0x928e_5d7b_1a19_2765, 0xc35b_4667_d911_d3d3,
+    0xa4f1_55dd_ff8a_e71d, 0x75e5_d0e5_2834_81c3, 0x4fb8_4b05_f32f_e058, 0x5bc2_ee91_dbe5_391c,
+    0x258d_8b55_ecd1_7c76, 0x0a70_bb5e_7f74_cafa, 0x652a_e04f_b720_9744, 0x0065_2b18_74ec_3456,
+    0xd134_1b49_68bb_52ad, 0x07d9_99c4_b872_e999, 0x0b54_5e8c_d938_d807, 0xd1cd_1746_800b_4092,
+    0xb048_40e7_8928_05c7, 0xa5fe_85e9_2c16_ddde, 0x1ebd_ebae_9098_3906, 0x3b43_d1db_2e79_4a45,
+    0x9fb8_33c1_04b8_cc54, 0x9f24_154c_9f02_0302, 0x4393_e702_cd5c_14af, 0x3640_1f83_45fa_660c,
+];
+
+/// Runs every seed; returns its hashes and how often each kind of output was seen.
+fn run_all(stress: Stress, seeds: usize) -> (Vec<u64>, [usize; 11]) {
+    let runs: Vec<_> = (0..seeds as u64).map(|variant| Trace::run(stress, variant)).collect();
     let mut seen = [0; 11];
     for (_, counts) in &runs {
         seen.iter_mut().zip(counts).for_each(|(all, n)| *all += n);
     }
+    (runs.into_iter().map(|(hash, _)| hash).collect(), seen)
+}
+
+#[test]
+fn every_decision_is_as_it_was() {
+    let (hashes, seen) = run_all(Stress::Everything, HASHES.len());
     assert!(seen.iter().all(|&n| n >= 50), "an output that is hardly seen: {seen:?}");
     assert_eq!(hashes, HASHES, "{seen:?} {hashes:#x?}");
 }
+
+#[test]
+fn every_decision_on_slow_starts_and_groups_is_as_it_was() {
+    let (hashes, seen) = run_all(Stress::SlowStart, SLOW_START_HASHES.len());
+    assert!(seen[..5].iter().all(|&n| n >= 50), "an output that is hardly seen: {seen:?}");
+    assert_eq!(hashes, SLOW_START_HASHES, "{seen:?} {hashes:#x?}");
+}
