--- /dev/null
+++ b/crates/larklink-balancer/tests/decisions/fixture.rs
@@ -0,0 +1,96 @@
+//! What the tests of the decisions share: settings, endpoints and sessions with sensible defaults.
+use larklink_balancer::{
+    Action, AttemptOutcome, Balancer, Decision, DeduplicationGroup, EndpointEntry, EndpointIndex,
+    EndpointState, Idempotency, ListScope, Listener, SessionRequest, Settings, TickDuration, Timestamp,
+};
+
+pub(crate) const SECOND: TickDuration = 10_000;
+
+pub(crate) const IDEMPOTENCY_OF_LISTENERS: [Idempotency; 5] = [
+    Idempotency::Idempotent,
+    Idempotency::OnceOnly,
+    // Long enough for a rejection, and no longer than a dial timeout and a Retry-After.
+    Idempotency::WithKey { group: DeduplicationGroup::All, window: 2 * SECOND },
+    Idempotency::WithKey { group: DeduplicationGroup::Zone, window: SECOND },
+    Idempotency::WithKey { group: DeduplicationGroup::Cell, window: SECOND },
+];
+
+pub(crate) fn settings() -> Settings {
+    Settings {
+        listeners: IDEMPOTENCY_OF_LISTENERS
+            .map(|kind| Listener { idempotency: kind, handshake_objective: SECOND / 2, priority_weight: 1.0 })
+            .into(),
+        proxy_count: 0,
+        weighted: true,
+        discovery_deadline: 10 * SECOND,
+        drain_grace: SECOND / 2,
+        initial_capacity: 0.2,
+        slow_start_duration: 20 * SECOND,
+        overload_multiple: 4.0,
+        overload_window: SECOND,
+        connect_timeout: SECOND / 5,
+        max_attempts: 4,
+        max_retry_after: SECOND,
+        retry_after_allowed: true,
+        max_dial_timeout: 2 * SECOND,
+        message_objective: 500,
+        ..Settings::default()
+    }
+}
+
+pub(crate) fn entry(
+    endpoint: EndpointIndex,
+    state: EndpointState,
+    started_at: TickDuration,
+) -> EndpointEntry {
+    let (zone, cell) = (endpoint as u16 % 2, endpoint as u16 % 3);
+    EndpointEntry { endpoint, id: 77 + 1000 * endpoint as u32, zone, cell, state, weight: 1.0, started_at }
+}
+
+pub(crate) fn request(key: u64, listener: usize) -> SessionRequest {
+    SessionRequest {
+        listener,
+        group_key: key,
+        client_key: 0,
+        dial_timeout: 2 * SECOND,
+        ..SessionRequest::default()
+    }
+}
+
+pub(crate) fn balancer_with(set: Settings, endpoints: usize) -> Balancer {
+    let mut balancer = Balancer::new(set, 7, 0);
+    let entries: Vec<_> = (0..endpoints).map(|s| entry(s, EndpointState::Ready, 0)).collect();
+    balancer.update_endpoints(0, ListScope::Cached, &entries);
+    balancer
+}
+
+pub(crate) fn endpoint_of(decision: Decision) -> EndpointIndex {
+    match decision {
+        Decision::Connect { endpoint, .. } => endpoint,
+        other => panic!("expected an attempt, got {other:?}"),
+    }
+}
+
+pub(crate) fn connects_to(decision: Decision, at: EndpointIndex) -> bool {
+    matches!(decision, Decision::Connect { endpoint, .. } if endpoint == at)
+}
+
+/// The final decision on a session that may wait, once the health checks of all endpoints have succeeded.
+pub(crate) fn after_health_checks(
+    balancer: &mut Balancer,
+    now: Timestamp,
+    endpoints: usize,
+    mut decision: Decision,
+) -> Decision {
+    while decision == Decision::Wait {
+        (0..endpoints).for_each(|s| balancer.health_checked(now, s, AttemptOutcome::Succeeded, 10, 0.0, 0.0));
+        let tell = |c| if let Action::Decided(_, decision) = c { Some(decision) } else { None };
+        decision = balancer.poll(now).into_iter().filter_map(tell).next_back().unwrap();
+    }
+    decision
+}
+
+/// The endpoint of the first attempt of a session, at a proxy in that zone.
+pub(crate) fn endpoint_of_first_attempt(zone: Option<u16>, ask: SessionRequest) -> EndpointIndex {
+    endpoint_of(balancer_with(Settings { local_zone: zone, ..settings() }, 12).place(0, ask).1)
+}
--- /dev/null
+++ b/crates/larklink-balancer/tests/decisions/health_check.rs
@@ -0,0 +1,97 @@
+//! When an endpoint is checked.
+use std::collections::BTreeMap;
+
+use larklink_balancer::{
+    Action, AttemptOutcome, Balancer, Decision, EndpointState, ListScope, Observation, Settings,
+    TickDuration, Timestamp,
+};
+
+use crate::fixture::{
+    SECOND, after_health_checks, balancer_with, connects_to, endpoint_of, entry, request, settings,
+};
+
+#[test]
+fn proxies_check_a_lost_endpoint_less_and_less_often_and_not_in_step() {
+    // A hundred proxies sent 170 health checks a second to the three endpoints of a lost zone.
+    let (mut asked, mut first) = (vec![0; 12], BTreeMap::new());
+    for seed in 0..100 {
+        let mut balancer = Balancer::new(Settings { health_checks: true, ..settings() }, seed, 0);
+        balancer.update_endpoints(0, ListScope::Cached, &[entry(0, EndpointState::Ready, 0)]);
+        *first.entry(balancer.next_wakeup()).or_insert(0) += 1;
+        balancer.health_checked(0, 0, AttemptOutcome::ConnectFailed, 10, 0.0, 0.0);
+        while balancer.next_wakeup() < 12 * SECOND {
+            let now = balancer.next_wakeup();
+            for _ in balancer.poll(now).iter().filter(|c| matches!(c, Action::CheckHealth(_))) {
+                asked[(now / SECOND) as usize] += 1;
+                balancer.health_checked(now, 0, AttemptOutcome::ConnectFailed, 10, 0.0, 0.0);
+            }
+        }
+    }
+    assert!(asked[0] >= 80, "a first failure is checked soon: {asked:?}");
+    assert!(asked[6..].iter().sum::<i32>() < 300 && asked[6..].iter().all(|n| *n > 0), "{asked:?}");
+    assert!(first.values().max() < Some(&5), "proxies check in step: {first:?}");
+}
+
+#[test]
+fn an_endpoint_that_reports_overload_is_passed_over_before_anything_is_sent() {
+    let mut balancer = balancer_with(Settings { health_checks: true, ..settings() }, 8);
+    let owner = endpoint_of(balancer_with(settings(), 8).place(0, request(5, 0)).1);
+    let (session, decision) = balancer.place(0, request(5, 0));
+    assert_eq!(decision, Decision::Wait);
+    assert!(balancer.poll(0).contains(&Action::CheckHealth(owner)));
+    balancer.health_checked(50, owner, AttemptOutcome::Succeeded, 50, 1.2, 0.0);
+    let asked: Vec<_> =
+        balancer.poll(50).into_iter().filter(|c| matches!(c, Action::CheckHealth(_))).collect();
+    assert!(
+        asked.len() == 1 && asked[0] != Action::CheckHealth(owner),
+        "the second is checked next: {asked:?}"
+    );
+    let late = balancer.poll(SECOND).into_iter().find_map(|c| match c {
+        Action::Decided(sess, decision) if sess == session => Some(endpoint_of(decision)),
+        _ => None,
+    });
+    assert!(late.is_some_and(|s| s != owner), "a health check without an answer is not waited for: {late:?}");
+}
+
+/// A report from before the first session says nothing of the load that came with it.
+#[test]
+fn an_endpoint_with_new_sessions_is_checked_soon_and_then_less_often() {
+    let mut balancer = balancer_with(Settings { health_checks: true, load_reports: true, ..settings() }, 1);
+    let asked = |balancer: &mut Balancer, from: Timestamp, to: TickDuration| {
+        let rounds = (from * 5..to * 5).map(|n| n * SECOND / 5);
+        let mut checks = 0;
+        for now in rounds {
+            let asks = balancer.poll(now).contains(&Action::CheckHealth(0));
+            checks += u32::from(asks);
+            if asks {
+                balancer.health_checked(now, 0, AttemptOutcome::Succeeded, 10, 0.1, 0.0);
+            }
+        }
+        checks
+    };
+    let start = SECOND * 10;
+    let (session, decision) = balancer.place(start, request(5, 0));
+    assert!(connects_to(after_health_checks(&mut balancer, start, 1, decision), 0));
+    balancer.established(start, session);
+    assert!((2..=3).contains(&asked(&mut balancer, 10, 12)), "twice in its first two seconds");
+    assert!((1..=2).contains(&asked(&mut balancer, 12, 18)), "after as long again as it has been checked");
+    assert!((7..=9).contains(&asked(&mut balancer, 40, 140)), "once in 64 connect timeouts in the end");
+}
+
+#[test]
+fn an_unanswered_message_leads_to_a_health_check_soon() {
+    let mut balancer = balancer_with(Settings { health_checks: true, ..settings() }, 1);
+    let (session, _) = balancer.place(0, request(3, 0));
+    balancer.health_checked(10, 0, AttemptOutcome::Succeeded, 10, 0.0, 0.0);
+    balancer.poll(10);
+    balancer.established(20, session);
+    let checks = |from, balancer: &mut Balancer| {
+        (from..from + 4)
+            .flat_map(|n| balancer.poll(n * SECOND / 4))
+            .filter(|c| *c == Action::CheckHealth(0))
+            .count()
+    };
+    assert_eq!(checks(4, &mut balancer), 0, "it answered lately");
+    balancer.observe(2 * SECOND, session, Observation::Unresponsive);
+    assert!(checks(8, &mut balancer) > 0, "and is suspected now");
+}
--- /dev/null
+++ b/crates/larklink-balancer/tests/decisions/placement.rs
@@ -0,0 +1,147 @@
+//! Which endpoint of a ranking a session goes to.
+use std::collections::BTreeSet;
+
+use larklink_balancer::{
+    Balancer, Decision, EndpointEntry, EndpointState, ListScope, Observation, SessionRequest, Settings,
+};
+
+use crate::fixture::{
+    SECOND, balancer_with, endpoint_of, endpoint_of_first_attempt, entry, request, settings,
+};
+
+#[test]
+fn an_endpoint_clearly_above_the_mean_load_is_passed_over() {
+    let mut balancer = balancer_with(settings(), 8);
+    let mut count = [0; 8];
+    for _ in 0..80 {
+        count[endpoint_of(balancer.place(0, request(5, 0)).1)] += 1;
+    }
+    assert!(count.iter().max() < Some(&60), "one group stays on one endpoint: {count:?}");
+}
+
+#[test]
+fn a_reconnecting_client_passes_over_an_unused_endpoint_half_the_time() {
+    let again = SessionRequest { reconnecting: true, ..request(5, 0) };
+    let to = |ask: SessionRequest| {
+        (0..200).map(move |seed| {
+            let mut balancer = Balancer::new(settings(), seed, 0);
+            balancer.update_endpoints(
+                0,
+                ListScope::Cached,
+                &(0..8).map(|s| entry(s, EndpointState::Ready, 0)).collect::<Vec<_>>(),
+            );
+            endpoint_of(balancer.place(0, ask).1)
+        })
+    };
+    let owner = to(request(5, 0)).next().expect("200 of them");
+    assert!(to(request(5, 0)).all(|s| s == owner), "a new client goes to the owner");
+    assert!((70..130).contains(&to(again).filter(|s| *s == owner).count()));
+}
+
+#[test]
+fn an_established_session_goes_to_the_earlier_owner_of_its_bucket() {
+    let (mut balancer, early) =
+        (balancer_with(settings(), 8), endpoint_of(balancer_with(settings(), 8).place(0, request(9, 0)).1));
+    let now = 60 * SECOND;
+    balancer.update_endpoints(now, ListScope::Changes, &[entry(early, EndpointState::Draining, 0)]);
+    let established = SessionRequest { established: true, ..request(9, 0) };
+    assert_eq!(endpoint_of(balancer.place(now + SECOND / 10, established).1), early);
+    assert_ne!(endpoint_of(balancer.place(now + SECOND, established).1), early);
+}
+
+/// Half of 169 proxies died; the established sessions that came then must not all go to an endpoint that restarted
+/// three seconds before.
+#[test]
+fn a_recently_restarted_endpoint_is_not_the_earlier_owner_of_a_bucket() {
+    let (owner, now) = (endpoint_of(balancer_with(settings(), 8).place(0, request(9, 0)).1), 60 * SECOND);
+    let mut balancer = balancer_with(settings(), 8);
+    balancer.update_endpoints(now, ListScope::Changes, &[entry(owner, EndpointState::Ready, now - SECOND)]);
+    let established = SessionRequest { established: true, ..request(9, 0) };
+    assert_ne!(endpoint_of(balancer.place(now + SECOND, established).1), owner);
+    assert_eq!(endpoint_of(balancer.place(now + 20 * SECOND, established).1), owner);
+}
+
+#[test]
+fn without_endpoints_a_session_is_rejected_at_once() {
+    let mut balancer = Balancer::new(settings(), 7, 0);
+    assert!(matches!(balancer.place(0, request(1, 1)).1, Decision::Reject { .. }));
+}
+
+#[test]
+fn overload_does_not_scatter_a_small_group_over_all_endpoints() {
+    let mut balancer = balancer_with(settings(), 8);
+    let mut met = BTreeSet::new();
+    for key in 1..41 {
+        let (session, decision) = balancer.place(0, request(key, 0));
+        balancer.established(10, session);
+        balancer.observe(20, session, Observation::MessageLatency(400));
+        met.insert(endpoint_of(decision));
+    }
+    assert_eq!(met.len(), 8, "all endpoints are overloaded");
+    let small: BTreeSet<_> = (0..8).map(|_| endpoint_of(balancer.place(30, request(50, 0)).1)).collect();
+    assert!(small.len() <= 3, "one group on {small:?}");
+}
+
+/// The first two endpoints of the ranking have different weights.
+#[test]
+fn a_large_group_is_spread_over_its_endpoints_by_weight() {
+    let mut sent = [0; 8];
+    for seed in 0..300 {
+        let mut balancer = Balancer::new(settings(), seed, 0);
+        let weigh = |s| EndpointEntry {
+            weight: if s % 2 == 0 { 4.0 } else { 1.0 },
+            ..entry(s, EndpointState::Ready, 0)
+        };
+        balancer.update_endpoints(0, ListScope::Cached, &(0..8).map(weigh).collect::<Vec<_>>());
+        (0..12).for_each(|n| sent[endpoint_of(balancer.place(0, request(3, 0)).1)] += u32::from(n > 5));
+    }
+    let mean = |rest| {
+        let met: Vec<_> = (0..8).filter(|s| s % 2 == rest && sent[*s] > 0).map(|s| sent[s]).collect();
+        f64::from(met.iter().sum::<u32>()) / met.len() as f64
+    };
+    assert!(mean(0) > 2.0 * mean(1), "{sent:?}");
+}
+
+/// Two sessions that share a group by chance must not be taken for half of all sessions.
+#[test]
+fn two_sessions_of_one_group_do_not_count_as_a_large_group() {
+    let entries: Vec<_> = (0..40).map(|s| entry(s, EndpointState::Ready, 0)).collect();
+    let second = |seed| {
+        let mut balancer = Balancer::new(settings(), seed, 0);
+        balancer.update_endpoints(0, ListScope::Cached, &entries);
+        balancer.place(0, request(3, 0));
+        endpoint_of(balancer.place(0, request(3, 0)).1)
+    };
+    let met: BTreeSet<_> = (0..200).map(second).collect();
+    assert!(met.len() > 1 && met.len() < 9, "{met:?}");
+}
+
+/// 150 proxies of ten sessions each: none sees by itself that the group is eight times the mean load.
+#[test]
+fn hundreds_of_proxies_spread_a_group_that_is_larger_than_an_endpoint() {
+    let most = |group: fn(u64) -> u64, set: Settings| {
+        let mut held = [0; 8];
+        for seed in 0..150 {
+            let mut balancer = Balancer::new(set.clone(), seed, 0);
+            balancer.update_endpoints(
+                0,
+                ListScope::Cached,
+                &(0..8).map(|s| entry(s, EndpointState::Ready, 0)).collect::<Vec<_>>(),
+            );
+            (0..10)
+                .for_each(|n| held[endpoint_of(balancer.place(0, request(group(seed * 10 + n), 0)).1)] += 1);
+        }
+        held.into_iter().max().unwrap()
+    };
+    let reported = most(|_| 3, Settings { load_reports: true, ..settings() });
+    let spread = most(|_| 3, settings());
+    assert!(
+        spread < 400 && reported > 400,
+        "{spread} of 1500 on one endpoint, {reported} where loads are reported"
+    );
+    assert_eq!(
+        endpoint_of_first_attempt(None, request(5, 0)),
+        endpoint_of(balancer_with(settings(), 12).place(9, request(5, 0)).1),
+        "a single session is no large group"
+    );
+}
--- /dev/null
+++ b/crates/larklink-balancer/tests/decisions/slow_start.rs
@@ -0,0 +1,293 @@
+//! What an endpoint that has just started gets.
+use std::collections::BTreeMap;
+
+use larklink_balancer::{
+    Action, AttemptOutcome, Balancer, Decision, EndpointState, ListScope, SessionRequest, Settings,
+    TickDuration,
+};
+
+use crate::fixture::{
+    SECOND, after_health_checks, balancer_with, connects_to, endpoint_of, entry, request, settings,
+};
+
+/// Three endpoints with 80 sessions, and a fourth, of index 0, in slow start.
+fn with_endpoint_in_slow_start() -> (Balancer, TickDuration) {
+    let (mut balancer, now) = (balancer_with(settings(), 4), 60 * SECOND);
+    balancer.update_endpoints(0, ListScope::Changes, &[entry(0, EndpointState::Removed, 0)]);
+    for key in 1..81 {
+        balancer.place(0, request(key, 0));
+    }
+    balancer.update_endpoints(now, ListScope::Changes, &[entry(0, EndpointState::Ready, now)]);
+    (balancer, now)
+}
+
+#[test]
+fn hundreds_of_proxies_together_keep_within_the_slow_start_quota() {
+    let (endpoints, proxies, now) = (10, 300, 60 * SECOND);
+    let entries: Vec<_> = (0..endpoints).map(|s| entry(s, EndpointState::Ready, 0)).collect();
+    let mut sent = BTreeMap::new();
+    for seed in 0..proxies {
+        let mut balancer = Balancer::new(settings(), seed, 0);
+        balancer.update_endpoints(0, ListScope::Cached, &entries);
+        let key = |n: u64| 1 + (seed * 3 + n) % 40;
+        let placed: Vec<_> = (0..3).map(|n| balancer.place(0, request(key(n), 0)).0).collect();
+        balancer.update_endpoints(now, ListScope::Changes, &[entry(0, EndpointState::Ready, now)]);
+        placed.into_iter().for_each(|session| balancer.client_left(session));
+        for second in 0..20 {
+            for n in 0..3 {
+                let (session, decision) = balancer.place(
+                    now + second * SECOND,
+                    SessionRequest { reconnecting: true, ..request(key(n), 0) },
+                );
+                *sent.entry(second).or_insert(0) += u32::from(endpoint_of(decision) == 0);
+                balancer.client_left(session);
+            }
+        }
+    }
+    for (second, sent) in sent {
+        let share = 0.2 + 0.8 * second as f64 / 20.0;
+        let limit = 4.0 * share * (3 * proxies) as f64 / endpoints as f64 / 20.0;
+        assert!(f64::from(sent) <= limit + 1.0, "{sent} sends in second {second}, {limit} allowed");
+    }
+}
+
+/// Sessions sent to an endpoint in slow start in each second of it, and what the settings allow in it, where `proxies`
+/// place `rate` sessions a second each, all at the same moments, and the other endpoints report a capacity of 50;
+/// `full`: the others take no more.
+fn sent_during_slow_start(
+    proxies: u32,
+    rate: u64,
+    in_flight: f64,
+    full: bool,
+) -> (Vec<u32>, impl Fn(usize) -> f64) {
+    let (endpoints, now) = (10, 60 * SECOND);
+    let entries: Vec<_> = (0..endpoints).map(|s| entry(s, EndpointState::Ready, 0)).collect();
+    let mut sent = vec![0; 20];
+    for seed in 0..u64::from(proxies) {
+        let mut balancer = Balancer::new(Settings { proxy_count: proxies, ..settings() }, seed, 0);
+        balancer.update_endpoints(0, ListScope::Cached, &entries);
+        if in_flight > 0.0 {
+            balancer.health_checked(0, 1, AttemptOutcome::Succeeded, 10, 0.5, in_flight);
+        } else {
+            // Without a count of sessions a load alone says nothing of the capacity.
+            balancer.health_checked(0, 1, AttemptOutcome::Succeeded, 10, 0.5, 0.0);
+            for n in 0..50 {
+                let (session, decision) = balancer.place(0, request(9 + n * 77, 0));
+                if endpoint_of(decision) == 0 {
+                    balancer.client_left(session);
+                }
+            }
+        }
+        balancer.update_endpoints(now, ListScope::Changes, &[entry(0, EndpointState::Ready, now)]);
+        for n in 0..20 * rate {
+            let at = now + n * SECOND / rate;
+            for s in 1..endpoints * usize::from(full) {
+                balancer.health_checked(at, s, AttemptOutcome::Succeeded, 10, 0.9, 45.0);
+            }
+            let (session, decision) = balancer.place(at, request(1 + seed + n * 1000, 0));
+            sent[(n / rate) as usize] += u32::from(connects_to(decision, 0));
+            balancer.client_left(session);
+        }
+    }
+    (sent, |second| 4.0 * (0.2 + 0.8 * second as f64 / 20.0) * 50.0 / 20.0)
+}
+
+#[test]
+fn any_number_of_proxies_use_the_slow_start_quota_and_keep_to_it() {
+    // Many proxies use less of the quota than a few, which send in turn: what each of hundreds sends is random, and its
+    // deviation has to fit in.
+    let fleets =
+        [(1, 300, 0.9), (4, 75, 0.9), (4, 300, 0.9), (100, 3, 0.45), (100, 10, 0.45), (300, 1, 0.45)];
+    for (proxies, rate, used) in fleets {
+        let (sent, allowed) = sent_during_slow_start(proxies, rate, 25.0, false);
+        for (second, &sent) in sent.iter().enumerate() {
+            let n = allowed(second);
+            let falls = n + 2.0 * n.sqrt() + 2.0;
+            assert!(f64::from(sent) <= falls, "{proxies} proxies: {sent} sends in second {second}");
+        }
+        let (all, n) = (sent.iter().sum::<u32>(), (0..20).map(allowed).sum::<f64>());
+        assert!(f64::from(all) > used * n, "{proxies} proxies: {all} sends, {n} allowed");
+        assert!(f64::from(all) < 1.05 * n, "{proxies} proxies: {all} sends, {n} allowed");
+    }
+    let (sent, _) = sent_during_slow_start(4, 75, 0.0, false);
+    assert!(sent.iter().sum::<u32>() > 10, "a load alone closes endpoints in slow start: {sent:?}");
+}
+
+/// At twice the present capacity half of what four times allows, and its root, is sent.
+#[test]
+fn a_smaller_overload_multiple_lets_less_through() {
+    let sends = |overload_multiple| {
+        let set = Settings { proxy_count: 40, overload_multiple, ..settings() };
+        let proxy = |seed| {
+            let mut balancer = Balancer::new(set.clone(), seed, 0);
+            balancer.update_endpoints(
+                0,
+                ListScope::Cached,
+                &(1..10).map(|s| entry(s, EndpointState::Ready, 0)).collect::<Vec<_>>(),
+            );
+            balancer.health_checked(0, 1, AttemptOutcome::Succeeded, 10, 0.5, 25.0);
+            let now = 60 * SECOND;
+            balancer.update_endpoints(
+                now,
+                ListScope::Changes,
+                &[entry(0, EndpointState::Ready, now - SECOND)],
+            );
+            let key = seed..;
+            key.step_by(40)
+                .take(60)
+                .zip(0..)
+                .filter(|&(key, n)| {
+                    let (session, decision) = balancer.place(now + n * SECOND / 10, request(key, 0));
+                    balancer.client_left(session);
+                    connects_to(decision, 0)
+                })
+                .count()
+        };
+        (1..401).map(proxy).sum::<usize>() as f64
+    };
+    let (tight, wide) = (sends(2.0), sends(4.0));
+    assert!(tight > 0.2 * wide && tight < 0.65 * wide, "{tight} at twice, {wide} at four times");
+}
+
+#[test]
+fn a_session_keeps_its_share_of_the_quota_while_a_health_check_is_in_flight() {
+    let set = Settings { health_checks: true, load_reports: true, proxy_count: 10, ..settings() };
+    let (now, mut waited) = (60 * SECOND, 0);
+    for seed in 0..100 {
+        let mut balancer = Balancer::new(set.clone(), seed, 0);
+        balancer.update_endpoints(
+            0,
+            ListScope::Cached,
+            &[entry(0, EndpointState::Ready, now - 10 * SECOND), entry(1, EndpointState::Ready, 0)],
+        );
+        balancer.health_checked(0, 1, AttemptOutcome::Succeeded, 10, 0.5, 25.0);
+        let (session, _) = balancer.place(now, request(1 + seed, 0));
+        if balancer.poll(now).contains(&Action::CheckHealth(0)) {
+            balancer.health_checked(now + 100, 0, AttemptOutcome::Succeeded, 100, 0.1, 10.0);
+            let decided = balancer.poll(now + 100);
+            assert!(
+                matches!(decided[..], [Action::Decided(i, Decision::Connect { endpoint: 0, .. })] if i == session),
+                "{decided:?}"
+            );
+            waited += 1;
+        }
+    }
+    assert!(waited > 10, "{waited} of 100");
+}
+
+/// All other endpoints are full, so that each session walks on to the one that has started.
+#[test]
+fn sessions_that_pass_over_full_endpoints_do_not_overload_one_in_slow_start() {
+    let (sent, allowed) = sent_during_slow_start(57, 5, 25.0, true);
+    let (all, n) = (sent.iter().sum::<u32>(), (0..20).map(allowed).sum::<f64>());
+    assert!(f64::from(all) < 1.05 * n && f64::from(all) > 0.6 * n, "{all} sends, {n} allowed");
+}
+
+#[test]
+fn an_endpoint_in_slow_start_gets_little_in_a_mass_reconnect() {
+    let (mut balancer, now) = with_endpoint_in_slow_start();
+    let sent =
+        (100..400).filter(|key| endpoint_of(balancer.place(now + SECOND, request(*key, 0)).1) == 0).count();
+    assert!(sent <= 2, "{sent} sessions to an endpoint that has just started");
+}
+
+#[test]
+fn odd_slow_start_settings_let_little_through() {
+    for (overload_multiple, initial_capacity, proxies) in
+        [(-1.0, 0.2, 9), (0.5, 0.0, 9), (f64::NAN, 0.2, 9), (4.0, 0.2, 0)]
+    {
+        let mut balancer = balancer_with(
+            Settings { overload_multiple, initial_capacity, proxy_count: proxies, ..settings() },
+            4,
+        );
+        balancer.update_endpoints(SECOND, ListScope::Changes, &[entry(0, EndpointState::Ready, SECOND)]);
+        let cold = |key: &u64| {
+            let (session, decision) = balancer.place(SECOND, request(*key, 0));
+            balancer.established(SECOND, session);
+            endpoint_of(decision) == 0
+        };
+        let sent = (1..200).filter(cold).count();
+        assert!(sent <= 2, "{sent} at a multiple of {overload_multiple}, {proxies} proxies");
+    }
+}
+
+#[test]
+fn clients_that_leave_and_reconnect_do_not_exceed_the_slow_start_quota() {
+    let (mut balancer, now) = with_endpoint_in_slow_start();
+    let mut sent = 0;
+    for key in 100..400 {
+        let (session, decision) = balancer.place(now + SECOND, request(key, 0));
+        sent += u32::from(endpoint_of(decision) == 0);
+        balancer.client_left(session);
+    }
+    assert!(sent <= 2, "{sent} sends to an endpoint that has just started");
+}
+
+/// Two hundred proxies learn of a new endpoint as a group migrates there, a session from each.
+#[test]
+fn a_group_that_reconnects_does_not_overload_its_new_endpoint() {
+    let sends = |again, others, health_checks| {
+        let set = Settings { proxy_count: 200, health_checks, ..settings() };
+        let key = (1..)
+            .find(|key| endpoint_of(balancer_with(settings(), 30).place(0, request(*key, 0)).1) == 0)
+            .unwrap();
+        let proxy = |seed| {
+            let mut balancer = Balancer::new(set.clone(), seed, 0);
+            let listed: Vec<_> = (1..30).map(|s| entry(s, EndpointState::Ready, 0)).collect();
+            balancer.update_endpoints(0, ListScope::Cached, &listed);
+            let first = |balancer: &mut Balancer, now, ask| {
+                let (session, decision) = balancer.place(now, ask);
+                let endpoint = endpoint_of(after_health_checks(balancer, now, 30, decision));
+                balancer.established(now, session);
+                endpoint == 0
+            };
+            (1..=others).for_each(|n| _ = first(&mut balancer, n, request(1000 * seed + n, 0)));
+            let now = 60 * SECOND;
+            balancer.update_endpoints(
+                now,
+                ListScope::Changes,
+                &[entry(0, EndpointState::Ready, now - SECOND)],
+            );
+            first(&mut balancer, now + SECOND, SessionRequest { reconnecting: again, ..request(key, 0) })
+        };
+        (1..201).filter(|seed| proxy(*seed)).count()
+    };
+    for health_checks in [false, true] {
+        // 800 sessions on 29 endpoints: a fifth of an endpoint's 27 is six, which four times over makes it fall.
+        // Answers to health checks come too late: 339 proxies sent 19 within a second.
+        let (again, new) = (sends(true, 4, health_checks), sends(false, 4, health_checks));
+        assert!(again <= 24, "{again} at once to an endpoint that has just started");
+        assert!(
+            new > 2 * again,
+            "{new} new sessions are spread over all endpoints, which needs no such care"
+        );
+    }
+    // A fleet with small groups only: new endpoints must not stay idle.
+    let (again, new) = (sends(true, 20, false), sends(false, 20, false));
+    assert!(again * 2 > new, "{again} of {new}, where twenty sessions of a proxy share no group");
+}
+
+/// A failed connection is evidence of a restart; a message that is only late is none.
+#[test]
+fn an_endpoint_that_failed_unseen_by_the_list_comes_back_in_slow_start() {
+    let sent = |how| {
+        let mut balancer = balancer_with(settings(), 4);
+        let placed: Vec<_> = (1..81).map(|key| balancer.place(0, request(key, 0))).collect();
+        placed.iter().for_each(|(session, _)| balancer.established(10, *session));
+        let on = placed.iter().find(|(_, to)| endpoint_of(*to) == 0).unwrap().0;
+        balancer.attempt_ended(SECOND, on, how, true);
+        balancer.health_checked(2 * SECOND, 0, AttemptOutcome::Succeeded, 10, 0.0, 0.0);
+        let now = 12 * SECOND;
+        (100..400).filter(|key| endpoint_of(balancer.place(now, request(*key, 0)).1) == 0).count()
+    };
+    assert!(
+        sent(AttemptOutcome::Reset) <= 2,
+        "{} sessions to an endpoint that has just come back",
+        sent(AttemptOutcome::Reset)
+    );
+    assert!(
+        sent(AttemptOutcome::TimedOut) > 20,
+        "{} sessions to an endpoint that was late once",
+        sent(AttemptOutcome::TimedOut)
+    );
+}
