--- a/crates/larklink-balancer/tests/decisions/concurrency_limit.rs
+++ b/crates/larklink-balancer/tests/decisions/concurrency_limit.rs
@@ -4,18 +4,13 @@
     TickDuration,
 };
 
-use crate::fixture::{SECOND, balancer_with, endpoint_of, entry, request, settings};
+use crate::fixture::{SECOND, balancer_with, endpoint_of, entry, request, seeded_balancer, settings};
 
 #[test]
 fn hundreds_of_proxies_together_relieve_an_overloaded_session_store() {
     let mut dials = 0;
     for seed in 0..200 {
-        let mut balancer = Balancer::new(settings(), seed, 0);
-        balancer.update_endpoints(
-            0,
-            ListScope::Cached,
-            &(0..8).map(|s| entry(s, EndpointState::Ready, 0)).collect::<Vec<_>>(),
-        );
+        let mut balancer = seeded_balancer(settings(), seed, 0..8);
         for n in 0..40 {
             let (session, mut decision) = balancer.place(n * 100, request(n + 1, 0));
             while let Decision::Connect { .. } = decision {
--- a/crates/larklink-balancer/tests/decisions/fixture.rs
+++ b/crates/larklink-balancer/tests/decisions/fixture.rs
@@ -1,4 +1,6 @@
 //! What the tests of the decisions share: settings, endpoints and sessions with sensible defaults.
+use std::ops::Range;
+
 use larklink_balancer::{
     Action, AttemptOutcome, Balancer, Decision, DeduplicationGroup, EndpointEntry, EndpointIndex,
     EndpointState, Idempotency, ListScope, Listener, SessionRequest, Settings, TickDuration, Timestamp,
@@ -57,9 +59,15 @@
     }
 }
 
+/// A balancer with so many ready endpoints.
 pub(crate) fn balancer_with(set: Settings, endpoints: usize) -> Balancer {
-    let mut balancer = Balancer::new(set, 7, 0);
-    let entries: Vec<_> = (0..endpoints).map(|s| entry(s, EndpointState::Ready, 0)).collect();
+    seeded_balancer(set, 7, 0..endpoints)
+}
+
+/// A balancer with these ready endpoints, whose random choices follow from the seed.
+pub(crate) fn seeded_balancer(set: Settings, seed: u64, endpoints: Range<usize>) -> Balancer {
+    let mut balancer = Balancer::new(set, seed, 0);
+    let entries: Vec<_> = endpoints.map(|s| entry(s, EndpointState::Ready, 0)).collect();
     balancer.update_endpoints(0, ListScope::Cached, &entries);
     balancer
 }
--- a/crates/larklink-balancer/tests/decisions/migration.rs
+++ b/crates/larklink-balancer/tests/decisions/migration.rs
@@ -1,18 +1,13 @@
 //! Which sessions are migrated, and how many at a time.
 use larklink_balancer::{Action, AttemptOutcome, Balancer, EndpointState, ListScope, Observation, Settings};
 
-use crate::fixture::{SECOND, balancer_with, endpoint_of, entry, request, settings};
+use crate::fixture::{SECOND, balancer_with, endpoint_of, entry, request, seeded_balancer, settings};
 
 #[test]
 fn hundreds_of_proxies_together_migrate_a_few_sessions_off_an_overloaded_endpoint() {
     let mut migrated = 0;
     for seed in 0..200 {
-        let mut balancer = Balancer::new(settings(), seed, 0);
-        balancer.update_endpoints(
-            0,
-            ListScope::Cached,
-            &[entry(0, EndpointState::Ready, 0), entry(1, EndpointState::Ready, 0)],
-        );
+        let mut balancer = seeded_balancer(settings(), seed, 0..2);
         let (session, _) = balancer.place(0, request(3, 0));
         balancer.established(10, session);
         balancer.observe(3 * SECOND, session, Observation::MessageLatency(400));
--- a/crates/larklink-balancer/tests/decisions/outlier.rs
+++ b/crates/larklink-balancer/tests/decisions/outlier.rs
@@ -3,7 +3,7 @@
     Action, AttemptOutcome, Balancer, EndpointState, ListScope, Observation, SessionRequest, Settings,
 };
 
-use crate::fixture::{SECOND, balancer_with, endpoint_of, entry, request, settings};
+use crate::fixture::{SECOND, balancer_with, endpoint_of, entry, request, seeded_balancer, settings};
 
 /// Established sessions stay and reconnecting ones return; an ejection or a drain still closes it.
 #[test]
@@ -63,12 +63,7 @@
 fn sessions_established_before_handshakes_hang_are_no_sign_of_health() {
     let mut taken = 0;
     for seed in 0..50 {
-        let mut balancer = Balancer::new(settings(), seed, 0);
-        balancer.update_endpoints(
-            0,
-            ListScope::Cached,
-            &[entry(0, EndpointState::Ready, 0), entry(1, EndpointState::Ready, 0)],
-        );
+        let mut balancer = seeded_balancer(settings(), seed, 0..2);
         let mut stands = Vec::new();
         for key in 1..9 {
             let (session, decision) = balancer.place(0, request(key, 0));
--- a/crates/larklink-balancer/tests/decisions/placement.rs
+++ b/crates/larklink-balancer/tests/decisions/placement.rs
@@ -6,7 +6,7 @@
 };
 
 use crate::fixture::{
-    SECOND, balancer_with, endpoint_of, endpoint_of_first_attempt, entry, request, settings,
+    SECOND, balancer_with, endpoint_of, endpoint_of_first_attempt, entry, request, seeded_balancer, settings,
 };
 
 #[test]
@@ -24,12 +24,7 @@
     let again = SessionRequest { reconnecting: true, ..request(5, 0) };
     let to = |ask: SessionRequest| {
         (0..200).map(move |seed| {
-            let mut balancer = Balancer::new(settings(), seed, 0);
-            balancer.update_endpoints(
-                0,
-                ListScope::Cached,
-                &(0..8).map(|s| entry(s, EndpointState::Ready, 0)).collect::<Vec<_>>(),
-            );
+            let mut balancer = seeded_balancer(settings(), seed, 0..8);
             endpoint_of(balancer.place(0, ask).1)
         })
     };
@@ -122,12 +117,7 @@
     let most = |group: fn(u64) -> u64, set: Settings| {
         let mut held = [0; 8];
         for seed in 0..150 {
-            let mut balancer = Balancer::new(set.clone(), seed, 0);
-            balancer.update_endpoints(
-                0,
-                ListScope::Cached,
-                &(0..8).map(|s| entry(s, EndpointState::Ready, 0)).collect::<Vec<_>>(),
-            );
+            let mut balancer = seeded_balancer(set.clone(), seed, 0..8);
             (0..10)
                 .for_each(|n| held[endpoint_of(balancer.place(0, request(group(seed * 10 + n), 0)).1)] += 1);
         }
--- a/crates/larklink-balancer/tests/decisions/slow_start.rs
+++ b/crates/larklink-balancer/tests/decisions/slow_start.rs
@@ -7,7 +7,8 @@
 };
 
 use crate::fixture::{
-    SECOND, after_health_checks, balancer_with, connects_to, endpoint_of, entry, request, settings,
+    SECOND, after_health_checks, balancer_with, connects_to, endpoint_of, entry, request, seeded_balancer,
+    settings,
 };
 
 /// Three endpoints with 80 sessions, and a fourth, of index 0, in slow start.
@@ -119,12 +120,7 @@
     let sends = |overload_multiple| {
         let set = Settings { proxy_count: 40, overload_multiple, ..settings() };
         let proxy = |seed| {
-            let mut balancer = Balancer::new(set.clone(), seed, 0);
-            balancer.update_endpoints(
-                0,
-                ListScope::Cached,
-                &(1..10).map(|s| entry(s, EndpointState::Ready, 0)).collect::<Vec<_>>(),
-            );
+            let mut balancer = seeded_balancer(set.clone(), seed, 1..10);
             balancer.health_checked(0, 1, AttemptOutcome::Succeeded, 10, 0.5, 25.0);
             let now = 60 * SECOND;
             balancer.update_endpoints(
