--- a/crates/larklink-balancer/src/balancer.rs
+++ b/crates/larklink-balancer/src/balancer.rs
@@ -4,7 +4,7 @@
 //! goes ([`Balancer::place`]) and whether again ([`Balancer::settled`]), tell what else is seen (`stood`,
 //! `noted`, `probed`, `left`). After each call, and at [`Balancer::due`], do what [`Balancer::poll`] returns.
 //! The ordinary path is the bucket table of `docs/design.md`, where a row stands for each departure below.
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeMap, BTreeSet};
 
 use rand::{RngExt, SeedableRng, seq::SliceRandom};
 use rand_chacha::ChaCha8Rng;
@@ -13,9 +13,13 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::action::{Action, Decision, HealthSummary, LogEvent};
+use crate::concurrency_limit::ConcurrencyLimit;
+use crate::discovery_schedule::DiscoverySchedule;
 use crate::event::{AttemptOutcome, EndpointEntry, EndpointState, ListScope, Observation, SessionRequest};
 use crate::ids::{EndpointIndex, SessionHandle, TickDuration, Timestamp};
-use crate::settings::{DeduplicationGroup, Idempotency, Listener, RetryBudgetSettings, Settings};
+use crate::random::round_randomly;
+use crate::retry_budget::RetryBudget;
+use crate::settings::{DeduplicationGroup, Idempotency, Listener, Settings};
 
 /// Buckets of the table, alike at every proxy.
 const BUCKETS: u64 = 4096;
@@ -59,16 +63,6 @@
 const REGROW: f64 = 0.03;
 /// Failures are forgotten by this share a second.
 const FORGET: f64 = 0.1;
-/// An error of the session store or a long set-up leaves this share of the dials out, a late dial the other.
-const CUT: (f64, f64) = (0.8, 0.5);
-/// Yet it stays above a proxy's share of so many, and is taken for one of the other where no number is told.
-const FLOOR: (f64, u32) = (3.0, 150);
-/// It begins with a proxy's share of so many: restarted ones kept a full store full. It may hurt a fleet that
-/// has just started and gets thousands of sessions at once.
-const FIRST: f64 = 250.0;
-/// Who has refused so many since its last dial, so long ago, makes one all the same: it would turn away all
-/// that it gets long after the store is well. It may hurt where that bears less than these of all proxies.
-const SHUT: (u32, TickDuration) = (12, 38_000);
 /// Load notes over which the mean load of a session is taken; a listener's over its root.
 const MEMORY: f64 = 256.0;
 /// Pairs of one group and pairs in all that are supposed to have been seen before any is: a proxy of a few
@@ -253,25 +247,14 @@
     bears: (f64, f64),
     /// When a session last came, or this process started: what was due earlier its forerunner has spent.
     came: Timestamp,
-    /// Dials out, and how many may be while the session store answers with errors.
-    out: f64,
-    window: f64,
-    /// When the last dial ended, and how long the next one rests then while the window is under one.
-    rests: (TickDuration, f64),
-    failed_at: Option<EndpointIndex>,
-    /// Sessions refused since the last dial, and when that was.
-    shut: (u32, TickDuration),
+    concurrency_limit: ConcurrencyLimit,
+    retry_budget: RetryBudget,
+    discovery: DiscoverySchedule,
     /// What moving on promises: falls with each session moved, comes back with time.
     hope: f64,
-    /// Within the window of the retry budget: when sessions came, and when further dials went out.
-    taken: VecDeque<TickDuration>,
-    further: VecDeque<TickDuration>,
-    /// Until then the free part of the retry budget may be spent by the process before this one.
-    owed: Timestamp,
     /// Sessions that wait for the answer to a probe.
     waiting: Vec<SessionHandle>,
     next_tick: Timestamp,
-    next_ask: Timestamp,
     /// What the next poll returns.
     todo: Vec<Action>,
 }
@@ -281,8 +264,9 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         Self {
             rows: set.listeners.iter().map(|l| Row { listener: *l, load: 1.0 }).collect(),
-            window: FIRST / f64::from(set.proxy_count),
-            next_ask: if set.polled_discovery { now } else { Timestamp::MAX },
+            concurrency_limit: ConcurrencyLimit::new(&set, now),
+            retry_budget: RetryBudget::new(&set),
+            discovery: DiscoverySchedule::new(&set, now),
             // Proxies that start together do not look after the servers in step.
             next_tick: now + rng.random_range(0..=set.connect_timeout),
             set,
@@ -297,14 +281,7 @@
             unit: (0.0, 0.0),
             bears: (0.0, 0.0),
             came: now,
-            out: 0.0,
             hope: 1.0,
-            rests: (now, 0.0),
-            failed_at: None,
-            shut: (0, now),
-            taken: VecDeque::new(),
-            further: VecDeque::new(),
-            owed: 0,
             waiting: Vec::new(),
             todo: Vec::new(),
         }
@@ -333,17 +310,13 @@
         }
         self.relisted = true;
         self.table.clear();
-        // Any answer shows that the subscription stands; its break will be told.
-        self.next_ask = if scope == ListScope::Cached { self.next_ask } else { Timestamp::MAX };
+        self.discovery.record_list(scope);
     }
 
     /// A call for the list failed, or the subscription broke: ask again, after a wait drawn by chance so that
     /// the proxies do not come back together, well before this one counts as told of what it could not hear.
     pub fn discovery_failed(&mut self, now: Timestamp) {
-        if self.set.polled_discovery {
-            let most = self.set.discovery_deadline / 8;
-            self.next_ask = now + self.rng.random_range(most / 4..=most);
-        }
+        self.discovery.record_failure(now, &mut self.rng);
     }
 
     /// A connection that already runs through this proxy.
@@ -364,20 +337,13 @@
     /// Another process of this proxy has been taking its sessions until now, and may still dial for them:
     /// what is free of the retry budget counts as spent until the last of those dials has left the window.
     pub fn take_over(&mut self, now: Timestamp) {
-        let Some(retry_budget) = self.set.retry_budget else { return };
-        let last = if self.set.max_dial_timeout == Timestamp::MAX {
-            retry_budget.window
-        } else {
-            self.set.max_dial_timeout
-        };
-        self.owed = now + last + retry_budget.window;
+        self.retry_budget.take_over(now, self.set.max_dial_timeout);
     }
 
     /// Where to send this one.
     pub fn place(&mut self, now: Timestamp, ask: SessionRequest) -> (SessionHandle, Decision) {
         let ix = self.enter(now, ask);
-        self.taken.extend(self.set.retry_budget.map(|_| now));
-        self.spare(now);
+        self.retry_budget.record_session(now);
         let gap = (now - std::mem::replace(&mut self.came, now)).min(self.set.overload_window);
         self.sessions[ix].turn = (gap as f64, self.rng.random());
         (ix, self.next(now, ix))
@@ -399,13 +365,11 @@
         }
         self.let_go(server, load, phase);
         if matches!(how, AttemptOutcome::Failed | AttemptOutcome::TimedOut) {
-            self.answered(now, server, how, patience, patience);
+            self.record_attempt(now, server, how, patience, patience);
         }
         self.servers[server].ended(now, how, false);
         if how == AttemptOutcome::NotSent && dials > 1 {
-            // It was none: the retry budget does not count it, but still those that others have sent since.
-            let own = self.further.iter().rposition(|t| *t == sent);
-            own.and_then(|at| self.further.remove(at));
+            self.retry_budget.refund(sent);
         }
         if over {
             self.remove(ix);
@@ -417,47 +381,28 @@
     pub fn established(&mut self, now: Timestamp, ix: SessionHandle) {
         let Some(sess) = self.sessions.get_mut(ix) else { return };
         sess.phase = Phase::Stands;
-        self.out -= 1.0;
+        self.concurrency_limit.attempt_left_flight();
         let (server, took, patience) = (sess.server, now - sess.sent, sess.ask.dial_timeout);
         // Who goes on mid-flow asked the store for nothing: prompt, he opened windows before a jammed one.
         let asked = !sess.ask.established || sess.dials > 1;
         self.servers[server].heard(now);
         if asked {
-            self.answered(now, server, AttemptOutcome::Succeeded, took, patience);
+            self.record_attempt(now, server, AttemptOutcome::Succeeded, took, patience);
         }
     }
 
-    /// Errors and set-ups that took long, on two servers in turn and none prompt between, point at the store
-    /// behind all of them, which every further dial only loads: fewer dials at once. One server alone does
-    /// not; nor time-outs where they can be probed and no proxies are told. It may hurt while two hang.
-    fn answered(
+    /// Adjusts the concurrency limit to the result of an attempt.
+    fn record_attempt(
         &mut self,
         now: Timestamp,
-        server: EndpointIndex,
-        how: AttemptOutcome,
+        endpoint: EndpointIndex,
+        outcome: AttemptOutcome,
         took: TickDuration,
-        patience: TickDuration,
+        dial_timeout: TickDuration,
     ) {
-        let prompt = 1.0 - 3.0 * took as f64 / patience as f64;
-        let counts = how == AttemptOutcome::Failed || !self.set.health_checks || self.window.is_finite();
-        if prompt > 0.0 {
-            // Only one that is used opens: a crowd finds it wide after a calm. It may hurt in a short lull.
-            let more = self.window.min(1.0 / self.window) * prompt;
-            self.window += if self.out + 1.0 < self.window { 0.0 } else { more };
-            self.failed_at = None;
-        } else if counts && self.failed_at.replace(server).is_some_and(|last| last != server) {
-            let floor =
-                FLOOR.0 / f64::from(if self.set.proxy_count > 0 { self.set.proxy_count } else { FLOOR.1 });
-            let share = if how == AttemptOutcome::TimedOut { CUT.1 } else { CUT.0 };
-            let window = (self.window.min(self.out + 1.0) * share).max(floor);
-            if std::mem::replace(&mut self.window, window) >= 0.5 && window < 0.5 {
-                self.todo.push(Action::Log(LogEvent::AttemptsLimited));
-            }
+        if self.concurrency_limit.record_attempt(now, endpoint, outcome, took, dial_timeout) {
+            self.todo.push(Action::Log(LogEvent::AttemptsLimited));
         }
-        // Under one dial it is the share of the time in which one is out, so that hundreds of proxies slow
-        // down as their store does: as a chance for each who came it kept jams up and opened late. Errors
-        // come at once, and count as long ones. It may hurt where one took long; many tries cut a rest short.
-        self.rests = (now, took as f64 * (1.0 / self.window - 1.0).max(0.0));
     }
 
     /// The client has left, or was moved: the session is over.
@@ -470,7 +415,9 @@
 
     /// A dial or a connection of ours is no more.
     fn let_go(&mut self, server: EndpointIndex, load: f64, phase: Phase) {
-        self.out -= f64::from(u8::from(phase == Phase::Dials));
+        if phase == Phase::Dials {
+            self.concurrency_limit.attempt_left_flight();
+        }
         let s = &mut self.servers[server];
         s.held = s.held.saturating_sub(1);
         s.load = if s.held == 0 { 0.0 } else { (s.load - load).max(0.0) };
@@ -549,7 +496,7 @@
 
     /// When [`Balancer::poll`] wants to be called next.
     pub fn next_wakeup(&self) -> Timestamp {
-        self.next_ask.min(self.next_tick)
+        self.discovery.next_poll_at().min(self.next_tick)
     }
 
     /// Housekeeping: asks for the list, probes the quiet, moves sessions off servers.
@@ -575,8 +522,7 @@
             let verdict = self.next(now, ix);
             self.todo.push(Action::Decided(ix, verdict));
         }
-        if self.next_ask <= now {
-            self.next_ask = now + self.set.discovery_deadline / 2;
+        if self.discovery.take_due_poll(now) {
             self.todo.push(Action::PollEndpointList);
         }
         if self.next_tick <= now {
@@ -627,7 +573,7 @@
                     let (endpoint_id, sessions) = (s.entry.id, s.held);
                     self.todo.push(Action::Log(LogEvent::EndpointEjected { endpoint_id, sessions }));
                 }
-                let pace = self.paced(held as f64 * share) as usize;
+                let pace = round_randomly(held as f64 * share, &mut self.rng) as usize;
                 let moves: Vec<_> = self.standing(ix).take(pace).map(|(i, _)| Action::Migrate(i)).collect();
                 self.todo.extend(moves);
             } else if s.ready() && s.excess > 0.0 && s.crowded > now && s.eased + NOTE <= now {
@@ -647,7 +593,11 @@
         }
         // Where no load is told, a new session is the test of a server of which its proxy knows nothing else.
         let share = room.len() as f64 / (room.len() + none.len()) as f64 / f64::from(s.held).powi(2);
-        let bounce = if self.set.load_reports { 0.0 } else { self.hope * share * self.window.min(1.0) };
+        let bounce = if self.set.load_reports {
+            0.0
+        } else {
+            self.hope * share * self.concurrency_limit.fraction_of_one()
+        };
         let (most, weight, id) = (s.load * s.excess.min(0.5), self.weight(s), s.entry.id);
         let order = |x: &Sess| if x.load > HEAVY { 0.0 } else { claim(x.bucket, id, weight) };
         let mut claims: Vec<_> = self.standing(ix).map(|(i, x)| (order(x), i)).collect();
@@ -660,7 +610,7 @@
             let least = if new { bounce } else { 0.0 };
             let fits = if heavy { 1.0 } else { ((most - seen) / load).clamp(least, 1.0) };
             seen += load;
-            if self.paced(fits) > 0.0 {
+            if round_randomly(fits, &mut self.rng) > 0.0 {
                 moved += load;
                 self.hope *= 1.0 - HOPE;
                 self.todo.push(Action::Migrate(sess));
@@ -671,11 +621,6 @@
         (s.eased, s.excess, s.cap) = (now, 0.0, s.cap.min(s.load - moved).max(LEAST));
     }
 
-    /// A whole number that is so many on average: at that pace many proxies act together.
-    fn paced(&mut self, mean: f64) -> f64 {
-        (mean + self.rng.random::<f64>()).floor()
-    }
-
     /// Our sessions that stand on a server.
     fn standing(&self, ix: EndpointIndex) -> impl Iterator<Item = (SessionHandle, &Sess)> {
         self.sessions.iter().filter(move |(_, x)| x.phase == Phase::Stands && x.server == ix)
@@ -760,11 +705,8 @@
         let fits = fits && sess.dials < self.set.max_attempts;
         // Mid-flow it goes on at its server, which asks the store for nothing.
         let goes_on = sess.ask.established && sess.dials == 0;
-        // The chance of the next dial grows to one while the window has it rest: hundreds keep out of step.
-        let rested = (now.saturating_sub(self.rests.0) as f64 / self.rests.1).min(1.0);
-        let shut = self.shut.0 >= SHUT.0 && self.shut.1 + SHUT.1 <= now;
         if fits
-            && (goes_on || self.out < self.window && (self.paced(rested) > 0.0 || shut))
+            && (goes_on || self.concurrency_limit.admits(now, &mut self.rng))
             && let Some(server) = self.choose(now, &sess)
             && (sess.dials == 0 || self.spared(now, &sess, server))
         {
@@ -782,15 +724,14 @@
             // The store still works on what a dial that ran out of time had asked of it, and jams by dials
             // that are made again: only one to a server in doubt leaves room for another.
             let limit = if self.servers[server].misses == 0 { left } else { target.min(left) };
-            (self.out, self.shut) = (self.out + 1.0, (0, now));
+            self.concurrency_limit.attempt_started(now);
             self.servers[server].take(now, sess.load);
-            self.further.extend(self.set.retry_budget.filter(|_| sess.dials > 0).map(|_| now));
             let x = &mut self.sessions[ix];
             (x.phase, x.server, x.sent, x.dials) = (Phase::Dials, server, now, x.dials + 1);
             let by = self.permit(&sess, server).min(now + limit);
             return Decision::Connect { endpoint: server, timeout: limit, send_deadline: by };
         }
-        self.shut.0 += 1;
+        self.concurrency_limit.record_rejection();
         self.remove(ix);
         let harmless = match (kind, sess.may_have_run) {
             (_, None) | (Idempotency::Idempotent, _) => true,
@@ -805,42 +746,19 @@
             return Decision::Fail;
         }
         // While the store is behind, later: who comes again sooner is refused again, with fewer tries left.
-        let least = if self.window < 1.0 { 0.75 } else { 0.25 };
+        let least = if self.concurrency_limit.is_below_one() { 0.75 } else { 0.25 };
         let wait = (self.set.max_retry_after as f64 * self.rng.random_range(least..1.0)) as TickDuration;
         Decision::Reject { retry_after: if self.set.retry_after_allowed { wait } else { 0 } }
     }
 
-    /// How many further dials the retry budget allows in the window that ends now, and how many went out.
-    /// Times are inexact: a dial that may still lie in it counts, a session that may have left it does not.
-    fn spare(&mut self, now: Timestamp) -> (f64, usize) {
-        let Some(RetryBudgetSettings { min_retries: free, retry_ratio: share, window: over }) =
-            self.set.retry_budget
-        else {
-            return (f64::INFINITY, 0);
-        };
-        while self.taken.front().is_some_and(|t| t + over <= now + 1) {
-            self.taken.pop_front();
-        }
-        while self.further.front().is_some_and(|t| t + over + 1 < now) {
-            self.further.pop_front();
-        }
-        let free = if now < self.owed { 0.0 } else { free };
-        (free + share * self.taken.len() as f64, self.further.len())
-    }
-
-    /// Whether the retry budget has a further dial to that server for this session. They are spread over the
-    /// window, so that a storm leaves some for its end: who is worth most, has most time left and is likely
-    /// to be served waits less long since the one before. It may hurt where failures come in bursts.
+    /// Whether the retry budget has a further dial to that server for this session.
     fn spared(&mut self, now: Timestamp, sess: &Sess, ix: EndpointIndex) -> bool {
-        let (allowed, sent) = self.spare(now);
-        let Some(RetryBudgetSettings { window: over, .. }) = self.set.retry_budget else { return true };
         let most = self.rows.iter().map(|r| r.listener.priority_weight).fold(f64::MIN_POSITIVE, f64::max);
         let left = sess.until.saturating_sub(now) as f64 / sess.ask.dial_timeout.max(1) as f64;
         let s = &self.servers[ix];
         let worth =
             self.rows[sess.ask.listener].listener.priority_weight / most * left * s.good / (s.good + s.bad);
-        let gap = over as f64 / allowed * (1.0 - worth / 2.0);
-        sent as f64 + 1.0 <= allowed && self.further.back().is_none_or(|&last| (now - last) as f64 >= gap)
+        self.retry_budget.try_acquire(now, worth)
     }
 
     /// With hundreds of proxies none sees by its own sessions what a server bears: it asks before its first.
