--- /dev/null
+++ b/crates/larklink-balancer/src/endpoint.rs
@@ -0,0 +1,212 @@
+//! Endpoints: their lifecycle as the endpoint list has it, and their age in slow start.
+
+use std::collections::BTreeSet;
+use std::ops::{Index, IndexMut};
+
+use crate::action::HealthSummary;
+use crate::event::{EndpointEntry, EndpointState, ListScope};
+use crate::health_check::HealthCheckState;
+use crate::ids::{EndpointIndex, TickDuration, Timestamp};
+use crate::load::{EndpointLoad, ReadyTotals};
+use crate::outlier::OutlierState;
+use crate::settings::Settings;
+use crate::slow_start::SlowStartQuota;
+
+/// New sessions may be sent to a draining endpoint for the drain grace divided by this.
+const DRAIN_GRACE_DIVISOR: TickDuration = 2;
+
+/// One endpoint and all that is known of it.
+#[derive(Clone, Debug)]
+pub(crate) struct Endpoint {
+    entry: EndpointEntry,
+    /// When this proxy was notified that it is draining or removed; none while it is ready.
+    closing_notified_at: Option<Timestamp>,
+    /// It was listed as draining, and not as ready since.
+    listed_draining: bool,
+    /// When it joined the list; 0 if it was in the first one.
+    joined_at: Timestamp,
+    pub(crate) outlier: OutlierState,
+    pub(crate) health_check: HealthCheckState,
+    pub(crate) load: EndpointLoad,
+    pub(crate) slow_start: SlowStartQuota,
+}
+
+impl Endpoint {
+    /// An endpoint that no list has named yet; it counts as removed.
+    fn unlisted() -> Self {
+        Self {
+            entry: EndpointEntry::default(),
+            closing_notified_at: None,
+            listed_draining: false,
+            joined_at: 0,
+            outlier: OutlierState::new(),
+            health_check: HealthCheckState::new(),
+            load: EndpointLoad::new(),
+            slow_start: SlowStartQuota::new(),
+        }
+    }
+
+    fn update(&mut self, now: Timestamp, scope: ListScope, entry: EndpointEntry) {
+        if entry.started_at > self.entry.started_at {
+            self.outlier.record_restart(now);
+            self.load.record_restart();
+        }
+        if entry.state == EndpointState::Ready && !self.is_ready() {
+            self.joined_at = if scope == ListScope::Cached { 0 } else { now };
+        }
+        self.entry = entry;
+        if self.is_ready() {
+            self.closing_notified_at = None;
+            self.listed_draining = false;
+        } else {
+            self.closing_notified_at.get_or_insert(now);
+            self.listed_draining |= entry.state == EndpointState::Draining;
+        }
+    }
+
+    fn mark_removed(&mut self, now: Timestamp) {
+        self.entry.state = EndpointState::Removed;
+        self.closing_notified_at = Some(now);
+    }
+
+    /// The endpoint list's entry.
+    pub(crate) fn entry(&self) -> &EndpointEntry {
+        &self.entry
+    }
+
+    pub(crate) fn is_ready(&self) -> bool {
+        self.entry.state == EndpointState::Ready
+    }
+
+    pub(crate) fn is_draining(&self) -> bool {
+        self.entry.state == EndpointState::Draining
+    }
+
+    /// Whether it gets nothing new and loses its sessions. Where removal is not binding, an endpoint that was
+    /// removed without a drain keeps its sessions until it fails.
+    pub(crate) fn is_closed(&self, settings: &Settings) -> bool {
+        !self.is_ready() && (self.listed_draining || !settings.removal_not_binding)
+    }
+
+    /// When this proxy was notified that it is draining or removed; none while it is ready.
+    pub(crate) fn closing_notified_at(&self) -> Option<Timestamp> {
+        self.closing_notified_at
+    }
+
+    /// The latest time at which something new may be sent to it.
+    pub(crate) fn accepts_until(&self, settings: &Settings) -> Timestamp {
+        match self.closing_notified_at {
+            Some(notified_at) if self.is_closed(settings) => {
+                notified_at + settings.drain_grace / DRAIN_GRACE_DIVISOR
+            }
+            _ => Timestamp::MAX,
+        }
+    }
+
+    /// The time since its last start, listed or seen by its recovery; `TickDuration::MAX` if neither is known.
+    pub(crate) fn age(&self, now: Timestamp) -> TickDuration {
+        let last_start = self.entry.started_at.max(self.outlier.recovered_at());
+        if last_start == 0 { TickDuration::MAX } else { now.saturating_sub(last_start) }
+    }
+
+    /// Whether it may hold a connection that was established through another proxy: one that joined or started
+    /// lately does not, one that is draining may.
+    pub(crate) fn may_hold_established(&self, now: Timestamp, settings: &Settings) -> bool {
+        let settled_after = settings.slow_start_duration;
+        match self.closing_notified_at {
+            Some(_) if self.is_closed(settings) => self.is_draining() && now <= self.accepts_until(settings),
+            Some(notified_at) => now <= notified_at + settled_after,
+            None => {
+                let joined_lately = self.joined_at != 0 && now < self.joined_at + settled_after;
+                self.is_ready() && !joined_lately && self.age(now) >= settled_after
+            }
+        }
+    }
+}
+
+/// All endpoints, by their index.
+#[derive(Debug)]
+pub(crate) struct EndpointSet {
+    endpoints: Vec<Endpoint>,
+    /// Whether listed weights count.
+    weighted: bool,
+}
+
+impl EndpointSet {
+    pub(crate) fn new(settings: &Settings) -> Self {
+        Self { endpoints: Vec::new(), weighted: settings.weighted }
+    }
+
+    /// Takes in the endpoint list, or what changed in it.
+    pub(crate) fn update(&mut self, now: Timestamp, scope: ListScope, entries: &[EndpointEntry]) {
+        if scope != ListScope::Changes {
+            let listed: BTreeSet<_> = entries.iter().map(|entry| entry.endpoint).collect();
+            for endpoint in &mut self.endpoints {
+                if endpoint.is_ready() && !listed.contains(&endpoint.entry.endpoint) {
+                    endpoint.mark_removed(now);
+                }
+            }
+        }
+        for &entry in entries {
+            self.get_or_insert(entry.endpoint).update(now, scope, entry);
+        }
+    }
+
+    /// The endpoint of that index; one that no list has named yet counts as removed.
+    pub(crate) fn get_or_insert(&mut self, index: EndpointIndex) -> &mut Endpoint {
+        if self.endpoints.len() <= index {
+            self.endpoints.resize_with(index + 1, Endpoint::unlisted);
+        }
+        &mut self.endpoints[index]
+    }
+
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &Endpoint> + Clone {
+        self.endpoints.iter()
+    }
+
+    pub(crate) fn len(&self) -> usize {
+        self.endpoints.len()
+    }
+
+    /// The endpoints that take new sessions.
+    pub(crate) fn ready(&self) -> impl Iterator<Item = &Endpoint> {
+        self.iter().filter(|endpoint| endpoint.is_ready())
+    }
+
+    /// The capacity of an endpoint relative to others; 1 where weights do not count or none is listed.
+    pub(crate) fn weight(&self, endpoint: &Endpoint) -> f64 {
+        if self.weighted && endpoint.entry.weight > 0.0 { endpoint.entry.weight } else { 1.0 }
+    }
+
+    /// Load and weight of all endpoints that are ready.
+    pub(crate) fn ready_totals(&self) -> ReadyTotals {
+        self.ready().fold(ReadyTotals { load: 0.0, weight: 0.0 }, |totals, endpoint| ReadyTotals {
+            load: totals.load + endpoint.load.total(),
+            weight: totals.weight + self.weight(endpoint),
+        })
+    }
+
+    /// How many are listed, and how many of them are draining, ejected or likely to fail.
+    pub(crate) fn health_summary(&self) -> HealthSummary {
+        let listed = self.iter().filter(|endpoint| endpoint.entry.state != EndpointState::Removed);
+        let avoided = listed.clone().filter(|endpoint| {
+            !endpoint.is_ready() || endpoint.outlier.is_ejected() || endpoint.outlier.mostly_fails()
+        });
+        HealthSummary { listed: listed.count(), avoided: avoided.count() }
+    }
+}
+
+// An index that the balancer passes on comes from a list or a session, and its endpoint was inserted then.
+impl Index<EndpointIndex> for EndpointSet {
+    type Output = Endpoint;
+
+    fn index(&self, index: EndpointIndex) -> &Endpoint {
+        &self.endpoints[index]
+    }
+}
+
+impl IndexMut<EndpointIndex> for EndpointSet {
+    fn index_mut(&mut self, index: EndpointIndex) -> &mut Endpoint {
+        &mut self.endpoints[index]
+    }
+}
--- /dev/null
+++ b/crates/larklink-balancer/src/retry_policy.rs
@@ -0,0 +1,140 @@
+//! Whether a session may run again, where and until when; and its final answer.
+
+use rand::RngExt;
+use rand_chacha::ChaCha8Rng;
+
+use crate::action::Decision;
+use crate::endpoint::{Endpoint, EndpointSet};
+use crate::ids::{EndpointIndex, TickDuration, Timestamp};
+use crate::session::Session;
+use crate::settings::{DeduplicationGroup, Idempotency, Listener, Settings};
+
+/// A retry needs the connect timeout divided by this, or more, before its client gives up.
+const MIN_RETRY_TIME_DIVISOR: TickDuration = 4;
+/// The shortest Retry-After, as a fraction of the longest one.
+const MIN_RETRY_AFTER: f64 = 0.25;
+/// The same while less than one attempt may be in flight: a client that retries sooner is rejected again.
+const MIN_RETRY_AFTER_WHEN_LIMITED: f64 = 0.75;
+
+fn listener_of<'a>(session: &Session, settings: &'a Settings) -> &'a Listener {
+    &settings.listeners[session.request().listener]
+}
+
+/// Whether the session has time and attempts left for an attempt.
+pub(crate) fn has_attempt_left(now: Timestamp, session: &Session, settings: &Settings) -> bool {
+    let time_left = session.time_left(now);
+    let is_first = session.attempts() == 0;
+    let enough_time = is_first || time_left > settings.connect_timeout / MIN_RETRY_TIME_DIVISOR;
+    time_left > 0 && enough_time && session.attempts() < settings.max_attempts
+}
+
+/// Whether the session may run on an endpoint: once it may have run, only endpoints that drop its repeats, for
+/// as long as they know its key.
+pub(crate) fn may_run_on(
+    now: Timestamp,
+    session: &Session,
+    endpoint: EndpointIndex,
+    endpoints: &EndpointSet,
+    settings: &Settings,
+) -> bool {
+    let Some(run) = session.possible_run() else { return true };
+    let first = endpoints[run.endpoint].entry();
+    let next = endpoints[endpoint].entry();
+    match listener_of(session, settings).idempotency {
+        Idempotency::Idempotent => true,
+        Idempotency::OnceOnly => false,
+        Idempotency::WithKey { group, window } => {
+            now < run.started_at + window
+                && match group {
+                    DeduplicationGroup::All => true,
+                    DeduplicationGroup::Zone => first.zone == next.zone,
+                    DeduplicationGroup::Cell => first.cell == next.cell,
+                }
+        }
+    }
+}
+
+/// The latest time at which an attempt's first byte may be sent: within the grace of the endpoint's drain, and
+/// while a session that may have run is still known there. Connecting takes time, in which either may end.
+pub(crate) fn send_deadline(session: &Session, endpoint: &Endpoint, settings: &Settings) -> Timestamp {
+    let accepted_until = endpoint.accepts_until(settings);
+    match (listener_of(session, settings).idempotency, session.possible_run()) {
+        (Idempotency::WithKey { window, .. }, Some(run)) => accepted_until.min(run.started_at + window),
+        _ => accepted_until,
+    }
+}
+
+/// The send deadline of an attempt in flight once its endpoint has closed. A session that resumes an established
+/// connection keeps the grace; a new one goes elsewhere if it has not been sent.
+pub(crate) fn send_deadline_once_closed(
+    now: Timestamp,
+    session: &Session,
+    endpoint: &Endpoint,
+    settings: &Settings,
+) -> Timestamp {
+    let resumes_established = session.request().established && session.attempts() == 1;
+    if resumes_established { send_deadline(session, endpoint, settings) } else { now }
+}
+
+/// How long an attempt may take: all the time that its client has left, as the session store still works on
+/// what an attempt that timed out had asked of it. Only an endpoint that has failed gets no more than the
+/// handshake objective, which leaves time for another.
+pub(crate) fn attempt_timeout(
+    now: Timestamp,
+    session: &Session,
+    endpoint: &Endpoint,
+    settings: &Settings,
+) -> TickDuration {
+    let time_left = session.time_left(now);
+    if endpoint.outlier.has_failed() {
+        listener_of(session, settings).handshake_objective.min(time_left)
+    } else {
+        time_left
+    }
+}
+
+/// What a retry of the session on an endpoint is worth, from 0 to 1: its priority among the listeners, times the
+/// fraction of its time that is left, times the endpoint's chance of success.
+pub(crate) fn retry_value(
+    now: Timestamp,
+    session: &Session,
+    endpoint: &Endpoint,
+    settings: &Settings,
+) -> f64 {
+    let weights = settings.listeners.iter().map(|listener| listener.priority_weight);
+    let highest = weights.fold(f64::MIN_POSITIVE, f64::max);
+    let dial_timeout = session.request().dial_timeout.max(1) as f64;
+    let time_left = session.time_left(now) as f64 / dial_timeout;
+    let priority = listener_of(session, settings).priority_weight / highest;
+    endpoint.outlier.weigh_by_success(priority * time_left)
+}
+
+/// The final answer to a session that gets no attempt: rejected if it is true that a retry is harmless, else
+/// failed.
+pub(crate) fn final_decision(
+    now: Timestamp,
+    session: &Session,
+    settings: &Settings,
+    attempts_limited: bool,
+    rng: &mut ChaCha8Rng,
+) -> Decision {
+    if !client_may_retry(now, session, settings) {
+        return Decision::Fail;
+    }
+    let shortest = if attempts_limited { MIN_RETRY_AFTER_WHEN_LIMITED } else { MIN_RETRY_AFTER };
+    let fraction = rng.random_range(shortest..1.0);
+    let retry_after = (settings.max_retry_after as f64 * fraction) as TickDuration;
+    Decision::Reject { retry_after: if settings.retry_after_allowed { retry_after } else { 0 } }
+}
+
+/// Whether a retry by the client, up to the longest Retry-After from now and at any endpoint, has no second
+/// effect.
+fn client_may_retry(now: Timestamp, session: &Session, settings: &Settings) -> bool {
+    match (listener_of(session, settings).idempotency, session.possible_run()) {
+        (_, None) | (Idempotency::Idempotent, Some(_)) => true,
+        (Idempotency::WithKey { group: DeduplicationGroup::All, window }, Some(run)) => {
+            now + settings.max_retry_after < run.started_at + window
+        }
+        (Idempotency::WithKey { .. } | Idempotency::OnceOnly, Some(_)) => false,
+    }
+}
