--- a/crates/larklink-balancer/src/balancer.rs
+++ b/crates/larklink-balancer/src/balancer.rs
@@ -89,6 +89,10 @@
     }
 
     /// Takes in a session that another process of this proxy has established on an endpoint.
+    ///
+    /// # Panics
+    ///
+    /// If the settings have no listener of the request's index.
     pub fn adopt_established(
         &mut self,
         now: Timestamp,
@@ -108,6 +112,10 @@
     }
 
     /// Takes in a session that has reached this proxy, and decides what to do with it.
+    ///
+    /// # Panics
+    ///
+    /// If the settings have no listener of the request's index.
     pub fn place(&mut self, now: Timestamp, request: SessionRequest) -> (SessionHandle, Decision) {
         let handle = self.insert_session(now, request);
         self.retry_budget.record_session(now);
@@ -187,27 +195,28 @@
         }
     }
 
-    /// Takes in the result of a health check that `took` so long. Where checks report load, `load` is the
-    /// endpoint's load over its capacity and `holds` its sessions, of all proxies.
+    /// Takes in the result of a health check that `took` so long. Where checks report load, `utilization` is the
+    /// endpoint's load over its capacity and `sessions` the number of its sessions, of all proxies; else both
+    /// are 0.
     pub fn health_checked(
         &mut self,
         now: Timestamp,
         endpoint: EndpointIndex,
         outcome: AttemptOutcome,
         took: TickDuration,
-        load: f64,
-        holds: f64,
+        utilization: f64,
+        sessions: f64,
     ) {
         self.endpoints.get_or_insert(endpoint);
         let weight = self.endpoints.weight(&self.endpoints[endpoint]);
         let endpoint = &mut self.endpoints[endpoint];
         if endpoint.age(now) >= self.settings.slow_start_duration {
-            self.reported_capacity.record(holds, load, weight);
+            self.reported_capacity.record(sessions, utilization, weight);
         }
         endpoint.health_check.finish();
         if outcome == AttemptOutcome::Succeeded {
             let slow = took > self.settings.message_objective / 2;
-            endpoint.load.record_health_check(now, load, slow, self.settings.load_reports);
+            endpoint.load.record_health_check(now, utilization, slow, self.settings.load_reports);
         }
         endpoint.outlier.record_outcome(now, outcome, EvidenceSource::HealthCheck);
     }
--- a/crates/larklink-balancer/src/lib.rs
+++ b/crates/larklink-balancer/src/lib.rs
@@ -1,4 +1,76 @@
 //! The decisions of larklink, a balancer for long-lived connections: no I/O, no clock, no wire format.
+//!
+//! A proxy makes one [`Balancer`], tells it what happens, and carries out what it returns:
+//!
+//! 1. [`Balancer::update_endpoints`] with the endpoint list.
+//! 2. [`Balancer::place`] for each session that arrives. It returns a [`Decision`].
+//! 3. [`Balancer::established`], [`Balancer::attempt_ended`], [`Balancer::observe`] and
+//!    [`Balancer::client_left`] as the session goes on, [`Balancer::health_checked`] for each health check.
+//! 4. [`Balancer::poll`] after each of these calls, and at [`Balancer::next_wakeup`]: it returns the
+//!    [`Action`]s to carry out.
+//!
+//! # What it keeps to
+//!
+//! - The same seed and the same calls give the same decisions.
+//! - Every proxy with the same endpoint list ranks the endpoints alike for a group key or a client key.
+//! - No attempt starts at an endpoint once the grace of its drain has passed: the send deadline says so.
+//! - A session that may have run is sent again only where its idempotency allows it, and is rejected only where
+//!   a retry by its client has no second effect; else it is failed.
+//! - Retries stay within the retry budget in every window.
+//!
+//! # Times
+//!
+//! Times are in ticks of a tenth of a millisecond, from an origin that the caller chooses, and must not decrease
+//! from call to call.
+//!
+//! # Example
+//!
+//! ```
+//! use larklink_balancer::{
+//!     AttemptOutcome, Balancer, Decision, EndpointEntry, EndpointState, Idempotency, ListScope, Listener,
+//!     SessionRequest, Settings,
+//! };
+//!
+//! const SECOND: u64 = 10_000;
+//! let settings = Settings {
+//!     listeners: vec![Listener {
+//!         idempotency: Idempotency::Idempotent,
+//!         handshake_objective: SECOND / 2,
+//!         priority_weight: 1.0,
+//!     }],
+//!     connect_timeout: SECOND / 5,
+//!     max_attempts: 2,
+//!     ..Settings::default()
+//! };
+//! let mut balancer = Balancer::new(settings, 42, 0);
+//! let entries = [0, 1].map(|endpoint| EndpointEntry {
+//!     endpoint,
+//!     id: 100 + endpoint as u32,
+//!     state: EndpointState::Ready,
+//!     weight: 1.0,
+//!     ..EndpointEntry::default()
+//! });
+//! balancer.update_endpoints(0, ListScope::Cached, &entries);
+//!
+//! let request = SessionRequest { client_key: 7, dial_timeout: 2 * SECOND, ..SessionRequest::default() };
+//! let (handle, decision) = balancer.place(0, request);
+//! let Decision::Connect { endpoint: first, .. } = decision else { panic!("{decision:?}") };
+//!
+//! // The connection is refused: the session is retried on the other endpoint.
+//! let decision = balancer.attempt_ended(10, handle, AttemptOutcome::ConnectFailed, false);
+//! let Some(Decision::Connect { endpoint: second, .. }) = decision else { panic!("{decision:?}") };
+//! assert_ne!(first, second);
+//! balancer.established(20, handle);
+//! assert!(balancer.poll(20).is_empty());
+//! ```
+//!
+//! # Modules
+//!
+//! `balancer` calls the others in order. `bucket_table` ranks the endpoints, `placement` walks down the ranking;
+//! `outlier`, `health_check`, `load`, `slow_start` and `endpoint` know the endpoints; `concurrency_limit`,
+//! `retry_budget` and `retry_policy` limit attempts; `migration` moves established sessions; `discovery_schedule`
+//! polls the endpoint list. `docs/capacity.md` lists the constants of all of them.
+
 mod action;
 mod balancer;
 mod bucket_table;
