--- a/crates/larklink-balancer/src/placement.rs
+++ b/crates/larklink-balancer/src/placement.rs
@@ -174,6 +174,7 @@
                 && self.rng.random_bool(RECONNECTING_SPILLOVER * self.migration_budget.remaining())
     }
 
+    /// Whether the endpoint's slow start admits the session; always once it is over.
     fn slow_start_admits(
         &mut self,
         now: Timestamp,
@@ -183,10 +184,14 @@
         passed: usize,
     ) -> bool {
         let endpoint = &self.endpoints[index];
+        let endpoint_age = endpoint.age(now);
+        if endpoint_age >= self.settings.slow_start_duration {
+            return true;
+        }
         let has_group = session.request().group_key != 0;
         let group_share = self.population.least_share_by_received_sessions(session.bucket());
         let request = SlowStartRequest {
-            endpoint_age: endpoint.age(now),
+            endpoint_age,
             endpoint_weight: self.weight(index),
             endpoint_load: endpoint.load.total(),
             ready,
--- a/crates/larklink-balancer/src/slow_start.rs
+++ b/crates/larklink-balancer/src/slow_start.rs
@@ -129,11 +129,8 @@
         Self { last_asked_at: 0, earned: 0.0 }
     }
 
-    /// Whether an endpoint in slow start admits the session now; always once its slow start is over.
+    /// Whether an endpoint in slow start admits the session now.
     pub(crate) fn admits(&mut self, now: Timestamp, settings: &Settings, request: &SlowStartRequest) -> bool {
-        if request.endpoint_age >= settings.slow_start_duration {
-            return true;
-        }
         let ramp = Ramp::new(settings);
         let present_capacity = ramp.present_capacity(request);
         let earned = self.earned_by(now, &ramp, ramp.rate(present_capacity), request);
