--- a/crates/larklink-balancer/tests/decisions/health_check.rs
+++ b/crates/larklink-balancer/tests/decisions/health_check.rs
@@ -7,7 +7,8 @@
 };
 
 use crate::fixture::{
-    SECOND, after_health_checks, balancer_with, connects_to, endpoint_of, entry, request, settings,
+    SECOND, after_health_checks, balancer_with, connects_to, endpoint_of, entry, request, seeded_balancer,
+    settings,
 };
 
 #[test]
@@ -95,3 +96,29 @@
     balancer.observe(2 * SECOND, session, Observation::Unresponsive);
     assert!(checks(8, &mut balancer) > 0, "and is suspected now");
 }
+
+/// Each check fails, so that the next endpoint is an unknown one again.
+#[test]
+fn a_session_waits_for_three_health_checks_at_most() {
+    for seed in 0..20 {
+        let set = Settings { health_checks: true, ..settings() };
+        let mut balancer = seeded_balancer(set, seed, 0..12);
+        let (session, mut decision) = balancer.place(0, request(5, 0));
+        let mut waits = 0;
+        while decision == Decision::Wait {
+            waits += 1;
+            let now = 10 * waits;
+            for endpoint in 0..12 {
+                balancer.health_checked(now, endpoint, AttemptOutcome::ConnectFailed, 10, 0.0, 0.0);
+            }
+            let decided = |action| match action {
+                Action::Decided(handle, decision) if handle == session => Some(decision),
+                _ => None,
+            };
+            let actions = balancer.poll(now);
+            decision = actions.into_iter().find_map(decided).expect("its health check has ended");
+        }
+        assert_eq!(waits, 3, "seed {seed}");
+        assert!(matches!(decision, Decision::Connect { .. }), "{decision:?}");
+    }
+}
