--- a/crates/larklink-balancer/tests/slow_start_fleet.rs
+++ b/crates/larklink-balancer/tests/slow_start_fleet.rs
@@ -5,7 +5,7 @@
 
 use larklink_balancer::{
     AttemptOutcome, Balancer, Decision, EndpointEntry, EndpointIndex, EndpointState, Idempotency, ListScope,
-    Listener, SessionHandle, SessionRequest, Settings, TickDuration,
+    Listener, SessionHandle, SessionRequest, Settings, TickDuration, Timestamp,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -16,268 +16,327 @@
 const CAPACITY: f64 = 60.0;
 const MEAN_SESSIONS: usize = 25;
 
-/// What the settings allow: the overload multiple, the overload window and the slow-start duration.
-type Allowed = (f64, TickDuration, TickDuration);
-const USUAL: Allowed = (3.0, 2 * SECOND, 20 * SECOND);
-
-fn settings(proxies: u32, (overload_multiple, overload_window, slow_start): Allowed) -> Settings {
-    Settings {
-        listeners: vec![Listener {
-            idempotency: Idempotency::Idempotent,
-            handshake_objective: SECOND / 2,
-            priority_weight: 1.0,
-        }],
-        proxy_count: proxies,
-        drain_grace: SECOND / 2,
-        initial_capacity: 0.2,
-        slow_start_duration: slow_start,
-        overload_multiple,
-        overload_window,
-        connect_timeout: SECOND / 5,
-        max_attempts: 3,
-        load_reports: true,
-        max_dial_timeout: 2 * SECOND,
-        message_objective: 500,
-        ..Settings::default()
-    }
+/// What the settings allow of an endpoint in slow start.
+#[derive(Clone, Copy)]
+struct Allowance {
+    overload_multiple: f64,
+    overload_window: TickDuration,
+    slow_start_duration: TickDuration,
 }
 
-/// How many sessions an endpoint of that age may be sent within the overload window.
-fn limit(set: &Settings, age: TickDuration) -> f64 {
-    let share =
-        set.initial_capacity + (1.0 - set.initial_capacity) * age as f64 / set.slow_start_duration as f64;
-    let n = set.overload_multiple * share * CAPACITY / set.slow_start_duration as f64
-        * set.overload_window as f64;
-    n + 2.0 * n.sqrt() + 2.0
-}
+const USUAL: Allowance =
+    Allowance { overload_multiple: 3.0, overload_window: 2 * SECOND, slow_start_duration: 20 * SECOND };
 
-/// A fleet, how many sessions share a key, and what the settings allow. In `step`, all proxies are back and notified
-/// when the clients reconnect; else each at its own time. Without a `budget` proxies know of no slow start.
+/// A fleet, and how many sessions share a key.
 #[derive(Clone, Copy)]
 struct FleetModel {
     proxies: usize,
     endpoints: usize,
     group: usize,
-    allowed: Allowed,
+    allowed: Allowance,
+    /// All proxies are back and notified when the clients reconnect; else each at its own time.
     step: bool,
+    /// Without it proxies know of no slow start.
     budget: bool,
 }
 
-/// One run of a seed: the most that an endpoint in slow start was sent, over its limit; the sessions sent to endpoints in
-/// slow start, and the sessions that arrived.
-fn mass_restart(
-    FleetModel { proxies, endpoints, group, allowed, step, budget }: FleetModel,
+/// What one or more runs of a model show.
+#[derive(Clone, Copy, Default)]
+struct RunResult {
+    /// The most that an endpoint in slow start was sent, over its limit.
+    worst_overload: f64,
+    /// Sessions sent to endpoints in slow start.
+    sent: usize,
+    /// Sessions that arrived.
+    arrived: usize,
+}
+
+/// A run of a model: its proxies, and what they sent to endpoints in slow start.
+struct Run {
+    model: FleetModel,
     seed: u64,
-) -> (f64, usize, usize) {
-    let (set, mut rng) = (settings(proxies as u32, allowed), ChaCha8Rng::seed_from_u64(seed));
-    let known =
-        Settings { slow_start_duration: if budget { set.slow_start_duration } else { 0 }, ..set.clone() };
-    let entries: Vec<_> = (0..endpoints)
-        .map(|s| {
-            let age = (s as u64 / 2 * 7 % 16) * set.slow_start_duration / 40 + set.slow_start_duration / 40;
-            let started_at = if s % 2 == 0 { NOW - age } else { 0 };
-            EndpointEntry {
-                endpoint: s,
-                id: 77 + 1000 * s as u32,
-                state: EndpointState::Ready,
-                started_at,
-                ..EndpointEntry::default()
-            }
-        })
-        .collect();
-    let established: Vec<_> = entries.iter().filter(|e| e.started_at == 0).copied().collect();
-    // Three in ten proxies survive, with their sessions, which are on endpoints after their slow start.
-    let survivors = proxies.div_ceil(3);
-    // When each starts, and when it is notified of the new endpoints: a survivor may be notified late.
-    let times: Vec<_> = (0..proxies)
-        .map(|n| {
-            let moment = if step { NOW } else { NOW + rng.random_range(0..SECOND / 2) };
-            if n < survivors { (0, moment) } else { (moment, 0) }
-        })
-        .collect();
-    let mut fleet: Vec<_> = (0..proxies)
-        .map(|n| {
-            let (started, notified_at) = times[n];
-            let mut balancer = Balancer::new(known.clone(), seed * 1000 + n as u64, started);
-            balancer.update_endpoints(
-                started,
-                ListScope::Cached,
-                if notified_at == 0 { &entries } else { &established },
-            );
-            balancer.health_checked(
-                started.max(NOW - SECOND),
-                1,
-                AttemptOutcome::Succeeded,
-                10,
-                0.5,
-                CAPACITY / 2.0,
-            );
-            balancer
-        })
-        .collect();
-    let sessions = endpoints * MEAN_SESSIONS;
-    let request = |n: usize, again| SessionRequest {
-        listener: 0,
-        group_key: 1 + (seed * 100_000) + (n / group) as u64,
-        client_key: 1 + n as u64,
-        dial_timeout: 2 * SECOND,
-        reconnecting: again,
-        ..SessionRequest::default()
-    };
-    for n in 0..sessions * 3 / 10 {
-        let balancer = &mut fleet[rng.random_range(0..survivors)];
-        balancer.adopt_established(NOW - SECOND, request(n, false), 1 + 2 * (n % (endpoints / 2)));
+    rng: ChaCha8Rng,
+    /// Every other endpoint is in slow start.
+    entries: Vec<EndpointEntry>,
+    proxies: Vec<Balancer>,
+    /// When sessions were sent to each endpoint in slow start.
+    sent: BTreeMap<EndpointIndex, Vec<Timestamp>>,
+}
+
+impl FleetModel {
+    fn settings(&self) -> Settings {
+        Settings {
+            listeners: vec![Listener {
+                idempotency: Idempotency::Idempotent,
+                handshake_objective: SECOND / 2,
+                priority_weight: 1.0,
+            }],
+            proxy_count: self.proxies as u32,
+            drain_grace: SECOND / 2,
+            initial_capacity: 0.2,
+            slow_start_duration: self.allowed.slow_start_duration,
+            overload_multiple: self.allowed.overload_multiple,
+            overload_window: self.allowed.overload_window,
+            connect_timeout: SECOND / 5,
+            max_attempts: 3,
+            load_reports: true,
+            max_dial_timeout: 2 * SECOND,
+            message_objective: 500,
+            ..Settings::default()
+        }
+    }
+
+    /// What the proxies are told.
+    fn settings_of_proxies(&self) -> Settings {
+        let known = if self.budget { self.allowed.slow_start_duration } else { 0 };
+        Settings { slow_start_duration: known, ..self.settings() }
     }
-    let come = (sessions * 3 / 10..sessions).map(|n| (NOW + rng.random_range(0..SECOND), n, 0));
-    let mut queue: BTreeSet<_> = come.collect();
-    let (mut sent, arrived): (BTreeMap<_, Vec<TickDuration>>, _) = (BTreeMap::new(), queue.len());
+
+    /// How many sessions an endpoint of that age may be sent within the overload window.
+    fn limit(&self, age: TickDuration) -> f64 {
+        let settings = self.settings();
+        let duration = settings.slow_start_duration as f64;
+        let share = settings.initial_capacity + (1.0 - settings.initial_capacity) * age as f64 / duration;
+        let n = settings.overload_multiple * share * CAPACITY / duration * settings.overload_window as f64;
+        n + 2.0 * n.sqrt() + 2.0
+    }
+}
+
+impl Run {
+    /// `started_at` of every other endpoint; the others started long ago.
+    fn new(model: FleetModel, seed: u64, started_at: impl Fn(u64) -> Timestamp) -> Self {
+        let entry = |endpoint: usize| EndpointEntry {
+            endpoint,
+            id: 77 + 1000 * endpoint as u32,
+            state: EndpointState::Ready,
+            started_at: if in_slow_start(endpoint) { started_at(endpoint as u64) } else { 0 },
+            ..EndpointEntry::default()
+        };
+        Self {
+            model,
+            seed,
+            rng: ChaCha8Rng::seed_from_u64(seed),
+            entries: (0..model.endpoints).map(entry).collect(),
+            proxies: Vec::new(),
+            sent: BTreeMap::new(),
+        }
+    }
+
+    /// A proxy that starts with the endpoint list and one report of an endpoint that started long ago.
+    fn add_proxy(&mut self, started: Timestamp, knows_new: bool, reported_at: Timestamp) {
+        let seed = self.seed * 1000 + self.proxies.len() as u64;
+        let mut balancer = Balancer::new(self.model.settings_of_proxies(), seed, started);
+        let known = |entry: &&EndpointEntry| knows_new || entry.started_at == 0;
+        let listed: Vec<_> = self.entries.iter().filter(known).copied().collect();
+        balancer.update_endpoints(started, ListScope::Cached, &listed);
+        balancer.health_checked(reported_at, 1, AttemptOutcome::Succeeded, 10, 0.5, CAPACITY / 2.0);
+        self.proxies.push(balancer);
+    }
+
+    /// The n-th session, counted from 0.
+    fn request(&self, n: usize, reconnecting: bool) -> SessionRequest {
+        SessionRequest {
+            listener: 0,
+            group_key: 1 + self.seed * 100_000 + (n / self.model.group) as u64,
+            client_key: 1 + n as u64,
+            dial_timeout: 2 * SECOND,
+            reconnecting,
+            ..SessionRequest::default()
+        }
+    }
+
+    fn record_sent(&mut self, now: Timestamp, endpoint: EndpointIndex) {
+        if in_slow_start(endpoint) {
+            self.sent.entry(endpoint).or_default().push(now);
+        }
+    }
+
+    fn result(&self, arrived: usize) -> RunResult {
+        let overloads = self.sent.iter().map(|(&endpoint, times)| self.overload(endpoint, times));
+        RunResult {
+            worst_overload: overloads.fold(0.0, f64::max),
+            sent: self.sent.values().map(Vec::len).sum(),
+            arrived,
+        }
+    }
+
+    /// The most that an endpoint was sent within a window, over its limit. The limit is taken in the middle of the
+    /// window, since capacity grows within it, and only while the slow start lasts: a short one is over before the
+    /// last sessions arrive.
+    fn overload(&self, endpoint: EndpointIndex, times: &[Timestamp]) -> f64 {
+        let Allowance { overload_window, slow_start_duration, .. } = self.model.allowed;
+        let age = |at: Timestamp| at - self.entries[endpoint].started_at;
+        let counted: Vec<_> = times.iter().copied().filter(|at| age(*at) < slow_start_duration).collect();
+        let sent = |from: Timestamp| {
+            counted.iter().filter(|at| (from..from + overload_window).contains(*at)).count() as f64
+        };
+        let over_limit = |from: &Timestamp| sent(*from) / self.model.limit(age(*from + overload_window / 2));
+        counted.iter().map(over_limit).fold(0.0, f64::max)
+    }
+}
+
+fn in_slow_start(endpoint: EndpointIndex) -> bool {
+    endpoint.is_multiple_of(2)
+}
+
+/// When a proxy starts, and when it is notified of the new endpoints if it does not know them from the start.
+#[derive(Clone, Copy)]
+struct ProxyTimes {
+    starts: Timestamp,
+    notified: Timestamp,
+}
+
+/// Seven in ten proxies are killed; the survivors keep their sessions, which are on endpoints after their slow start.
+fn mass_restart(model: FleetModel, seed: u64) -> RunResult {
+    let slow_start = model.allowed.slow_start_duration;
+    let mut run = Run::new(model, seed, |n| NOW - ((n / 2 * 7 % 16) * slow_start / 40 + slow_start / 40));
+    let survivors = model.proxies.div_ceil(3);
+    let times = proxy_times(&mut run, survivors);
+    for time in &times {
+        run.add_proxy(time.starts, time.notified == 0, time.starts.max(NOW - SECOND));
+    }
+    let sessions = model.endpoints * MEAN_SESSIONS;
+    let kept = sessions * 3 / 10;
+    for n in 0..kept {
+        let proxy = run.rng.random_range(0..survivors);
+        let request = run.request(n, false);
+        run.proxies[proxy].adopt_established(NOW - SECOND, request, 1 + 2 * (n % (model.endpoints / 2)));
+    }
+    let mut queue = BTreeSet::new();
+    for n in kept..sessions {
+        queue.insert((NOW + run.rng.random_range(0..SECOND), n, 0));
+    }
+    let arrived = queue.len();
     let mut notified = BTreeSet::new();
     while let Some((now, n, retries)) = queue.pop_first() {
-        let proxy = rng.random_range(0..proxies);
-        let (started, notified_at) = times[proxy];
-        if now < started {
+        let proxy = run.rng.random_range(0..model.proxies);
+        if now < times[proxy].starts {
             // The proxy is down: the client tries another one at once.
             queue.insert((now + SECOND / 20, n, retries));
             continue;
         }
-        if now >= notified_at && notified.insert(proxy) {
-            fleet[proxy].update_endpoints(now, ListScope::Changes, &entries);
+        if now >= times[proxy].notified && notified.insert(proxy) {
+            run.proxies[proxy].update_endpoints(now, ListScope::Changes, &run.entries);
         }
-        // Every other one was reset and reconnects; the rest are redirected and look new.
-        let (handle, decision) = fleet[proxy].place(now, request(n, n % 2 == 0));
-        match decision {
-            Decision::Connect { endpoint, .. } => {
-                // Handshakes are prompt: only the quota limits an endpoint in slow start.
-                fleet[proxy].established(now, handle);
-                if endpoint % 2 == 0 {
-                    sent.entry(endpoint).or_default().push(now);
-                }
-            }
-            Decision::Reject { .. } if retries < 3 => drop(queue.insert((now + SECOND / 3, n, retries + 1))),
-            _ => {}
+        if reconnect(&mut run, now, proxy, n) && retries < 3 {
+            queue.insert((now + SECOND / 3, n, retries + 1));
         }
     }
-    (worst_overload(&set, &entries, &sent), sent.values().map(Vec::len).sum(), arrived)
+    run.result(arrived)
 }
 
-/// The most that an endpoint in slow start was sent, over its limit.
-fn worst_overload(
-    set: &Settings,
-    entries: &[EndpointEntry],
-    sent: &BTreeMap<EndpointIndex, Vec<TickDuration>>,
-) -> f64 {
-    let over = |(endpoint, times): (&usize, &Vec<TickDuration>)| {
-        // The limit is taken in the middle of the window, since capacity grows within it, and only while the slow start
-        // lasts: a short one is over before the last sessions arrive.
-        let age = |t: TickDuration| t - entries[*endpoint].started_at;
-        let slow_start: Vec<_> =
-            times.iter().copied().filter(|t| age(*t) < set.slow_start_duration).collect();
-        let sent = |t: TickDuration| {
-            slow_start.iter().filter(|u| (t..t + set.overload_window).contains(*u)).count() as f64
-        };
-        slow_start
-            .iter()
-            .map(|t| sent(*t) / limit(set, age(*t + set.overload_window / 2)))
-            .fold(0.0, f64::max)
-    };
-    sent.iter().map(over).fold(0.0, f64::max)
+/// A survivor may be notified late; the killed ones come back one by one.
+fn proxy_times(run: &mut Run, survivors: usize) -> Vec<ProxyTimes> {
+    let model = run.model;
+    let mut times = Vec::new();
+    for n in 0..model.proxies {
+        let moment = if model.step { NOW } else { NOW + run.rng.random_range(0..SECOND / 2) };
+        let survives = n < survivors;
+        times.push(if survives {
+            ProxyTimes { starts: 0, notified: moment }
+        } else {
+            ProxyTimes { starts: moment, notified: 0 }
+        });
+    }
+    times
+}
+
+/// Whether the session is rejected. Every other one was reset and reconnects; the rest are redirected and look new.
+fn reconnect(run: &mut Run, now: Timestamp, proxy: usize, n: usize) -> bool {
+    let request = run.request(n, n.is_multiple_of(2));
+    let (handle, decision) = run.proxies[proxy].place(now, request);
+    if let Decision::Connect { endpoint, .. } = decision {
+        // Handshakes are prompt: only the quota limits an endpoint in slow start.
+        run.proxies[proxy].established(now, handle);
+        run.record_sent(now, endpoint);
+    }
+    matches!(decision, Decision::Reject { .. })
+}
+
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum BurstEvent {
+    /// A proxy is notified of an endpoint.
+    ListUpdate(usize, EndpointIndex),
+    /// A session arrives, after so many retries.
+    SessionArrives(usize, u32),
+    /// A session of a proxy ends.
+    SessionEnds(usize, SessionHandle),
 }
 
 /// Every other endpoint starts, one after another, during a burst of four seconds, and all proxies survive: groups arrive
 /// within a tenth of a second, and sessions end soon, so that capacity never limits an endpoint in slow start.
-fn burst(
-    FleetModel { proxies, endpoints, group, allowed, budget, .. }: FleetModel,
-    seed: u64,
-) -> (f64, usize, usize) {
-    let (set, mut rng) = (settings(proxies as u32, allowed), ChaCha8Rng::seed_from_u64(seed));
-    let known =
-        Settings { slow_start_duration: if budget { set.slow_start_duration } else { 0 }, ..set.clone() };
-    let entries: Vec<_> = (0..endpoints)
-        .map(|s| {
-            let started_at = if s % 2 == 0 { NOW - SECOND + (s as u64 * 7 % 16) * SECOND / 4 } else { 0 };
-            EndpointEntry {
-                endpoint: s,
-                id: 77 + 1000 * s as u32,
-                state: EndpointState::Ready,
-                started_at,
-                ..EndpointEntry::default()
-            }
-        })
-        .collect();
-    let established: Vec<_> = entries.iter().filter(|e| e.started_at == 0).copied().collect();
-    let mut fleet: Vec<_> = (0..proxies)
-        .map(|n| {
-            let mut balancer = Balancer::new(known.clone(), seed * 1000 + n as u64, 0);
-            balancer.update_endpoints(0, ListScope::Cached, &established);
-            balancer.health_checked(NOW - 6 * SECOND, 1, AttemptOutcome::Succeeded, 10, 0.5, CAPACITY / 2.0);
-            balancer
-        })
-        .collect();
-    // A proxy is notified of an endpoint; a session arrives, or ends.
-    #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-    enum Event {
-        ListUpdate(usize, EndpointIndex),
-        SessionArrives(usize, u32),
-        SessionEnds(usize, SessionHandle),
+fn burst(model: FleetModel, seed: u64) -> RunResult {
+    let mut run = Run::new(model, seed, |n| NOW - SECOND + (n * 7 % 16) * SECOND / 4);
+    for _ in 0..model.proxies {
+        run.add_proxy(0, false, NOW - 6 * SECOND);
     }
     let mut queue = BTreeSet::new();
-    for (s, e) in entries.iter().enumerate().filter(|(_, e)| e.started_at > 0) {
-        queue.extend(
-            (0..proxies).map(|p| (e.started_at + rng.random_range(0..SECOND / 5), Event::ListUpdate(p, s))),
-        );
-    }
-    let mut n = 0;
-    for (begin, length, arrived) in [(NOW - 5 * SECOND, 5, MEAN_SESSIONS), (NOW, 4, 3 * MEAN_SESSIONS)] {
-        let all = (endpoints * arrived * length).div_ceil(group) * group;
-        for _ in 0..all / group {
-            let moment = begin + rng.random_range(0..length as u64 * SECOND);
-            for _ in 0..group {
-                n += 1;
-                queue.insert((moment + rng.random_range(0..SECOND / 10), Event::SessionArrives(n, 0)));
-            }
-        }
-    }
-    let mut sent: BTreeMap<_, Vec<TickDuration>> = BTreeMap::new();
+    schedule_list_updates(&mut run, &mut queue);
+    let arrived = schedule_sessions(&mut run, &mut queue);
     while let Some((now, event)) = queue.pop_first() {
         match event {
-            Event::ListUpdate(p, s) => fleet[p].update_endpoints(now, ListScope::Changes, &entries[s..=s]),
-            Event::SessionEnds(p, handle) => fleet[p].client_left(handle),
-            Event::SessionArrives(n, retries) => {
-                let p = rng.random_range(0..proxies);
-                let request = SessionRequest {
-                    listener: 0,
-                    group_key: 1 + seed * 100_000 + ((n - 1) / group) as u64,
-                    client_key: 1 + n as u64,
-                    dial_timeout: 2 * SECOND,
-                    reconnecting: n % 2 == 0,
-                    ..SessionRequest::default()
-                };
-                match fleet[p].place(now, request) {
+            BurstEvent::ListUpdate(proxy, endpoint) => {
+                let changed = &run.entries[endpoint..=endpoint];
+                run.proxies[proxy].update_endpoints(now, ListScope::Changes, changed);
+            }
+            BurstEvent::SessionEnds(proxy, handle) => run.proxies[proxy].client_left(handle),
+            BurstEvent::SessionArrives(n, retries) => {
+                let proxy = run.rng.random_range(0..model.proxies);
+                let request = run.request(n - 1, n.is_multiple_of(2));
+                let request = SessionRequest { client_key: 1 + n as u64, ..request };
+                match run.proxies[proxy].place(now, request) {
                     (handle, Decision::Connect { endpoint, .. }) => {
-                        if endpoint % 2 == 0 {
-                            sent.entry(endpoint).or_default().push(now);
-                        }
-                        queue.insert((now + SECOND / 2, Event::SessionEnds(p, handle)));
+                        run.record_sent(now, endpoint);
+                        queue.insert((now + SECOND / 2, BurstEvent::SessionEnds(proxy, handle)));
                     }
                     (_, Decision::Reject { .. }) if retries < 3 => {
-                        queue.insert((now + SECOND / 3, Event::SessionArrives(n, retries + 1)));
+                        queue.insert((now + SECOND / 3, BurstEvent::SessionArrives(n, retries + 1)));
                     }
                     _ => {}
                 }
             }
         }
     }
-    (worst_overload(&set, &entries, &sent), sent.values().map(Vec::len).sum(), n)
+    run.result(arrived)
 }
 
-fn run_seeds(
-    play: fn(FleetModel, u64) -> (f64, usize, usize),
-    model: FleetModel,
-    seeds: u64,
-) -> (f64, usize, usize) {
-    (1..=seeds)
-        .map(|seed| play(model, seed))
-        .fold((0.0, 0, 0), |sum, d| (d.0.max(sum.0), sum.1 + d.1, sum.2 + d.2))
+/// Each proxy is notified of each new endpoint within a fifth of a second.
+fn schedule_list_updates(run: &mut Run, queue: &mut BTreeSet<(Timestamp, BurstEvent)>) {
+    let started: Vec<_> = run.entries.iter().filter(|e| e.started_at > 0).copied().collect();
+    for entry in started {
+        for proxy in 0..run.model.proxies {
+            let at = entry.started_at + run.rng.random_range(0..SECOND / 5);
+            queue.insert((at, BurstEvent::ListUpdate(proxy, entry.endpoint)));
+        }
+    }
+}
+
+/// Five usual seconds, then four with three times the sessions; returns how many arrive.
+fn schedule_sessions(run: &mut Run, queue: &mut BTreeSet<(Timestamp, BurstEvent)>) -> usize {
+    let FleetModel { endpoints, group, .. } = run.model;
+    let mut arrived = 0;
+    for (begin, seconds, rate) in [(NOW - 5 * SECOND, 5, MEAN_SESSIONS), (NOW, 4, 3 * MEAN_SESSIONS)] {
+        let groups = (endpoints * rate * seconds).div_ceil(group);
+        for _ in 0..groups {
+            let moment = begin + run.rng.random_range(0..seconds as u64 * SECOND);
+            for _ in 0..group {
+                arrived += 1;
+                let at = moment + run.rng.random_range(0..SECOND / 10);
+                queue.insert((at, BurstEvent::SessionArrives(arrived, 0)));
+            }
+        }
+    }
+    arrived
+}
+
+/// The worst overload of all runs, and the sums of the sessions.
+fn run_seeds(run: fn(FleetModel, u64) -> RunResult, model: FleetModel, seeds: u64) -> RunResult {
+    let results = (1..=seeds).map(|seed| run(model, seed));
+    results.fold(RunResult::default(), |all, one| RunResult {
+        worst_overload: all.worst_overload.max(one.worst_overload),
+        sent: all.sent + one.sent,
+        arrived: all.arrived + one.arrived,
+    })
 }
 
 /// A group of 150 must not come to its owner at several times the limit, although each proxy has seen few of it.
@@ -296,14 +355,15 @@
     for (proxies, endpoints, seeds) in sizes {
         for group in [1, 50, 150] {
             let model = FleetModel { proxies, endpoints, group, allowed: USUAL, step: true, budget: true };
-            let (worst_overload, slow_start, arrived) = run_seeds(mass_restart, model, seeds);
+            let RunResult { worst_overload, sent, arrived } = run_seeds(mass_restart, model, seeds);
             let name = format!("{proxies} proxies, {endpoints} endpoints, groups of {group}");
             assert!(worst_overload <= 1.0, "{name}: {worst_overload:.2} of the limit");
             assert!(
-                slow_start * 100 > arrived,
-                "{name}: {slow_start} of {arrived} to endpoints in slow start, which stay idle"
+                sent * 100 > arrived,
+                "{name}: {sent} of {arrived} to endpoints in slow start, which stay idle"
             );
-            let (worst_overload, ..) = run_seeds(mass_restart, FleetModel { step: false, ..model }, seeds);
+            let RunResult { worst_overload, .. } =
+                run_seeds(mass_restart, FleetModel { step: false, ..model }, seeds);
             assert!(worst_overload <= 1.0, "{name}, each at its own time: {worst_overload:.2} of the limit");
         }
     }
@@ -318,19 +378,25 @@
             for (span, slow_start) in
                 [(SECOND / 2, 3 * SECOND), (SECOND / 2, 30 * SECOND), (3 * SECOND, 8 * SECOND)]
             {
-                let allowed = (multiple, span, slow_start);
+                let allowed = Allowance {
+                    overload_multiple: multiple,
+                    overload_window: span,
+                    slow_start_duration: slow_start,
+                };
                 let model = FleetModel { proxies, endpoints, group: 150, allowed, step: false, budget: true };
                 let name = format!(
                     "{proxies} proxies, multiple {multiple}, span {span}, slow start of {slow_start}"
                 );
                 for group in [1, 50, 150] {
-                    let (worst_overload, ..) = run_seeds(mass_restart, FleetModel { group, ..model }, 6);
+                    let RunResult { worst_overload, .. } =
+                        run_seeds(mass_restart, FleetModel { group, ..model }, 6);
                     assert!(
                         worst_overload <= 1.0,
                         "{name}, groups of {group}: {worst_overload:.2} of the limit"
                     );
                 }
-                let (worst_overload, ..) = run_seeds(mass_restart, FleetModel { budget: false, ..model }, 2);
+                let RunResult { worst_overload, .. } =
+                    run_seeds(mass_restart, FleetModel { budget: false, ..model }, 2);
                 assert!(
                     slow_start < 10 * SECOND || worst_overload > 1.0,
                     "{name}: no overload without a quota"
@@ -347,13 +413,13 @@
         for group in [1, 50, 150] {
             let model = FleetModel { proxies, endpoints, group, allowed: USUAL, step: true, budget: true };
             let name = format!("{proxies} proxies, {endpoints} endpoints, groups of {group}");
-            let (worst_overload, slow_start, arrived) = run_seeds(burst, model, 8);
+            let RunResult { worst_overload, sent, arrived } = run_seeds(burst, model, 8);
             assert!(worst_overload <= 1.0, "{name}: {worst_overload:.2} of the limit");
             assert!(
-                slow_start * 400 > arrived,
-                "{name}: {slow_start} of {arrived} to endpoints in slow start, which stay idle"
+                sent * 400 > arrived,
+                "{name}: {sent} of {arrived} to endpoints in slow start, which stay idle"
             );
-            let (worst_overload, ..) = run_seeds(burst, FleetModel { budget: false, ..model }, 1);
+            let RunResult { worst_overload, .. } = run_seeds(burst, FleetModel { budget: false, ..model }, 1);
             assert!(worst_overload > 1.0, "{name}: no overload without a quota");
         }
     }
