--- a/crates/larklink-balancer/src/lib.rs
+++ b/crates/larklink-balancer/src/lib.rs
@@ -71,9 +71,6 @@
 //! `retry_budget` and `retry_policy` limit attempts; `migration` moves established sessions; `discovery_schedule`
 //! polls the endpoint list. `docs/capacity.md` lists the constants of all of them.
 
-// Allowed in the manifest for the tests alone.
-#![deny(clippy::too_many_lines, clippy::unwrap_used)]
-
 mod action;
 mod balancer;
 mod bucket_table;
--- a/crates/larklink-balancer/tests/decisions/fixture.rs
+++ b/crates/larklink-balancer/tests/decisions/fixture.rs
@@ -93,7 +93,12 @@
     while decision == Decision::Wait {
         (0..endpoints).for_each(|s| balancer.health_checked(now, s, AttemptOutcome::Succeeded, 10, 0.0, 0.0));
         let tell = |c| if let Action::Decided(_, decision) = c { Some(decision) } else { None };
-        decision = balancer.poll(now).into_iter().filter_map(tell).next_back().unwrap();
+        decision = balancer
+            .poll(now)
+            .into_iter()
+            .filter_map(tell)
+            .next_back()
+            .expect("the health checks have ended");
     }
     decision
 }
--- a/crates/larklink-balancer/tests/decisions/safety_rules.rs
+++ b/crates/larklink-balancer/tests/decisions/safety_rules.rs
@@ -59,114 +59,155 @@
     ]
 }
 
+/// An attempt that may have run, or is in flight.
+#[derive(Clone, Copy)]
+struct Attempt {
+    endpoint: EndpointIndex,
+    sent_at: Timestamp,
+}
+
 /// A session that is not over.
 struct OpenSession {
-    ask: SessionRequest,
+    request: SessionRequest,
     deadline: Timestamp,
     attempts: u32,
-    in_flight: Option<(EndpointIndex, TickDuration)>,
+    in_flight: Option<Attempt>,
     /// The latest time at which the attempt in flight may be sent.
     send_deadline: Timestamp,
     established: bool,
     /// It waits for a health check.
     waiting: bool,
-    /// The first attempt that may have run, and when it was sent.
-    may_have_run: Option<(EndpointIndex, TickDuration)>,
+    /// The first attempt that may have run.
+    may_have_run: Option<Attempt>,
+}
+
+impl OpenSession {
+    fn new(request: SessionRequest, now: Timestamp) -> Self {
+        Self {
+            request,
+            deadline: now + request.dial_timeout,
+            attempts: 0,
+            in_flight: None,
+            send_deadline: 0,
+            established: false,
+            waiting: false,
+            may_have_run: None,
+        }
+    }
+
+    fn idempotency(&self) -> Idempotency {
+        IDEMPOTENCY_OF_LISTENERS[self.request.listener]
+    }
+
+    fn is_connecting(&self) -> bool {
+        self.in_flight.is_some() && !self.established
+    }
+
+    /// A session that may have run is retried only within its group and window.
+    fn check_retry(&self, now: Timestamp, endpoint: EndpointIndex, send_deadline: Timestamp) {
+        let Some(first) = self.may_have_run else { return };
+        let ran_at = entry(first.endpoint, EndpointState::Ready, 0);
+        let retried_at = entry(endpoint, EndpointState::Ready, 0);
+        match self.idempotency() {
+            Idempotency::Idempotent => {}
+            Idempotency::OnceOnly => panic!("a once-only session that may have run was retried"),
+            Idempotency::WithKey { group, window } => {
+                let known_until = first.sent_at + window;
+                assert!(now < known_until && send_deadline <= known_until, "retried after the window");
+                let same_zone = ran_at.zone == retried_at.zone;
+                assert!(group != DeduplicationGroup::Zone || same_zone, "retried outside its zone");
+                let same_cell = ran_at.cell == retried_at.cell;
+                assert!(group != DeduplicationGroup::Cell || same_cell, "retried outside its cell");
+            }
+        }
+    }
+
+    /// A rejection tells the client that a retry has no second effect.
+    fn check_rejection(&self, now: Timestamp, retry_after: TickDuration) {
+        let harmless = match (self.idempotency(), self.may_have_run) {
+            (_, None) | (Idempotency::Idempotent, _) => true,
+            (Idempotency::WithKey { group: DeduplicationGroup::All, window }, Some(first)) => {
+                now + retry_after < first.sent_at + window
+            }
+            _ => false,
+        };
+        assert!(harmless, "a rejection of a session that may have run");
+        assert!(retry_after <= settings().max_retry_after);
+    }
 }
 
 struct RuleChecker {
     balancer: Balancer,
     now: Timestamp,
     open: BTreeMap<SessionHandle, OpenSession>,
-    notified: BTreeMap<EndpointIndex, TickDuration>,
+    /// When the balancer was notified that an endpoint is draining or removed.
+    notified: BTreeMap<EndpointIndex, Timestamp>,
     removal_not_binding: bool,
 }
 
 impl RuleChecker {
     fn new(removal_not_binding: bool) -> Self {
         let set = Settings { health_checks: true, removal_not_binding, ..settings() };
-        let (open, notified) = (BTreeMap::new(), BTreeMap::new());
-        Self { balancer: balancer_with(set, 6), now: 0, open, notified, removal_not_binding }
+        let balancer = balancer_with(set, 6);
+        Self { balancer, now: 0, open: BTreeMap::new(), notified: BTreeMap::new(), removal_not_binding }
     }
 
     /// The four rules, as far as one proxy can break them.
     fn check(&mut self, handle: SessionHandle, decision: Decision) {
-        let (now, set) = (self.now, settings());
-        let seen = self.open.get_mut(&handle).expect("a decision on a session that is over");
-        let kind = IDEMPOTENCY_OF_LISTENERS[seen.ask.listener];
+        let session = self.open.get_mut(&handle).expect("a decision on a session that is over");
         match decision {
-            Decision::Connect { endpoint, timeout: limit, send_deadline } => {
-                assert!(seen.in_flight.is_none() && !seen.established, "two attempts in flight");
-                assert!(now + limit <= seen.deadline && limit > 0, "an attempt past the dial timeout");
-                assert!(
-                    now <= send_deadline && send_deadline <= seen.deadline,
-                    "a send deadline that is over, or after the client gives up"
-                );
-                if let Some(notified) = self.notified.get(&endpoint) {
-                    assert!(
-                        send_deadline <= notified + set.drain_grace,
-                        "an attempt that may be sent past the drain grace"
-                    );
-                }
-                if let Some((first, sent)) = seen.may_have_run {
-                    let (a, b) =
-                        (entry(first, EndpointState::Ready, 0), entry(endpoint, EndpointState::Ready, 0));
-                    match kind {
-                        Idempotency::Idempotent => {}
-                        Idempotency::OnceOnly => {
-                            panic!("a once-only session that may have run was retried")
-                        }
-                        Idempotency::WithKey { group, window } => {
-                            assert!(
-                                now < sent + window && send_deadline <= sent + window,
-                                "retried after the window"
-                            );
-                            assert!(
-                                group != DeduplicationGroup::Zone || a.zone == b.zone,
-                                "retried outside its zone"
-                            );
-                            assert!(
-                                group != DeduplicationGroup::Cell || a.cell == b.cell,
-                                "retried outside its cell"
-                            );
-                        }
-                    }
-                }
-                seen.attempts += 1;
-                assert!(seen.attempts <= set.max_attempts, "too many attempts");
-                seen.in_flight = Some((endpoint, now));
-                seen.send_deadline = send_deadline;
+            Decision::Connect { endpoint, timeout, send_deadline } => {
+                self.check_attempt(handle, endpoint, timeout, send_deadline);
             }
             Decision::Reject { retry_after } => {
-                let harmless = match (kind, seen.may_have_run) {
-                    (_, None) | (Idempotency::Idempotent, _) => true,
-                    (Idempotency::WithKey { group: DeduplicationGroup::All, window }, Some((_, sent))) => {
-                        now + retry_after < sent + window
-                    }
-                    _ => false,
-                };
-                assert!(harmless, "a rejection of a session that may have run");
-                assert!(retry_after <= set.max_retry_after);
+                session.check_rejection(self.now, retry_after);
                 self.open.remove(&handle);
             }
-            Decision::Wait => seen.waiting = true,
+            Decision::Wait => session.waiting = true,
             Decision::Fail => drop(self.open.remove(&handle)),
         }
     }
 
-    fn pick(&self, n: usize, what: impl Fn(&OpenSession) -> bool) -> Option<SessionHandle> {
-        let fit: Vec<_> = self.open.iter().filter(|(_, s)| what(s)).map(|(handle, _)| *handle).collect();
+    fn check_attempt(
+        &mut self,
+        handle: SessionHandle,
+        endpoint: EndpointIndex,
+        timeout: TickDuration,
+        send_deadline: Timestamp,
+    ) {
+        let (now, set) = (self.now, settings());
+        let session = self.open.get_mut(&handle).expect("an attempt of a session that is over");
+        assert!(session.in_flight.is_none() && !session.established, "two attempts in flight");
+        let in_time = now + timeout <= session.deadline && timeout > 0;
+        assert!(in_time, "an attempt past the dial timeout");
+        let may_be_sent = now <= send_deadline && send_deadline <= session.deadline;
+        assert!(may_be_sent, "a send deadline that is over, or after the client gives up");
+        if let Some(notified) = self.notified.get(&endpoint) {
+            let within_grace = send_deadline <= notified + set.drain_grace;
+            assert!(within_grace, "an attempt that may be sent past the drain grace");
+        }
+        session.check_retry(now, endpoint, send_deadline);
+        session.attempts += 1;
+        assert!(session.attempts <= set.max_attempts, "too many attempts");
+        session.in_flight = Some(Attempt { endpoint, sent_at: now });
+        session.send_deadline = send_deadline;
+    }
+
+    /// The n-th open session of those that fit, counted in turn.
+    fn pick(&self, n: usize, fits: impl Fn(&OpenSession) -> bool) -> Option<SessionHandle> {
+        let fit: Vec<_> =
+            self.open.iter().filter(|(_, session)| fits(session)).map(|(handle, _)| *handle).collect();
         (!fit.is_empty()).then(|| fit[n % fit.len()])
     }
 
     fn end_attempt(&mut self, handle: SessionHandle, outcome: AttemptOutcome) {
-        let seen = self.open.get_mut(&handle).expect("picked from the open");
-        let (endpoint, sent) = seen.in_flight.take().expect("picked with an attempt");
+        let session = self.open.get_mut(&handle).expect("picked from the open");
+        let attempt = session.in_flight.take().expect("picked with an attempt");
         if !outcome.never_ran() {
-            seen.may_have_run.get_or_insert((endpoint, sent));
+            session.may_have_run.get_or_insert(attempt);
         }
-        let over = outcome == AttemptOutcome::Succeeded || seen.established;
-        seen.established = false;
+        let over = outcome == AttemptOutcome::Succeeded || session.established;
+        session.established = false;
         let decision = self.balancer.attempt_ended(self.now, handle, outcome, over);
         match decision {
             Some(decision) => self.check(handle, decision),
@@ -176,32 +217,10 @@
 
     fn step(&mut self, step: Step) {
         match step {
-            Step::Place { key, listener, established } => {
-                let ask = SessionRequest { established, ..request(key, listener) };
-                let (handle, decision) = self.balancer.place(self.now, ask);
-                let deadline = self.now + ask.dial_timeout;
-                let seen = OpenSession {
-                    ask,
-                    deadline,
-                    attempts: 0,
-                    in_flight: None,
-                    send_deadline: 0,
-                    established: false,
-                    waiting: false,
-                    may_have_run: None,
-                };
-                assert!(self.open.insert(handle, seen).is_none(), "a handle given twice");
-                self.check(handle, decision);
-            }
-            Step::Establish(n) => {
-                if let Some(handle) = self.pick(n, |s| s.in_flight.is_some() && !s.established) {
-                    let seen = self.open.get_mut(&handle).expect("picked from the open");
-                    seen.established = true;
-                    self.balancer.established(self.now, handle);
-                }
-            }
+            Step::Place { key, listener, established } => self.place(key, listener, established),
+            Step::Establish(n) => self.establish(n),
             Step::EndAttempt(n, outcome) => {
-                if let Some(handle) = self.pick(n, |s| s.in_flight.is_some()) {
+                if let Some(handle) = self.pick(n, |session| session.in_flight.is_some()) {
                     self.end_attempt(handle, outcome);
                 }
             }
@@ -212,87 +231,103 @@
                 }
             }
             Step::UpdateEndpoint { endpoint, state, restarts } => {
-                let line = entry(endpoint, state, if restarts { self.now } else { 0 });
-                self.balancer.update_endpoints(self.now, ListScope::Changes, &[line]);
-                match state {
-                    EndpointState::Ready => drop(self.notified.remove(&endpoint)),
-                    EndpointState::Removed if self.removal_not_binding => {}
-                    _ => drop(self.notified.entry(endpoint).or_insert(self.now)),
-                }
-            }
-            Step::MessageLatency(n, d) => {
-                if let Some(handle) = self.pick(n, |s| s.established) {
-                    self.balancer.observe(self.now, handle, Observation::MessageLatency(d));
-                }
-            }
-            Step::Unresponsive(n) => {
-                if let Some(handle) = self.pick(n, |s| s.established) {
-                    self.balancer.observe(self.now, handle, Observation::Unresponsive);
-                }
+                self.update_endpoint(endpoint, state, restarts);
             }
+            Step::MessageLatency(n, latency) => self.observe(n, Observation::MessageLatency(latency)),
+            Step::Unresponsive(n) => self.observe(n, Observation::Unresponsive),
             Step::HealthChecked(endpoint, outcome, load) => {
-                self.balancer.health_checked(self.now, endpoint, outcome, 10, load, 0.0)
-            }
-            Step::Wait(duration) => {
-                let end = self.now + duration;
-                while self.now < end {
-                    let next = self
-                        .open
-                        .values()
-                        .filter(|s| s.in_flight.is_some() && !s.established)
-                        .map(|s| s.deadline)
-                        .min();
-                    self.now =
-                        end.min(self.balancer.next_wakeup()).min(next.unwrap_or(end)).max(self.now + 1);
-                    while let Some(handle) =
-                        self.pick(0, |s| s.in_flight.is_some() && !s.established && s.deadline <= self.now)
-                    {
-                        self.end_attempt(handle, AttemptOutcome::TimedOut);
-                    }
-                    self.poll();
-                }
+                self.balancer.health_checked(self.now, endpoint, outcome, 10, load, 0.0);
             }
+            Step::Wait(duration) => self.wait(duration),
         }
         self.poll();
-        for s in self.open.values().filter(|s| !s.established) {
-            assert!(s.in_flight.is_some() || s.waiting, "a session neither answered nor forwarded");
-            assert!(self.now <= s.deadline, "a session without its answer past its dial timeout");
+        for session in self.open.values().filter(|session| !session.established) {
+            let forwarded = session.in_flight.is_some() || session.waiting;
+            assert!(forwarded, "a session neither answered nor forwarded");
+            assert!(self.now <= session.deadline, "a session without its answer past its dial timeout");
+        }
+    }
+
+    fn place(&mut self, key: u64, listener: usize, established: bool) {
+        let request = SessionRequest { established, ..request(key, listener) };
+        let (handle, decision) = self.balancer.place(self.now, request);
+        let session = OpenSession::new(request, self.now);
+        assert!(self.open.insert(handle, session).is_none(), "a handle given twice");
+        self.check(handle, decision);
+    }
+
+    fn establish(&mut self, n: usize) {
+        if let Some(handle) = self.pick(n, OpenSession::is_connecting) {
+            self.open.get_mut(&handle).expect("picked from the open").established = true;
+            self.balancer.established(self.now, handle);
+        }
+    }
+
+    fn observe(&mut self, n: usize, observation: Observation) {
+        if let Some(handle) = self.pick(n, |session| session.established) {
+            self.balancer.observe(self.now, handle, observation);
+        }
+    }
+
+    fn update_endpoint(&mut self, endpoint: EndpointIndex, state: EndpointState, restarts: bool) {
+        let started_at = if restarts { self.now } else { 0 };
+        let changed = entry(endpoint, state, started_at);
+        self.balancer.update_endpoints(self.now, ListScope::Changes, &[changed]);
+        match state {
+            EndpointState::Ready => drop(self.notified.remove(&endpoint)),
+            EndpointState::Removed if self.removal_not_binding => {}
+            _ => drop(self.notified.entry(endpoint).or_insert(self.now)),
+        }
+    }
+
+    /// Lets time pass, polls whenever it is due, and ends attempts as their clients give up.
+    fn wait(&mut self, duration: TickDuration) {
+        let end = self.now + duration;
+        while self.now < end {
+            let connecting = self.open.values().filter(|session| session.is_connecting());
+            let next = connecting.map(|session| session.deadline).min().unwrap_or(end);
+            self.now = end.min(self.balancer.next_wakeup()).min(next).max(self.now + 1);
+            let now = self.now;
+            let given_up = |session: &OpenSession| session.is_connecting() && session.deadline <= now;
+            while let Some(handle) = self.pick(0, given_up) {
+                self.end_attempt(handle, AttemptOutcome::TimedOut);
+            }
+            self.poll();
         }
     }
 
     fn poll(&mut self) {
         for action in self.balancer.poll(self.now) {
-            match action {
-                Action::Migrate(handle) => {
-                    assert!(
-                        self.open.remove(&handle).expect("migrated while open").established,
-                        "migrated before it was established"
-                    );
-                    self.balancer.client_left(handle);
-                }
-                Action::Decided(handle, decision) => {
-                    let seen = self.open.get_mut(&handle).expect("decided while open");
-                    assert!(std::mem::take(&mut seen.waiting), "decided without waiting");
-                    self.check(handle, decision);
-                }
-                Action::LimitSendDeadline(handle, earlier) => {
-                    let seen = self.open.get_mut(&handle).expect("an attempt of a session that is over");
-                    assert!(
-                        seen.in_flight.is_some() && !seen.established,
-                        "a send deadline without an attempt in flight"
-                    );
-                    seen.send_deadline = seen.send_deadline.min(earlier);
-                }
-                _ => {}
-            }
+            self.carry_out(action);
         }
-        for seen in self.open.values().filter(|s| !s.established) {
-            let notified = seen.in_flight.and_then(|(endpoint, _)| self.notified.get(&endpoint));
-            let late =
-                notified.is_some_and(|notified| seen.send_deadline > notified + settings().drain_grace);
+        for session in self.open.values().filter(|session| !session.established) {
+            let notified = session.in_flight.and_then(|attempt| self.notified.get(&attempt.endpoint));
+            let grace = settings().drain_grace;
+            let late = notified.is_some_and(|notified| session.send_deadline > notified + grace);
             assert!(!late, "an attempt that connects late may be sent past the drain grace");
         }
     }
+
+    fn carry_out(&mut self, action: Action) {
+        match action {
+            Action::Migrate(handle) => {
+                let session = self.open.remove(&handle).expect("migrated while open");
+                assert!(session.established, "migrated before it was established");
+                self.balancer.client_left(handle);
+            }
+            Action::Decided(handle, decision) => {
+                let session = self.open.get_mut(&handle).expect("decided while open");
+                assert!(std::mem::take(&mut session.waiting), "decided without waiting");
+                self.check(handle, decision);
+            }
+            Action::LimitSendDeadline(handle, send_deadline) => {
+                let session = self.open.get_mut(&handle).expect("an attempt of a session that is over");
+                assert!(session.is_connecting(), "a send deadline without an attempt in flight");
+                session.send_deadline = session.send_deadline.min(send_deadline);
+            }
+            _ => {}
+        }
+    }
 }
 
 proptest! {
