--- /dev/null
+++ b/crates/larklink-proxy/tests/reload.rs
@@ -0,0 +1,113 @@
+//! The program on SIGHUP: it reads its configuration again and follows discovery at the new address.
+use std::io::{BufRead, BufReader};
+use std::net::SocketAddr;
+use std::path::Path;
+use std::process::{Child, Command, Stdio};
+use std::time::{Duration, Instant};
+
+mod stage;
+use stage::peer::Peer;
+use stage::{asked, config, endpoint, list, server, standing, told};
+
+/// The program; it goes with the test.
+struct Program(Child);
+
+impl Program {
+    /// Also the rest of its log, and its address.
+    fn start(config: &Path) -> (Self, impl Iterator<Item = String>, SocketAddr) {
+        let child = Command::new(env!("CARGO_BIN_EXE_larklink")).arg(config).stderr(Stdio::piped()).spawn();
+        let mut program = Self(child.unwrap());
+        let mut log = BufReader::new(program.0.stderr.take().unwrap()).lines().map_while(Result::ok);
+        let address = log.find_map(|l| l.split_once("listen=").map(|(_, at)| at.parse().unwrap())).unwrap();
+        (program, log, address)
+    }
+
+    fn hang_up(&self) {
+        let pid = rustix::process::Pid::from_child(&self.0);
+        rustix::process::kill_process(pid, rustix::process::Signal::HUP).unwrap();
+    }
+}
+
+impl Drop for Program {
+    fn drop(&mut self) {
+        let _ = self.0.kill().and_then(|()| self.0.wait());
+    }
+}
+
+/// The program itself: it ended on SIGHUP, and each session with it.
+#[test]
+fn on_sighup_the_list_is_asked_for_at_the_new_address_and_sessions_go_on() {
+    let ((first, a), (second, b), (agent, old), (other, new)) = (server(), server(), server(), server());
+    let path = std::env::temp_dir().join(format!("larklink-{}.json", std::process::id()));
+    std::fs::write(&path, config(&[a], old, "proxy", 1024)).unwrap();
+    let (program, mut log, address) = Program::start(&path);
+    let mut watch = Peer::accept(&agent);
+    asked(&mut watch);
+    told(&mut watch, &list(41, true, &[endpoint("s-0", a, "up")]));
+    assert!(asked(&mut watch).starts_with("/api/targets?after=41&"));
+    let (mut client, mut server) = standing(address, &first);
+    // A file that cannot be read changes nothing, and is warned of with its place.
+    let zone = |at: &str| {
+        config(&[a], old, "proxy", 1024).replace(r#""settings":{"#, &format!(r#""settings":{{"zone":{at},"#))
+    };
+    for (text, place) in
+        [("{".into(), "line 1"), (zone("1"), "settings: zone: 1 is no"), (zone("true"), "settings.zone: ")]
+    {
+        std::fs::write(&path, text).unwrap();
+        program.hang_up();
+        let said = log.find(|l| l.contains("WARN the configuration stands as it was")).unwrap();
+        assert!(said.contains(place), "{said}");
+    }
+    std::fs::write(&path, zone("1")).unwrap();
+    let refused = Command::new(env!("CARGO_BIN_EXE_larklink")).arg(&path).output().unwrap();
+    assert!(
+        !refused.status.success()
+            && String::from_utf8_lossy(&refused.stderr).contains("settings: zone: 1 is no")
+    );
+    told(&mut watch, &list(42, false, &[]));
+    assert!(asked(&mut watch).starts_with("/api/targets?after=42&"));
+    for index in [7, 3] {
+        std::fs::write(&path, config(&[a], new, "proxy", 1024)).unwrap();
+        program.hang_up();
+        watch.ends();
+        watch = Peer::accept(&other);
+        assert_eq!(asked(&mut watch), "/api/targets", "the old index counts for nothing");
+        told(&mut watch, &list(index, true, &[endpoint("s-0", a, "up"), endpoint("s-1", b, "up")]));
+        assert!(asked(&mut watch).starts_with(&format!("/api/targets?after={index}&")));
+    }
+    client.say("still here\r\n");
+    assert_eq!(server.hear(), "still here\r\n");
+    // The new list counts.
+    told(&mut watch, &list(8, true, &[endpoint("s-1", b, "up")]));
+    assert!(asked(&mut watch).contains("after=8"));
+    standing(address, &second);
+    std::fs::remove_file(&path).unwrap();
+}
+
+/// What the new address has counts as told four seconds after SIGHUP, also if it has not answered once: each call that
+/// hung there was waited for for three.
+#[test]
+fn a_drain_at_the_new_address_before_its_first_answer_is_heard_in_time() {
+    let ((first, a), (agent, old), (other, new)) = (server(), server(), server());
+    let path = std::env::temp_dir().join(format!("larklink-hup-{}.json", std::process::id()));
+    std::fs::write(&path, config(&[a], old, "proxy", 1024)).unwrap();
+    let (program, _log, address) = Program::start(&path);
+    let mut watch = Peer::accept(&agent);
+    asked(&mut watch);
+    told(&mut watch, &list(41, true, &[endpoint("s-0", a, "up")]));
+    asked(&mut watch);
+    let (mut client, _server) = standing(address, &first);
+    std::fs::write(&path, config(&[a], new, "proxy", 1024)).unwrap();
+    let begun = Instant::now();
+    program.hang_up();
+    watch.ends();
+    let silent: Vec<_> = (0..2).map(|_| Peer::accept(&other)).collect();
+    let mut watch = Peer::accept(&other);
+    assert_eq!(asked(&mut watch), "/api/targets");
+    told(&mut watch, &list(3, true, &[endpoint("s-0", a, "draining")]));
+    assert!(asked(&mut watch).starts_with("/api/targets?after=3&"));
+    assert!(begun.elapsed() < Duration::from_secs(4), "{:?}", begun.elapsed());
+    assert_eq!(client.hear(), "MOVE\r\n");
+    drop(silent);
+    std::fs::remove_file(&path).unwrap();
+}
--- /dev/null
+++ b/crates/larklink-proxy/tests/shutdown.rs
@@ -0,0 +1,43 @@
+//! What a proxy that is asked to stop does with new and established sessions.
+use std::io::{ErrorKind, Read};
+use std::net::TcpStream;
+use std::time::{Duration, Instant};
+
+mod stage;
+use stage::peer::{Peer, open};
+use stage::{nobody, quiet, server, standing, start};
+
+#[test]
+fn a_proxy_that_stops_answers_new_sessions_and_moves_what_it_holds() {
+    let (listener, at) = server();
+    let proxy = quiet(&[at]);
+    let (mut client, mut server) = standing(proxy.address, &listener);
+    drop(proxy.stop);
+    let mut late = Peer::connect(proxy.address, &open("c=chat,d=2000"));
+    let mut to = Peer::accept(&listener);
+    to.hear();
+    to.say("UP 9\r\n");
+    assert_eq!(late.hear(), "UP 9\r\n");
+    assert_eq!((client.hear(), late.hear()), ("MOVE\r\n".into(), "MOVE\r\n".into()));
+    client.ends();
+    server.ends();
+    drop((late, to));
+    proxy.thread.join().unwrap();
+    assert!(TcpStream::connect(proxy.address).is_err(), "nobody listens any more");
+}
+
+/// It ended as soon as nobody waited for an answer, and broke all sessions seconds before it had to.
+#[test]
+fn where_packets_pass_through_a_proxy_that_stops_moves_nobody_and_stays_while_it_may() {
+    let (listener, at) = server();
+    let proxy = start(&[at], nobody(), "pass", 1024);
+    let (mut client, _server) = standing(proxy.address, &listener);
+    let stopped = Instant::now();
+    drop(proxy.stop);
+    proxy.thread.join().unwrap();
+    // New sessions come for 0.6 s, and 0.3 s is the longest dial timeout.
+    assert!(stopped.elapsed() >= Duration::from_millis(900));
+    client.0.get_ref().set_nonblocking(true).unwrap();
+    let nothing = client.0.read(&mut [0]).map_err(|e| e.kind());
+    assert_eq!(nothing, Err(ErrorKind::WouldBlock), "the connection is left as it is");
+}
