--- a/crates/larklink-proxy/src/admin.rs
+++ b/crates/larklink-proxy/src/admin/mod.rs
@@ -1,5 +1,7 @@
 //! The operators' door: HTTP/1.1 on an address of its own, one call to a connection. It has a thread of its own, so
 //! that no crowd of clients stands before its callers, and reads nothing but the figures.
+pub mod response;
+
 use std::collections::VecDeque;
 use std::io::{ErrorKind, Result};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -12,27 +14,26 @@
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 
+use self::response::respond;
 use crate::metrics::Metrics;
-use crate::upstream::within;
+use crate::timeout::with_timeout;
 
 /// Callers that are heard at once. One more pushes out the oldest, which has had the longest to say something;
 /// so callers that connect and finish no call keep nobody out, as long as fewer come within the time of a call.
-pub const CALLERS: usize = 16;
+pub const MAX_CONNECTIONS: usize = 16;
 /// Descriptors that the door needs: its callers, itself, and one that is taken while the oldest still closes.
-pub const DESCRIPTORS: usize = CALLERS + 2;
+pub const DESCRIPTORS: usize = MAX_CONNECTIONS + 2;
 /// A call that is not whole by then is given up.
 const CALL: Duration = Duration::from_secs(3);
 /// How long a caller may take to close after its answer; what it has still on its way would reset the connection.
 const LINGER: Duration = Duration::from_millis(500);
 const BREATHE: Duration = Duration::from_millis(20);
-const LONGEST_HEAD: usize = 8 << 10;
-const HEADERS: usize = 64;
 
 /// Answers callers until the process ends.
 ///
 /// # Errors
 /// The address is bad or taken, or there is no thread to be had.
-pub fn open(at: SocketAddr, figures: Arc<Metrics>) -> Result<SocketAddr> {
+pub fn start(at: SocketAddr, figures: Arc<Metrics>) -> Result<SocketAddr> {
     let listener = Async::<TcpListener>::bind(at)?;
     let address = listener.get_ref().local_addr()?;
     let thread = std::thread::Builder::new().name("console".into());
@@ -60,7 +61,7 @@
             }
         };
         callers.retain(|c: &async_channel::Sender<()>| !c.is_closed());
-        if callers.len() == CALLERS {
+        if callers.len() == MAX_CONNECTIONS {
             callers.pop_front();
         }
         let (stays, pushed) = async_channel::bounded(1);
@@ -75,7 +76,7 @@
         let mut from = &stream;
         let (mut bytes, mut chunk) = (Vec::new(), [0; 1024]);
         let reply = loop {
-            if let Some(reply) = answer(&bytes, &figures) {
+            if let Some(reply) = respond(&bytes, &figures) {
                 break reply;
             }
             match from.read(&mut chunk).await? {
@@ -89,43 +90,12 @@
             while from.read(&mut chunk).await? > 0 {}
             Ok(())
         };
-        within(LINGER, rest).await
+        with_timeout(LINGER, rest).await
     };
-    let _ = within(CALL, call)
+    let _ = with_timeout(CALL, call)
         .or(async {
             let _ = pushed.recv().await;
             Ok(())
         })
         .await;
 }
-
-/// The answer to a call of which so much has come; nothing while its head is not whole. Pure but for the figures.
-pub fn answer(bytes: &[u8], figures: &Metrics) -> Option<String> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
-    let mut head = httparse::Request::new(&mut headers);
-    match head.parse(bytes) {
-        Ok(httparse::Status::Complete(_)) => {}
-        Ok(httparse::Status::Partial) if bytes.len() < LONGEST_HEAD => return None,
-        Ok(httparse::Status::Partial) | Err(httparse::Error::TooManyHeaders) => {
-            return Some(reply("431 Request Header Fields Too Large", "", "the head is too long\n"));
-        }
-        Err(e) => return Some(reply("400 Bad Request", "", &format!("{e}\n"))),
-    }
-    let path = head.path.unwrap_or("");
-    let path = path.split_once('?').map_or(path, |(path, _)| path);
-    Some(match (head.method, path) {
-        (Some("GET"), "/ready") if figures.is_ready() => reply("200 OK", "", "ready\n"),
-        (Some("GET"), "/ready") => reply("503 Service Unavailable", "", "not ready\n"),
-        (Some("GET"), "/metrics") => reply("200 OK", "", &figures.text()),
-        (_, "/ready" | "/metrics") => reply("405 Method Not Allowed", "Allow: GET\r\n", "only GET\n"),
-        _ => reply("404 Not Found", "", "there are /ready and /metrics\n"),
-    })
-}
-
-fn reply(status: &str, header: &str, body: &str) -> String {
-    let length = body.len();
-    format!(
-        "HTTP/1.1 {status}\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: {length}\r\n\
-         Connection: close\r\n{header}\r\n{body}"
-    )
-}
--- a/crates/larklink-proxy/src/clients.rs
+++ b/crates/larklink-proxy/src/clients.rs
@@ -16,6 +16,7 @@
 use rand_chacha::ChaCha8Rng;
 use socket2::SockRef;
 
+use crate::connection::Connection;
 use crate::events::{DecisionEvent, DecisionQueue};
 use crate::handover::wire::EstablishedSession;
 use crate::handover::{HandedOver, Successor};
@@ -23,9 +24,9 @@
 use crate::log::EndReason;
 use crate::metrics::{FinalAnswer, InProgress, Metrics};
 use crate::pending::asks;
-use crate::protocol::{LineBuffer, OpenLine, head};
+use crate::protocol::{LineBuffer, OpenLine, parse_open_line};
 use crate::relay::Stands;
-use crate::upstream::{Connection, within};
+use crate::timeout::with_timeout;
 
 /// How long a client may take over its first line, or over the next after a probe. Who sends none is owed an
 /// end within 3 s.
@@ -94,14 +95,14 @@
 pub async fn inherit(front: Rc<SessionContext>, (mut was, client, server): HandedOver) {
     let started = Instant::now();
     let link = |stream, bytes: &mut Vec<u8>| {
-        let inbox = LineBuffer::holding(std::mem::take(bytes))?;
-        Some(Connection { inbox, stream: Async::new(stream).ok()? })
+        let inbox = LineBuffer::with_bytes(std::mem::take(bytes))?;
+        Some(Connection { buffer: inbox, stream: Async::new(stream).ok()? })
     };
     let (Some(client), Some(link)) = (link(client, &mut was.to_server), link(server, &mut was.to_client))
     else {
         return tracing::warn!("a session was given that cannot go on");
     };
-    let mut client = Client { link: client, place: front.limiter.inherit(), came: started };
+    let mut client = Client { link: client, place: front.limiter.adopt(), came: started };
     let (session, reason) = front.inherit(&was, &mut client, link).await;
     log_end(session, reason, started);
 }
@@ -138,7 +139,7 @@
 
     async fn serve(&self, client: &mut Client) -> (Option<u32>, EndReason) {
         let give_way = |place: &ConnectionPermit| {
-            let must_go = place.must_go();
+            let must_go = place.evicted();
             async move {
                 must_go.await;
                 Err(EndReason::NoRoom)
@@ -157,8 +158,9 @@
             line,
             Err(EndReason::Stopped | EndReason::Pinged | EndReason::HeadStalled | EndReason::NoRoom)
         );
-        let said = client.link.has_line() || line == Err(EndReason::Stopped) && client.link.has_some();
-        if late && said && client.place.stays() {
+        let said =
+            client.link.has_complete_line() || line == Err(EndReason::Stopped) && client.link.has_input();
+        if late && said && client.place.keep_if_not_evicted() {
             let way = give_way(&client.place);
             line = first_line(client).or(way).or(self.last_call()).await;
         }
@@ -168,26 +170,28 @@
                 match reason {
                     EndReason::NoRoom => busy_at_once(&client.link.stream),
                     // The rest of its line may be on its way.
-                    EndReason::Stopped if client.link.has_some() => answer(client, "BUSY\r\n").await,
+                    EndReason::Stopped if client.link.has_input() => answer(client, "BUSY\r\n").await,
                     EndReason::BadLine | EndReason::HeadStalled => answer(client, "ERR\r\n").await,
                     // In good order: what comes in this instant must not be met by a reset.
-                    _ => close(&client.link).or(client.place.must_go()).await,
+                    _ => close(&client.link).or(client.place.evicted()).await,
                 }
                 return (None, reason);
             }
         };
-        let head = head(&line).and_then(|h| {
+        let head = parse_open_line(&line).and_then(|h| {
             let listener = self.listener(&h).ok_or("no such listener")?;
             match self.open.borrow().get(&h.id) {
                 // Its packets may come here by another way than before.
-                Some(&key) if !(h.mid_flow && key == h.key) => Err("the id of another that is open"),
+                Some(&key) if !(h.established && key == h.client_key) => {
+                    Err("the id of another that is open")
+                }
                 _ => Ok((h, listener)),
             }
         });
         match head {
-            Ok((_, listener)) if !client.place.stays() || !client.place.seat() => {
-                self.figures.answered(listener, FinalAnswer::Rejected);
-                self.figures.refused_undialled(EndReason::NoRoom, Instant::now());
+            Ok((_, listener)) if !client.place.keep_if_not_evicted() || !client.place.start_session() => {
+                self.figures.record_answer(listener, FinalAnswer::Rejected);
+                self.figures.record_rejection_without_attempt(EndReason::NoRoom, Instant::now());
                 busy_at_once(&client.link.stream);
                 (None, EndReason::NoRoom)
             }
@@ -210,7 +214,9 @@
         link: Connection,
     ) -> (Option<u32>, EndReason) {
         let line = was.head.as_bytes();
-        let Some((head, listener)) = head(line).ok().and_then(|h| self.listener(&h).map(|l| (h, l))) else {
+        let Some((head, listener)) =
+            parse_open_line(line).ok().and_then(|h| self.listener(&h).map(|l| (h, l)))
+        else {
             tracing::warn!("a session without a first line was given");
             return (None, EndReason::BadLine);
         };
@@ -231,9 +237,9 @@
 
     /// The number of a session that comes in; it is open, and in progress, while the other is held.
     fn enter(&self, head: &OpenLine<'_>) -> (u32, (Named<'_>, InProgress)) {
-        self.open.borrow_mut().insert(head.id, head.key);
+        self.open.borrow_mut().insert(head.id, head.client_key);
         let session = self.next.replace(self.next.get().wrapping_add(1));
-        (session, (Named(self, head.id), self.figures.taken()))
+        (session, (Named(self, head.id), self.figures.session_started()))
     }
 
     /// Resolves when there is no more time for an answer: who still waits then has the last one.
@@ -253,18 +259,18 @@
     let mut pinged = false;
     loop {
         let step = async {
-            let n = client.link.line().await?;
-            let line = client.link.inbox.bytes()[..n].to_vec();
-            client.link.inbox.consume(n);
+            let n = client.link.read_line().await?;
+            let line = client.link.buffer.bytes()[..n].to_vec();
+            client.link.buffer.consume(n);
             client.came = Instant::now();
-            client.place.spoke();
+            client.place.record_activity();
             if line != b"PING\r\n" {
                 return Ok(Some(line));
             }
             client.link.stream.write_all(b"PONG\r\n").await?;
             Ok(None)
         };
-        match within(HEAD, step).await {
+        match with_timeout(HEAD, step).await {
             Ok(Some(line)) => return Ok(line),
             Ok(None) => {
                 pinged = true;
@@ -274,7 +280,7 @@
             Err(e) => {
                 return Err(match e.kind() {
                     ErrorKind::InvalidData => EndReason::BadLine,
-                    _ if pinged && client.link.inbox.bytes().is_empty() => EndReason::Pinged,
+                    _ if pinged && client.link.buffer.bytes().is_empty() => EndReason::Pinged,
                     ErrorKind::TimedOut => EndReason::HeadStalled,
                     _ => EndReason::ClientLeft,
                 });
@@ -285,14 +291,14 @@
 
 /// The final answer, and the end of the connection.
 pub(crate) async fn answer(client: &mut Client, line: &str) {
-    client.place.spoke();
+    client.place.record_activity();
     let mut stream = &client.link.stream;
     let answered = async {
-        if within(STUCK, stream.write_all(line.as_bytes())).await.is_ok() {
+        if with_timeout(STUCK, stream.write_all(line.as_bytes())).await.is_ok() {
             close(&client.link).await;
         }
     };
-    answered.or(client.place.must_go()).await;
+    answered.or(client.place.evicted()).await;
 }
 
 /// Ends a connection in good order: no more from us, then what the other side has on its way.
@@ -301,13 +307,13 @@
         return;
     }
     let rest = async {
-        while within(LINGER, link.stream.read_with(swallow)).await? > 0 {
+        while with_timeout(LINGER, link.stream.read_with(swallow)).await? > 0 {
             // Who sends at full speed is not to keep the others waiting.
             future::yield_now().await;
         }
         Ok(())
     };
-    let _ = within(DRAIN, rest).await;
+    let _ = with_timeout(DRAIN, rest).await;
 }
 
 /// Reads once, for nothing.
--- a/crates/larklink-proxy/src/clock.rs
+++ b/crates/larklink-proxy/src/clock.rs
@@ -14,23 +14,23 @@
     pub fn start() -> Self {
         // A wall clock before 1970 tells nothing; any other origin does as well then.
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { started: Instant::now(), wall: tenths(wall) }
+        Self { started: Instant::now(), wall: to_ticks(wall) }
     }
 
     pub fn now(&self) -> Timestamp {
-        self.wall + tenths(self.started.elapsed())
+        self.wall + to_ticks(self.started.elapsed())
     }
 
     /// When the decisions' time will be `at`.
-    pub fn instant(&self, at: Timestamp) -> Instant {
-        self.started + span(at.saturating_sub(self.wall))
+    pub fn to_instant(&self, at: Timestamp) -> Instant {
+        self.started + to_duration(at.saturating_sub(self.wall))
     }
 }
 
-pub fn tenths(d: Duration) -> TickDuration {
+pub fn to_ticks(d: Duration) -> TickDuration {
     (d.as_micros() / 100) as TickDuration
 }
 
-pub fn span(t: TickDuration) -> Duration {
+pub fn to_duration(t: TickDuration) -> Duration {
     Duration::from_micros(t.saturating_mul(100))
 }
--- a/crates/larklink-proxy/src/config.rs
+++ b/crates/larklink-proxy/src/config.rs
@@ -17,26 +17,27 @@
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     /// Where the operators' door listens; without it there is none. `$ROUTER_CONSOLE` goes before it.
-    #[serde(default)]
-    pub console: Option<SocketAddr>,
+    #[serde(default, rename = "console")]
+    pub admin_address: Option<SocketAddr>,
     #[serde(deserialize_with = "hex")]
     pub seed: u64,
     #[serde(default)]
     pub limits: Limits,
-    #[serde(default)]
-    pub known: Known,
+    #[serde(default, rename = "known")]
+    pub cached_endpoints: CachedEndpoints,
     pub settings: ProxySettings,
 }
 
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Limits {
     /// File descriptors that the process may hold.
-    pub sockets: usize,
+    #[serde(rename = "sockets")]
+    pub max_descriptors: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { sockets: 1024 }
+        Self { max_descriptors: 1024 }
     }
 }
 
@@ -44,13 +45,13 @@
 /// list, and a process that did not start for it would serve nobody.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(from = "Value")]
-pub struct Known {
+pub struct CachedEndpoints {
     pub endpoints: Vec<Endpoint>,
     /// What was left out, each with its place and reason.
-    pub left_out: Vec<String>,
+    pub unreadable: Vec<String>,
 }
 
-impl From<Value> for Known {
+impl From<Value> for CachedEndpoints {
     fn from(mut list: Value) -> Self {
         let mut known = Self::default();
         match list.get_mut("endpoints").map(Value::take) {
@@ -58,11 +59,11 @@
                 for (at, one) in all.into_iter().enumerate() {
                     match Endpoint::deserialize(one) {
                         Ok(one) => known.endpoints.push(one),
-                        Err(e) => known.left_out.push(format!("known.endpoints[{at}]: {e}")),
+                        Err(e) => known.unreadable.push(format!("known.endpoints[{at}]: {e}")),
                     }
                 }
             }
-            _ => known.left_out.push("known.endpoints: no list of servers".into()),
+            _ => known.unreadable.push("known.endpoints: no list of servers".into()),
         }
         known
     }
@@ -91,10 +92,10 @@
     ///
     /// # Errors
     /// It is no address.
-    pub fn with_console(mut self, given: Option<&str>) -> Result<Self, String> {
+    pub fn with_admin_address(mut self, given: Option<&str>) -> Result<Self, String> {
         if let Some(text) = given.filter(|text| !text.is_empty()) {
             let address = text.parse().map_err(|e| format!("ROUTER_CONSOLE: {text:?}: {e}"))?;
-            self.console = Some(address);
+            self.admin_address = Some(address);
         }
         Ok(self)
     }
--- a/crates/larklink-proxy/src/decision_task.rs
+++ b/crates/larklink-proxy/src/decision_task.rs
@@ -14,12 +14,12 @@
 use larklink_engine::engine::{Engine, ProxyAction};
 use larklink_engine::settings::ProxySettings;
 
-use crate::clock::{Clock, tenths};
-use crate::endpoint_list::{Endpoint, server_id};
+use crate::clock::{Clock, to_ticks};
+use crate::endpoint_list::{Endpoint, endpoint_id};
 use crate::events::{DecisionEvent, SessionCommand};
-use crate::health_check::HealthChecker;
-use crate::message_latency::LatencyEstimator;
 use crate::metrics::Metrics;
+use crate::upstream::health_check::HealthChecker;
+use crate::upstream::message_latency::LatencyEstimator;
 
 /// Events that are heard before the others have their turn: a whole queue of sessions and a list of 1,024 servers
 /// take longer than a client that has left may go unnoticed, while its connection comes up.
@@ -72,7 +72,7 @@
 
     pub async fn run(mut self, events: Receiver<DecisionEvent>) {
         loop {
-            let due = self.clock.instant(self.engine.next_wakeup());
+            let due = self.clock.to_instant(self.engine.next_wakeup());
             let first = async { events.recv().await.ok() }
                 .or(async {
                     Timer::at(due).await;
@@ -87,7 +87,7 @@
                 self.act(now, action);
             }
             let health = self.engine.health_summary();
-            self.figures.servers(health.listed, health.avoided);
+            self.figures.set_endpoints(health.listed, health.avoided);
             if !events.is_empty() {
                 future::yield_now().await;
             }
@@ -98,7 +98,7 @@
         tracing::debug!(?event);
         match event {
             DecisionEvent::OpenSession { session, received_at: came, request: mut ask, commands: orders } => {
-                ask.dial_timeout = ask.dial_timeout.saturating_sub(tenths(came.elapsed()));
+                ask.dial_timeout = ask.dial_timeout.saturating_sub(to_ticks(came.elapsed()));
                 self.orders.insert(session, orders);
                 if let Some(action) = self.engine.open_session(now, session, ask) {
                     self.act(now, action);
@@ -138,7 +138,7 @@
                 self.engine.observe(now, session, dial, note)
             }
             DecisionEvent::MessageAnswered { session, attempt: dial, endpoint: server, took } => {
-                if let Some(delay) = self.delays.as_mut().and_then(|d| d.echo(now, server, took)) {
+                if let Some(delay) = self.delays.as_mut().and_then(|d| d.record_answer(now, server, took)) {
                     self.engine.observe(now, session, dial, Observation::MessageLatency(delay));
                 }
             }
@@ -160,7 +160,7 @@
             self.listed.clear();
         }
         for e in &endpoints {
-            let id = server_id(&e.name);
+            let id = endpoint_id(&e.name);
             match e.address.parse() {
                 Ok(address) => {
                     self.addresses.insert(id, address);
@@ -175,7 +175,7 @@
             }
             tracing::info!("server {} {} is {:08x}, since {}", e.name, e.status, id, e.since_ms);
         }
-        self.probes.listed(&self.listed);
+        self.probes.update_endpoints(&self.listed);
         self.engine.update_endpoints(now, scope, endpoints.iter().map(|e| e.entry(&self.zones)).collect());
     }
 
@@ -190,7 +190,7 @@
                 send_deadline: by,
             } => {
                 let address = self.addresses.get(&server).copied();
-                let (until, by) = (self.clock.instant(now + limit), self.clock.instant(by));
+                let (until, by) = (self.clock.to_instant(now + limit), self.clock.to_instant(by));
                 (
                     session,
                     SessionCommand::Connect {
@@ -204,7 +204,7 @@
             }
             ProxyAction::LimitSendDeadline { session, attempt: dial, send_deadline: by } => (
                 session,
-                SessionCommand::LimitSendDeadline { attempt: dial, send_deadline: self.clock.instant(by) },
+                SessionCommand::LimitSendDeadline { attempt: dial, send_deadline: self.clock.to_instant(by) },
             ),
             ProxyAction::Reject { session, retry_after } => (session, SessionCommand::Reject { retry_after }),
             ProxyAction::Fail { session } => (session, SessionCommand::Fail),
@@ -213,7 +213,7 @@
                 match self.addresses.get(&server) {
                     Some(&address) => {
                         let probes = Rc::clone(&self.probes);
-                        self.executor.spawn(async move { probes.ask(server, address).await }).detach();
+                        self.executor.spawn(async move { probes.check(server, address).await }).detach();
                     }
                     None => self.engine.health_checked(now, server, AttemptOutcome::ConnectFailed, 0, &[]),
                 }
--- /dev/null
+++ b/crates/larklink-proxy/src/discovery/mod.rs
@@ -0,0 +1,4 @@
+//! Follows the endpoint list at the discovery service.
+pub mod client;
+pub mod http;
+pub mod schedule;
--- a/crates/larklink-proxy/src/endpoint_list.rs
+++ b/crates/larklink-proxy/src/endpoint_list.rs
@@ -5,7 +5,7 @@
 
 /// The list of servers as discovery writes it.
 #[derive(Clone, Debug, Default, Deserialize)]
-pub struct List {
+pub struct EndpointList {
     pub index: u64,
     #[serde(default)]
     pub snapshot: bool,
@@ -29,7 +29,7 @@
 
 /// A server's id: by its name alone, so that all proxies agree on it whatever its address and place in the
 /// list.
-pub fn server_id(name: &str) -> u32 {
+pub fn endpoint_id(name: &str) -> u32 {
     xxh3_64(name.as_bytes()) as u32
 }
 
@@ -37,7 +37,7 @@
     pub fn entry(&self, zones: &[String]) -> EndpointEntry {
         EndpointEntry {
             endpoint: 0,
-            id: server_id(&self.name),
+            id: endpoint_id(&self.name),
             zone: zones.iter().position(|z| *z == self.zone).unwrap_or(zones.len()) as u16,
             cell: self.group,
             state: match self.status.as_str() {
--- a/crates/larklink-proxy/src/handover/mod.rs
+++ b/crates/larklink-proxy/src/handover/mod.rs
@@ -25,7 +25,7 @@
 use crate::endpoint_list::Endpoint;
 use crate::events::{DecisionEvent, DecisionQueue};
 use crate::limiter::ConnectionLimiter;
-use crate::upstream::within;
+use crate::timeout::with_timeout;
 use wire::{EstablishedSession, HandoverMessage, MessageReader, MessageWriter, OWED, VERSION, bad, talk};
 
 /// How often an old process looks at what it still holds.
@@ -37,7 +37,7 @@
 
 /// Where the processes of a proxy meet; nowhere unless the operators' door is on, since only then may there be two.
 pub fn place(config: &Config, folder: Option<PathBuf>) -> Option<PathBuf> {
-    config.console?;
+    config.admin_address?;
     let address = config.listen.to_string().replace([':', '[', ']'], "-");
     Some(folder?.join(format!("larklink-{address}")))
 }
@@ -56,7 +56,7 @@
 pub async fn meet(at: &Path) -> Result<Option<(TcpListener, Predecessor)>> {
     let Ok(stream) = UnixStream::connect(at) else { return Ok(None) };
     let (mut ear, mouth) = talk(Async::new(stream)?);
-    match within(OWED, ear.hear()).await? {
+    match with_timeout(OWED, ear.hear()).await? {
         HandoverMessage::Offer { list, .. } => {
             Ok(Some((ear.beside()?.into(), Predecessor { ear, mouth, list })))
         }
@@ -146,8 +146,8 @@
                 }
             }
         };
-        let held = within(OWED, answer).await?;
-        held.into_iter().for_each(|held| self.limiter.leave_to(held));
+        let held = with_timeout(OWED, answer).await?;
+        held.into_iter().for_each(|held| self.limiter.set_other_process_use(held));
         Ok(held.is_some())
     }
 
@@ -156,7 +156,7 @@
         let mut sessions = 0;
         let ended = loop {
             match old.ear.hear().await {
-                Ok(HandoverMessage::Held { held }) => self.limiter.leave_to(held),
+                Ok(HandoverMessage::Held { held }) => self.limiter.set_other_process_use(held),
                 Ok(HandoverMessage::Session(session)) => match (old.ear.beside(), old.ear.beside()) {
                     (Ok(client), Ok(server)) => {
                         sessions += 1;
@@ -169,7 +169,7 @@
             }
         };
         tracing::info!(sessions, "the process before has ended: {ended}");
-        self.limiter.leave_to(0);
+        self.limiter.set_other_process_use(0);
     }
 
     /// Opens the place where a new process meets this one.
@@ -211,7 +211,7 @@
 
     async fn serve(&self, stream: Async<UnixStream>) {
         // The new one holds descriptors from its start on.
-        self.limiter.leave_to(self.limiter.fixed());
+        self.limiter.set_other_process_use(self.limiter.reserved());
         let (mut ear, mouth) = talk(stream);
         if let Err(e) = self.converse(&mut ear, &mouth).await {
             tracing::info!("the new process is gone: {e}");
@@ -222,7 +222,7 @@
             self.successor.0.take();
         }
         if !self.successor.is_there() {
-            self.limiter.leave_to(0);
+            self.limiter.set_other_process_use(0);
         }
         if mine && !self.stop.is_closed() {
             tracing::warn!("a process that had taken over is gone: takes connections again");
--- a/crates/larklink-proxy/src/handover/wire.rs
+++ b/crates/larklink-proxy/src/handover/wire.rs
@@ -18,7 +18,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::endpoint_list::Endpoint;
-use crate::upstream::within;
+use crate::timeout::with_timeout;
 
 /// Changes when the words do: processes of two versions share the address and nothing else.
 pub const VERSION: u32 = 1;
@@ -161,7 +161,7 @@
             let n = self.stream.write_with(|s| send(s, &line, beside)).await?;
             (&*self.stream).write_all(&line[n..]).await
         };
-        within(OWED, said).await
+        with_timeout(OWED, said).await
     }
 }
 
--- a/crates/larklink-proxy/src/limiter.rs
+++ b/crates/larklink-proxy/src/limiter.rs
@@ -40,12 +40,12 @@
 impl ConnectionLimiter {
     /// All of so many descriptors, for clients.
     pub fn new(descriptors: usize) -> Rc<Self> {
-        Self::beside(0, descriptors)
+        Self::with_reserved(0, descriptors)
     }
 
     /// What a limit leaves beside a number of descriptors that is set aside for good; a limit under twice that number
     /// is shared with it.
-    pub fn beside(fixed: usize, limit: usize) -> Rc<Self> {
+    pub fn with_reserved(fixed: usize, limit: usize) -> Rc<Self> {
         let fixed = fixed.min(limit.saturating_sub(fixed).max(limit / LEAST_PART));
         let count = |n| isize::try_from(n).unwrap_or(isize::MAX);
         Rc::new(Self {
@@ -65,14 +65,14 @@
 
     /// Sets a descriptor aside for probes of each of so many servers, as far as the limit allows. Idle ones give way at
     /// once where clients have them; sessions stay, and probes get theirs as sessions end.
-    pub fn set_aside(&self, servers: usize) {
+    pub fn reserve_for_health_checks(&self, servers: usize) {
         self.aside.set(isize::try_from(servers).unwrap_or(isize::MAX).min(self.most_aside));
         self.make_way();
         self.wake();
     }
 
     /// What is set aside for good: a process that has no clients yet needs no more.
-    pub fn fixed(&self) -> usize {
+    pub fn reserved(&self) -> usize {
         usize::try_from(self.fixed).unwrap_or(0)
     }
 
@@ -81,9 +81,9 @@
         usize::try_from(self.fixed + self.probes.get() + self.clients.get()).unwrap_or(0)
     }
 
-    /// A permit for a new connection, which is idle until it is [`seated`](ConnectionPermit::seat); none if all the others are
+    /// A permit for a new connection, which is idle until it is [`seated`](ConnectionPermit::start_session); none if all the others are
     /// sessions.
-    pub fn enter(self: &Rc<Self>) -> Option<ConnectionPermit> {
+    pub fn try_acquire(self: &Rc<Self>) -> Option<ConnectionPermit> {
         self.take()?;
         let permit = self.permit(1);
         self.idle.borrow_mut().insert((false, permit.number), permit.tell.clone());
@@ -96,13 +96,13 @@
     }
 
     /// Descriptors that clients and their servers hold here.
-    pub fn held(&self) -> usize {
+    pub fn client_descriptors(&self) -> usize {
         usize::try_from(self.clients.get()).unwrap_or(0)
     }
 
     /// The other process of this proxy holds so many of them now. Idle ones give way where they are too few then;
     /// sessions stay, and none comes in until some have ended.
-    pub fn leave_to(&self, others: usize) {
+    pub fn set_other_process_use(&self, others: usize) {
         self.others.set(isize::try_from(others).unwrap_or(isize::MAX).min(self.all));
         self.make_way();
         self.wake();
@@ -110,14 +110,14 @@
 
     /// The permit of a session that the other process held; it comes even where none is left, as that one
     /// gives its own up.
-    pub fn inherit(self: &Rc<Self>) -> ConnectionPermit {
+    pub fn adopt(self: &Rc<Self>) -> ConnectionPermit {
         self.clients.set(self.clients.get() + 2);
         self.permit(2)
     }
 
     /// Resolves once those that were told to give way have closed, as far as their descriptors are in use again:
     /// until then the process would hold more than it may.
-    pub async fn settled(&self) {
+    pub async fn evictions_done(&self) {
         poll_fn(|cx| match self.free() < 0 && self.leaving.get() > 0 {
             true => self.wait(cx.waker()),
             false => Poll::Ready(()),
@@ -127,19 +127,19 @@
 
     /// A descriptor for a probe, of those set aside; none while they, or all, are in use. One probe has one whatever
     /// others hold.
-    pub fn probe(self: &Rc<Self>) -> Option<ProbePermit> {
+    pub fn try_acquire_health_check(self: &Rc<Self>) -> Option<HealthCheckPermit> {
         let probes = self.probes.get();
         let taken = probes + self.clients.get() + self.others.get();
         if probes > 0 && (probes >= self.aside.get() || taken >= self.all) {
             return None;
         }
         self.probes.set(probes + 1);
-        Some(ProbePermit(Rc::clone(self)))
+        Some(HealthCheckPermit(Rc::clone(self)))
     }
 
     /// The same, once there is one.
-    pub async fn next_probe(self: &Rc<Self>) -> ProbePermit {
-        poll_fn(|cx| match self.probe() {
+    pub async fn acquire_health_check(self: &Rc<Self>) -> HealthCheckPermit {
+        poll_fn(|cx| match self.try_acquire_health_check() {
             Some(probe) => Poll::Ready(probe),
             None => self.wait(cx.waker()),
         })
@@ -188,9 +188,9 @@
 }
 
 /// A probe's descriptor, given back when this is dropped.
-pub struct ProbePermit(Rc<ConnectionLimiter>);
+pub struct HealthCheckPermit(Rc<ConnectionLimiter>);
 
-impl Drop for ProbePermit {
+impl Drop for HealthCheckPermit {
     fn drop(&mut self) {
         self.0.probes.set(self.0.probes.get() - 1);
         self.0.wake();
@@ -209,7 +209,7 @@
 
 impl ConnectionPermit {
     /// Resolves when this idle one is to give way.
-    pub fn must_go(&self) -> impl Future<Output = ()> + use<> {
+    pub fn evicted(&self) -> impl Future<Output = ()> + use<> {
         let told = self.told.clone();
         async move {
             let _ = told.recv().await;
@@ -218,7 +218,7 @@
 
     /// An idle one that has spoken stays longer than one that has not; so does one whose session is over, which has its
     /// own connection only.
-    pub fn spoke(&mut self) {
+    pub fn record_activity(&mut self) {
         self.leave();
         self.give_back(self.held - 1);
         if !self.told.is_closed() {
@@ -227,14 +227,14 @@
     }
 
     /// It holds a session from now on and need not give way, if it was not told to before.
-    pub fn seat(&self) -> bool {
+    pub fn start_session(&self) -> bool {
         self.leave();
         !self.told.is_closed()
     }
 
     /// An idle one that was told to give way and has spoken meanwhile: whether the next one gives way in its place. What a
     /// client said lies unread in the kernel while a crowd is taken, and sessions were turned away with the silent.
-    pub fn stays(&mut self) -> bool {
+    pub fn keep_if_not_evicted(&mut self) -> bool {
         if !self.told.is_closed() || self.limiter.evict().is_none() {
             return !self.told.is_closed();
         }
@@ -250,8 +250,8 @@
     }
 
     /// Makes sure of a second descriptor, for a dial; it is there to be had once the limiter has
-    /// [`settled`](ConnectionLimiter::settled).
-    pub fn second(&mut self) -> bool {
+    /// [`settled`](ConnectionLimiter::evictions_done).
+    pub fn try_acquire_upstream(&mut self) -> bool {
         if self.held < 2 && self.limiter.take().is_some() {
             self.held = 2;
         }
--- a/crates/larklink-proxy/src/main.rs
+++ b/crates/larklink-proxy/src/main.rs
@@ -27,7 +27,7 @@
         return ExitCode::FAILURE;
     };
     let console = std::env::var("ROUTER_CONSOLE").ok();
-    let config = Config::read(&path).and_then(|config| config.with_console(console.as_deref()));
+    let config = Config::read(&path).and_then(|config| config.with_admin_address(console.as_deref()));
     match config.and_then(|config| start(path, config)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(wrong) => {
@@ -51,8 +51,8 @@
     let address = listener.local_addr().map_err(|e| e.to_string())?;
     tracing::info!(name = config.name, listen = %address, "starts");
     let figures = Metrics::new(&config.settings.listeners);
-    if let Some(at) = config.console {
-        let at = admin::open(at, Arc::clone(&figures)).map_err(|e| format!("console {at}: {e}"))?;
+    if let Some(at) = config.admin_address {
+        let at = admin::start(at, Arc::clone(&figures)).map_err(|e| format!("console {at}: {e}"))?;
         tracing::info!(console = %at, "operators may call");
     }
     let executor = Rc::new(LocalExecutor::new());
@@ -70,10 +70,10 @@
             }
         })
         .detach();
-    let told = config.limits.sockets;
-    config.limits.sockets = descriptors(told);
-    if config.limits.sockets < told {
-        tracing::warn!("limits.sockets is {told}, and the system allows {}", config.limits.sockets);
+    let told = config.limits.max_descriptors;
+    config.limits.max_descriptors = descriptors(told);
+    if config.limits.max_descriptors < told {
+        tracing::warn!("limits.sockets is {told}, and the system allows {}", config.limits.max_descriptors);
     }
     let start = Start { config, listener, stop: stopping, moved, figures, place, old };
     let run = proxy::run(start, Rc::clone(&executor));
@@ -113,7 +113,7 @@
     // A restart takes the address over from connections that are still closing.
     socket.set_reuse_address(true)?;
     // A process that replaces another shares the address with it, if it cannot have its socket.
-    socket.set_reuse_port(config.console.is_some())?;
+    socket.set_reuse_port(config.admin_address.is_some())?;
     socket.bind(&config.listen.into())?;
     socket.listen(BACKLOG)?;
     Ok(socket.into())
--- a/crates/larklink-proxy/src/metrics.rs
+++ b/crates/larklink-proxy/src/metrics.rs
@@ -87,7 +87,7 @@
         Arc::new(Self { listeners, ..Self::default() })
     }
 
-    pub fn answered(&self, listener: usize, answer: FinalAnswer) {
+    pub fn record_answer(&self, listener: usize, answer: FinalAnswer) {
         let Some((_, answers)) = self.listeners.get(listener) else { return };
         let count = match answer {
             FinalAnswer::Accepted => &answers.accepted,
@@ -98,7 +98,7 @@
     }
 
     /// A session was refused with no dial made for it; the second such count and the log tell once nobody is served.
-    pub fn refused_undialled(&self, reason: EndReason, now: Instant) {
+    pub fn record_rejection_without_attempt(&self, reason: EndReason, now: Instant) {
         self.refused_undialled.fetch_add(1, Relaxed);
         let mut refusals = self.refusals.lock().unwrap_or_else(PoisonError::into_inner);
         if !refusals.add(now) {
@@ -117,7 +117,7 @@
     }
 
     /// A dial begins.
-    pub fn dialled(&self, now: Instant) {
+    pub fn record_attempt_started(&self, now: Instant) {
         let mut refusals = self.refusals.lock().unwrap_or_else(PoisonError::into_inner);
         let was = std::mem::take(&mut *refusals);
         if was.told {
@@ -126,17 +126,17 @@
     }
 
     /// A session's first line was written whole to a server.
-    pub fn tried(&self) {
+    pub fn record_attempt_sent(&self) {
         self.tries.fetch_add(1, Relaxed);
     }
 
-    pub fn taken(self: &Arc<Self>) -> InProgress {
+    pub fn session_started(self: &Arc<Self>) -> InProgress {
         self.in_progress.fetch_add(1, Relaxed);
         InProgress(Arc::clone(self))
     }
 
     /// How many servers the list has, and how many of them get nothing new now.
-    pub fn servers(&self, known: usize, skipped: usize) {
+    pub fn set_endpoints(&self, known: usize, skipped: usize) {
         self.known.store(known, Relaxed);
         self.skipped.store(skipped, Relaxed);
     }
--- a/crates/larklink-proxy/src/pending.rs
+++ b/crates/larklink-proxy/src/pending.rs
@@ -12,14 +12,15 @@
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 
 use crate::clients::{Client, LAST, LOOK, SessionContext, answer};
-use crate::clock::tenths;
-use crate::endpoint_list::server_id;
+use crate::clock::to_ticks;
+use crate::connection::{Connection, read};
+use crate::endpoint_list::endpoint_id;
 use crate::events::{DecisionEvent, SessionCommand};
 use crate::log::EndReason;
 use crate::metrics::FinalAnswer;
-use crate::protocol::{LineBuffer, OpenLine, with_wait};
+use crate::protocol::{LineBuffer, OpenLine, with_dial_timeout};
 use crate::relay::Stands;
-use crate::upstream::{Connection, dial, read};
+use crate::upstream::attempt::send_attempt;
 
 /// A connection from before the start is tried again after so long, up to so long.
 const STAND_AGAIN: Duration = Duration::from_millis(250);
@@ -85,11 +86,11 @@
         if self.stop.is_closed() {
             // It has to have its answer before this process ends.
             let left = (self.until() - LAST).saturating_duration_since(client.came);
-            ask.dial_timeout = ask.dial_timeout.min(tenths(left));
+            ask.dial_timeout = ask.dial_timeout.min(to_ticks(left));
         }
         let (sender, orders) = async_channel::bounded(4);
-        if let Some(at) = head.at {
-            return self.stand(session, client, line, ask, server_id(at), (sender, orders)).await;
+        if let Some(at) = head.endpoint_name {
+            return self.stand(session, client, line, ask, endpoint_id(at), (sender, orders)).await;
         }
         self.queue
             .send(DecisionEvent::OpenSession {
@@ -101,17 +102,19 @@
             .await;
         let (mut may_have_run, dialled) = (false, Cell::new(false));
         let refused = |reason| {
-            self.figures.answered(listener, FinalAnswer::Rejected);
+            self.figures.record_answer(listener, FinalAnswer::Rejected);
             if !dialled.get() {
-                self.figures.refused_undialled(reason, Instant::now());
+                self.figures.record_rejection_without_attempt(reason, Instant::now());
             }
         };
         let reason = loop {
             let order = async { orders.recv().await.ok().ok_or(EndReason::ClientLeft) };
-            let client_left = watch_client(&client.link.stream, &mut client.link.inbox, head.mid_flow);
+            let client_left = watch_client(&client.link.stream, &mut client.link.buffer, head.established);
             match order.or(client_left).or(self.last_call()).await {
                 // Only the first needs another descriptor: nothing has run.
-                Ok(SessionCommand::Connect { .. }) if !client.place.second() => break EndReason::NoRoom,
+                Ok(SessionCommand::Connect { .. }) if !client.place.try_acquire_upstream() => {
+                    break EndReason::NoRoom;
+                }
                 Ok(SessionCommand::Connect {
                     attempt: number,
                     endpoint: server,
@@ -120,12 +123,12 @@
                     send_deadline: by,
                 }) => {
                     let wait = until.saturating_duration_since(Instant::now()).as_millis().max(1).to_string();
-                    let mut slices = with_wait(line, &head.wait_at, &wait);
+                    let mut slices = with_dial_timeout(line, &head.dial_timeout_range, &wait);
                     let permit = SendPermit { dial: number, by: by.into(), until, sent: false.into() };
-                    let Connection { stream, inbox } = &mut client.link;
+                    let Connection { stream, buffer: inbox } = &mut client.link;
                     // The reactor need not have told yet of a client that left: while its line came, while it waited
                     // for a probe or in a queue, or while another dial of its was out.
-                    let waits = || waits_still(stream.get_ref(), head.mid_flow);
+                    let waits = || waits_still(stream.get_ref(), head.established);
                     let may_begin = || {
                         let begins = waits();
                         dialled.set(dialled.get() || begins);
@@ -134,22 +137,26 @@
                     let may_send = || waits() && permit.take();
                     let (timeout, figures) = (self.connect_timeout, &self.figures);
                     let work = async {
-                        self.limiter.settled().await;
+                        self.limiter.evictions_done().await;
                         Ok(match address {
                             Some(to) => {
-                                dial(to, &mut slices, until, timeout, may_begin, may_send, figures).await
+                                send_attempt(to, &mut slices, until, timeout, may_begin, may_send, figures)
+                                    .await
                             }
                             None => Err(AttemptOutcome::ConnectFailed),
                         })
                     };
                     let over = async { Ok(Err(permit.over(&orders).await)) };
-                    let client_left = watch_client(stream, inbox, head.mid_flow);
+                    let client_left = watch_client(stream, inbox, head.established);
                     let done = over.or(client_left).or(work).or(self.last_call()).await;
                     may_have_run |= permit.sent.get() && !matches!(&done, Ok(Err(how)) if how.never_ran());
                     match done {
                         Err(reason) => break reason,
-                        Ok(Err(AttemptOutcome::NotSent)) if !waits_still(stream.get_ref(), head.mid_flow) => {
-                            let Err(reason) = watch_client::<Infallible>(stream, inbox, head.mid_flow).await;
+                        Ok(Err(AttemptOutcome::NotSent))
+                            if !waits_still(stream.get_ref(), head.established) =>
+                        {
+                            let Err(reason) =
+                                watch_client::<Infallible>(stream, inbox, head.established).await;
                             break reason;
                         }
                         Ok(Err(how)) => {
@@ -163,7 +170,7 @@
                                 .await
                         }
                         Ok(Ok(link)) => {
-                            self.figures.answered(listener, FinalAnswer::Accepted);
+                            self.figures.record_answer(listener, FinalAnswer::Accepted);
                             self.queue.send(DecisionEvent::Established { session, attempt: number }).await;
                             let at = Stands {
                                 session,
@@ -186,7 +193,7 @@
                     return EndReason::Refused;
                 }
                 Ok(SessionCommand::Fail) => {
-                    self.figures.answered(listener, FinalAnswer::Failed);
+                    self.figures.record_answer(listener, FinalAnswer::Failed);
                     answer(client, "ERR\r\n").await;
                     return EndReason::TornDown;
                 }
@@ -202,7 +209,7 @@
                 answer(client, "BUSY\r\n").await;
             }
             EndReason::BadLine | EndReason::NoRoom | EndReason::Stopped => {
-                self.figures.answered(listener, FinalAnswer::Failed);
+                self.figures.record_answer(listener, FinalAnswer::Failed);
                 answer(client, "ERR\r\n").await;
             }
             _ => {}
@@ -222,20 +229,20 @@
     ) -> EndReason {
         let (until, listener) = (Instant::now() + STAND, ask.listener);
         self.queue.send(DecisionEvent::FindEndpoint { session, endpoint: server, commands: sender }).await;
-        let room = client.place.second();
-        let Connection { stream, inbox } = &mut client.link;
+        let room = client.place.try_acquire_upstream();
+        let Connection { stream, buffer: inbox } = &mut client.link;
         let stream = &*stream;
         let work = async {
             let Ok(SessionCommand::Connect { address: Some(address), .. }) = orders.recv().await else {
                 return Err(EndReason::TornDown);
             };
             room.then_some(()).ok_or(EndReason::NoRoom)?;
-            self.limiter.settled().await;
+            self.limiter.evictions_done().await;
             loop {
                 let mut slices = [std::io::IoSlice::new(line)];
                 let waits = || waits_still(stream.get_ref(), true);
                 let (timeout, figures) = (self.connect_timeout, &self.figures);
-                match dial(address, &mut slices, until, timeout, waits, waits, figures).await {
+                match send_attempt(address, &mut slices, until, timeout, waits, waits, figures).await {
                     Ok(link) => return Ok(link),
                     // Once it may have run there, another would be a second copy.
                     Err(how) if !how.never_ran() || Instant::now() >= until => {
@@ -247,7 +254,7 @@
         };
         match work.or(watch_client(stream, inbox, true)).or(self.last_call()).await {
             Ok(link) => {
-                self.figures.answered(listener, FinalAnswer::Accepted);
+                self.figures.record_answer(listener, FinalAnswer::Accepted);
                 self.queue
                     .send(DecisionEvent::AdoptEstablished { session, request: ask, endpoint: server })
                     .await;
@@ -257,7 +264,7 @@
             Err(reason) => {
                 self.queue.send(DecisionEvent::ClientLeft { session }).await;
                 if reason != EndReason::ClientLeft {
-                    self.figures.answered(listener, FinalAnswer::Failed);
+                    self.figures.record_answer(listener, FinalAnswer::Failed);
                     answer(client, "ERR\r\n").await;
                 }
                 reason
@@ -269,12 +276,12 @@
 pub(crate) fn asks(head: &OpenLine<'_>, listener: usize) -> SessionRequest {
     SessionRequest {
         listener,
-        group_key: head.group,
-        client_key: head.key,
-        dial_timeout: head.wait_ms.saturating_mul(10),
-        established: head.mid_flow,
-        reconnecting: head.again,
-        client_retry: head.retry,
+        group_key: head.group_key,
+        client_key: head.client_key,
+        dial_timeout: head.dial_timeout_ms.saturating_mul(10),
+        established: head.established,
+        reconnecting: head.reconnecting,
+        client_retry: head.client_retry,
     }
 }
 
--- a/crates/larklink-proxy/src/protocol.rs
+++ b/crates/larklink-proxy/src/protocol.rs
@@ -4,9 +4,9 @@
 use std::ops::Range;
 
 /// The longest line, its CRLF included.
-pub const LONGEST: usize = 4096;
+pub const MAX_LINE_LENGTH: usize = 4096;
 /// The longest that a client may say it waits, in milliseconds: an hour is no dial timeout.
-const LONGEST_WAIT: u64 = 3_600_000;
+const MAX_DIAL_TIMEOUT_MS: u64 = 3_600_000;
 
 /// Bytes read and not yet passed on.
 #[derive(Default)]
@@ -30,31 +30,31 @@
     }
 
     /// One that holds what was read elsewhere and not passed on; none if that is more than it may hold.
-    pub fn holding(bytes: Vec<u8>) -> Option<Self> {
-        (bytes.len() <= LONGEST).then_some(Self { bytes, from: 0 })
+    pub fn with_bytes(bytes: Vec<u8>) -> Option<Self> {
+        (bytes.len() <= MAX_LINE_LENGTH).then_some(Self { bytes, from: 0 })
     }
 
     pub fn is_full(&self) -> bool {
-        self.bytes().len() >= LONGEST
+        self.bytes().len() >= MAX_LINE_LENGTH
     }
 
     /// Reads once, no more than fits.
     pub fn fill(&mut self, read: impl FnOnce(&mut [u8]) -> std::io::Result<usize>) -> std::io::Result<usize> {
         self.bytes.drain(..std::mem::take(&mut self.from));
         let len = self.bytes.len();
-        self.bytes.resize(LONGEST, 0);
+        self.bytes.resize(MAX_LINE_LENGTH, 0);
         let n = read(&mut self.bytes[len..]);
         self.bytes.truncate(len + *n.as_ref().unwrap_or(&0));
         n
     }
 
     /// The length of the first line with its CRLF, if it is whole.
-    pub fn line(&self) -> Option<usize> {
+    pub fn first_line_len(&self) -> Option<usize> {
         self.bytes().windows(2).position(|w| w == b"\r\n").map(|at| at + 2)
     }
 
     /// The length of all whole lines.
-    pub fn lines(&self) -> usize {
+    pub fn complete_lines_len(&self) -> usize {
         self.bytes().windows(2).rposition(|w| w == b"\r\n").map_or(0, |at| at + 2)
     }
 }
@@ -63,17 +63,17 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OpenLine<'a> {
     pub id: u64,
-    pub key: u64,
+    pub client_key: u64,
     pub listener: &'a str,
     /// How long the client waits, in milliseconds, and where the line says so.
-    pub wait_ms: u64,
-    pub wait_at: Range<usize>,
-    pub group: u64,
-    pub again: bool,
-    pub retry: bool,
-    pub mid_flow: bool,
+    pub dial_timeout_ms: u64,
+    pub dial_timeout_range: Range<usize>,
+    pub group_key: u64,
+    pub reconnecting: bool,
+    pub client_retry: bool,
+    pub established: bool,
     /// The name of the server that it stood at before the proxy's start.
-    pub at: Option<&'a str>,
+    pub endpoint_name: Option<&'a str>,
 }
 
 pub fn hex(text: &str) -> Option<u64> {
@@ -82,7 +82,7 @@
 }
 
 /// Reads the first line, with or without its CRLF; or says what is wrong with it.
-pub fn head(line: &[u8]) -> Result<OpenLine<'_>, &'static str> {
+pub fn parse_open_line(line: &[u8]) -> Result<OpenLine<'_>, &'static str> {
     let text = std::str::from_utf8(line).map_err(|_| "not text")?.trim_end_matches("\r\n");
     let mut words = text.splitn(4, ' ');
     if words.next() != Some("OPEN") {
@@ -95,7 +95,7 @@
     let key = words.next().and_then(hex).ok_or("the key is not a hex number")?;
     let list = words.next().ok_or("no list of names and values")?;
     let (mut listener, mut wait) = (None, None);
-    let mut head = OpenLine { id, key, ..OpenLine::default() };
+    let mut head = OpenLine { id, client_key: key, ..OpenLine::default() };
     let mut names = Vec::new();
     let mut from = text.len() - list.len();
     for pair in list.split(',') {
@@ -109,11 +109,11 @@
                 let ms: u64 = digits.then(|| value.parse().ok()).flatten().ok_or("d is not a number")?;
                 wait = Some((ms, end - value.len()..end));
             }
-            "g" => head.group = hex(value).ok_or("g is not a hex number")?,
-            "again" => head.again = value == "1",
-            "r" => head.retry = value == "1",
-            "mid" => head.mid_flow = value == "1",
-            "at" => head.at = Some(value),
+            "g" => head.group_key = hex(value).ok_or("g is not a hex number")?,
+            "again" => head.reconnecting = value == "1",
+            "r" => head.client_retry = value == "1",
+            "mid" => head.established = value == "1",
+            "at" => head.endpoint_name = Some(value),
             // A guess at the load and further figures change no decision.
             _ => {}
         }
@@ -127,15 +127,15 @@
     let (ms, at) = wait.ok_or("no dial timeout")?;
     // One that stood before the proxy's start waits for no server: its figure is whatever its life was to be, and who
     // is turned away for that loses a connection that stands. It is bounded only for the sums that follow.
-    if ms > LONGEST_WAIT && head.at.is_none() {
+    if ms > MAX_DIAL_TIMEOUT_MS && head.endpoint_name.is_none() {
         return Err("d is too long");
     }
-    (head.wait_ms, head.wait_at) = (ms.min(LONGEST_WAIT), at);
+    (head.dial_timeout_ms, head.dial_timeout_range) = (ms.min(MAX_DIAL_TIMEOUT_MS), at);
     Ok(head)
 }
 
 /// The line with another dial timeout, to be written in one go.
-pub fn with_wait<'a>(line: &'a [u8], at: &Range<usize>, wait: &'a str) -> [IoSlice<'a>; 3] {
+pub fn with_dial_timeout<'a>(line: &'a [u8], at: &Range<usize>, wait: &'a str) -> [IoSlice<'a>; 3] {
     [&line[..at.start], wait.as_bytes(), &line[at.end..]].map(IoSlice::new)
 }
 
@@ -153,7 +153,7 @@
 }
 
 /// Tells a server's line, and what stands behind its first word.
-pub fn word(line: &[u8]) -> (ServerMessage<'_>, &str) {
+pub fn parse_server_message(line: &[u8]) -> (ServerMessage<'_>, &str) {
     let text = std::str::from_utf8(line).unwrap_or("").trim_end_matches("\r\n");
     let (first, rest) = text.split_once(' ').unwrap_or((text, ""));
     let word = match first {
@@ -173,7 +173,7 @@
 }
 
 /// A load report's values in the order of their names; nothing if one is missing.
-pub fn report(text: &str, names: &[String]) -> Vec<f64> {
+pub fn parse_load_report(text: &str, names: &[String]) -> Vec<f64> {
     let value = |name: &String| {
         let pair = text.split(',').find_map(|pair| pair.split_once('=').filter(|(n, _)| n == name));
         pair.and_then(|(_, v)| v.parse().ok()).filter(|v: &f64| v.is_finite())
--- a/crates/larklink-proxy/src/proxy.rs
+++ b/crates/larklink-proxy/src/proxy.rs
@@ -15,15 +15,15 @@
 
 use crate::admin;
 use crate::clients::{self, SessionContext};
-use crate::clock::span;
+use crate::clock::to_duration;
 use crate::config::Config;
 use crate::decision_task::DecisionTask;
-use crate::discovery::{self, Paces};
+use crate::discovery::{client, schedule::PollSchedule};
 use crate::events;
 use crate::handover::{Handover, Predecessor};
-use crate::health_check::HealthChecker;
 use crate::limiter::ConnectionLimiter;
 use crate::metrics::Metrics;
+use crate::upstream::health_check::HealthChecker;
 
 /// Descriptors kept for the listener, discovery, logs, the event loop and one handover, and for a connection that is
 /// taken while another gives way to it. Those of the operators' door are kept beside.
@@ -64,15 +64,15 @@
     let listener = Async::new(listener)?;
     let (queue, events) = events::queue();
     let facts = config.settings;
-    let mut known = config.known.endpoints;
-    for left_out in config.known.left_out {
+    let mut known = config.cached_endpoints.endpoints;
+    for left_out in config.cached_endpoints.unreadable {
         tracing::warn!("of the list that was kept some is left out: {left_out}");
     }
     if let Some(old) = old.as_ref().filter(|old| !old.list.is_empty()) {
         known.clone_from(&old.list);
     }
-    let door = if config.console.is_some() { admin::DESCRIPTORS } else { 0 };
-    let limiter = ConnectionLimiter::beside(RESERVED + door, config.limits.sockets);
+    let door = if config.admin_address.is_some() { admin::DESCRIPTORS } else { 0 };
+    let limiter = ConnectionLimiter::with_reserved(RESERVED + door, config.limits.max_descriptors);
     // Streams of their own beside the decisions', from the one seed.
     let chance = |stream| {
         let mut rng = ChaCha8Rng::seed_from_u64(config.seed);
@@ -92,20 +92,20 @@
     );
     executor.spawn(owner.run(events)).detach();
     let set = &facts.settings;
-    let paces = Paces::new(set.discovery_deadline, set.drain_grace, set.polled_discovery);
-    let watch = discovery::follow(config.discovery, moved, paces, queue.clone(), chance(1));
+    let schedule = PollSchedule::new(set.discovery_deadline, set.drain_grace, set.polled_discovery);
+    let watch = client::follow(config.discovery, moved, schedule, queue.clone(), chance(1));
     executor.spawn(watch).detach();
     let (open, closed) = async_channel::bounded(1);
     let front = Rc::new(SessionContext {
         queue: queue.clone(),
         figures: Arc::clone(&figures),
         listeners: facts.listeners,
-        connect_timeout: span(facts.settings.connect_timeout),
+        connect_timeout: to_duration(facts.settings.connect_timeout),
         passes: facts.passes,
         chance: chance(2).into(),
         stop: stop.clone(),
         closed,
-        last: STILL_COMING + span(facts.longest).min(LONGEST),
+        last: STILL_COMING + to_duration(facts.longest).min(LONGEST),
         stopped: Cell::new(None),
         next: Cell::new(0),
         limiter: Rc::clone(&limiter),
@@ -129,7 +129,7 @@
     });
     // While an old process takes connections, this one does not.
     let mut takes = old.is_none();
-    let admit = |stream| match front.limiter.enter() {
+    let admit = |stream| match front.limiter.try_acquire() {
         Some(place) => executor.spawn(clients::serve(Rc::clone(&front), stream, place)).detach(),
         None => clients::turn_away(&stream),
     };
@@ -154,7 +154,7 @@
                     admit(stream);
                     // Who gives way is to have closed before the next one comes. Else many are taken at once: in a
                     // flood others run two hundred times before this does again, and the queue would be left full.
-                    front.limiter.settled().await;
+                    front.limiter.evictions_done().await;
                     at_once += 1;
                     if at_once >= AT_ONCE || front.limiter.is_full() {
                         at_once = 0;
@@ -221,7 +221,7 @@
     // What the kernel has taken for us counts as taken: the listener's end would reset it.
     while let Ok((stream, _)) = listener.get_ref().accept() {
         let _ = Async::new(stream).map(admit);
-        front.limiter.settled().await;
+        front.limiter.evictions_done().await;
     }
     tracing::info!("no more connections are taken: the proxy stops");
     drop(listener);
--- a/crates/larklink-proxy/src/relay.rs
+++ b/crates/larklink-proxy/src/relay.rs
@@ -12,12 +12,13 @@
 use rand::RngExt;
 
 use crate::clients::{Client, LINGER, LOOK, STUCK, SessionContext, close, reset};
-use crate::clock::tenths;
+use crate::clock::to_ticks;
+use crate::connection::{Connection, read};
 use crate::events::{DecisionEvent, SessionCommand};
 use crate::handover::wire::EstablishedSession;
 use crate::log::EndReason;
-use crate::protocol::{LineBuffer, ServerMessage, word};
-use crate::upstream::{Connection, read, within};
+use crate::protocol::{LineBuffer, ServerMessage, parse_server_message};
+use crate::timeout::with_timeout;
 
 /// A connection on which a line has brought nothing back for this long is silent: a sound one brings one back at
 /// once. The 7 s that are allowed count from the last that came, seconds before the line that shows it.
@@ -100,7 +101,7 @@
             alone: Cell::default(),
         };
         let (reason, how) = loop {
-            let (up, down) = (&mut client.link.inbox, &mut link.inbox);
+            let (up, down) = (&mut client.link.buffer, &mut link.buffer);
             let end = pipe.up(up).or(pipe.down(down)).or(pipe.told(orders)).await;
             if end.0 != EndReason::HandedOver {
                 break end;
@@ -108,8 +109,8 @@
             let session = EstablishedSession {
                 head: String::from_utf8_lossy(at.head).into_owned(),
                 server: at.server,
-                to_server: client.link.inbox.bytes().to_vec(),
-                to_client: link.inbox.bytes()[pipe.passed.get()..].to_vec(),
+                to_server: client.link.buffer.bytes().to_vec(),
+                to_client: link.buffer.bytes()[pipe.passed.get()..].to_vec(),
                 unanswered: pipe.sent.borrow().len(),
                 load: pipe.load.get(),
             };
@@ -135,8 +136,8 @@
             EndReason::HandedOver => {}
             _ => {
                 drop(link);
-                client.place.spoke();
-                close(&client.link).or(client.place.must_go()).await;
+                client.place.record_activity();
+                close(&client.link).or(client.place.evicted()).await;
             }
         }
         reason
@@ -180,13 +181,13 @@
     async fn down(&self, inbox: &mut LineBuffer) -> End {
         let mut last = None;
         loop {
-            let n = inbox.lines();
+            let n = inbox.complete_lines_len();
             if n > 0 {
                 let now = Instant::now();
                 let line = inbox.bytes()[..n].split_inclusive(|&b| b == b'\n').next_back();
-                self.served.set(
-                    line.is_some_and(|line| matches!(word(line).0, ServerMessage::Bye | ServerMessage::Move)),
-                );
+                self.served.set(line.is_some_and(|line| {
+                    matches!(parse_server_message(line).0, ServerMessage::Bye | ServerMessage::Move)
+                }));
                 if let Err(reason) = self.pass(&inbox.bytes()[..n]).await {
                     return (reason, None);
                 }
@@ -203,7 +204,7 @@
             // A server that has said its last may hold its connection open: its client need not wait for
             // that.
             let ended = match last {
-                Some(_) => within(LINGER, read(self.to_server, inbox)).await,
+                Some(_) => with_timeout(LINGER, read(self.to_server, inbox)).await,
                 None => read(self.to_server, inbox).await,
             };
             if matches!(ended, Ok(n) if n > 0) {
@@ -241,7 +242,7 @@
         let mut to_client = self.to_client;
         while !bytes.is_empty() {
             self.writing.set(Some(Instant::now()));
-            let n = within(UNREAD, to_client.write(bytes)).await.map_err(|e| match e.kind() {
+            let n = with_timeout(UNREAD, to_client.write(bytes)).await.map_err(|e| match e.kind() {
                 ErrorKind::TimedOut => EndReason::ClientStuck,
                 _ => EndReason::ClientReset,
             })?;
@@ -256,7 +257,7 @@
     /// What a line says of the session; how it ends, if it is a server's last.
     async fn read_line(&self, line: &[u8], now: Instant) -> Option<AttemptOutcome> {
         let (session, dial, server) = (self.session, self.dial, self.server);
-        match word(line).0 {
+        match parse_server_message(line).0 {
             ServerMessage::Bye => return Some(AttemptOutcome::Succeeded),
             ServerMessage::Move => return Some(AttemptOutcome::Cancelled),
             ServerMessage::Up => {}
@@ -275,7 +276,7 @@
                 let sent = self.sent.borrow_mut().pop_front();
                 // What came while a slow client kept us from reading tells nothing of the server.
                 if let Some(sent) = sent.filter(|&at| self.kept.get().is_none_or(|until| until < at)) {
-                    let took = tenths(now.saturating_duration_since(sent));
+                    let took = to_ticks(now.saturating_duration_since(sent));
                     self.front
                         .queue
                         .send(DecisionEvent::MessageAnswered {
@@ -371,7 +372,7 @@
         }
         self.writing.set(Some(started));
         let mut to_client = self.to_client;
-        match within(STUCK, to_client.write_all(b"MOVE\r\n")).await {
+        match with_timeout(STUCK, to_client.write_all(b"MOVE\r\n")).await {
             Ok(()) => reason,
             Err(_) => EndReason::ClientStuck,
         }
--- a/crates/larklink-proxy/src/health_check.rs
+++ b/crates/larklink-proxy/src/upstream/health_check.rs
@@ -10,12 +10,14 @@
 use larklink_balancer::AttemptOutcome;
 use larklink_engine::settings::ProxySettings;
 
-use crate::clock::{span, tenths};
+use crate::clock::{to_duration, to_ticks};
+use crate::connection::{Connection, write_gathered};
 use crate::endpoint_list::Endpoint;
 use crate::events::{DecisionEvent, DecisionQueue};
-use crate::limiter::{ConnectionLimiter, ProbePermit};
-use crate::protocol::{ServerMessage, report, word};
-use crate::upstream::{Connection, connect, within, write_gathered};
+use crate::limiter::{ConnectionLimiter, HealthCheckPermit};
+use crate::protocol::{ServerMessage, parse_load_report, parse_server_message};
+use crate::timeout::with_timeout;
+use crate::upstream::attempt::connect;
 
 pub struct HealthChecker {
     /// The names of a report's values; empty where probes tell no load.
@@ -34,20 +36,21 @@
 struct Kept {
     address: SocketAddr,
     link: Connection,
-    descriptor: ProbePermit,
+    descriptor: HealthCheckPermit,
     since: Instant,
 }
 
 impl HealthChecker {
     pub fn new(facts: &ProxySettings, queue: DecisionQueue, limiter: Rc<ConnectionLimiter>) -> Self {
         let names = if facts.load_position.is_some() { facts.report.clone() } else { Vec::new() };
-        let (probing, connect_timeout) = (facts.settings.health_checks, span(facts.settings.connect_timeout));
+        let (probing, connect_timeout) =
+            (facts.settings.health_checks, to_duration(facts.settings.connect_timeout));
         let (kept, asked, waiting) = Default::default();
         Self { names, probing, connect_timeout, kept, asked, waiting, queue, limiter }
     }
 
     /// Asks a server; the answer goes to the queue. Its time counts from when there is a descriptor for it.
-    pub async fn ask(&self, server: u32, address: SocketAddr) {
+    pub async fn check(&self, server: u32, address: SocketAddr) {
         self.asked.borrow_mut().insert(server);
         let kept = self.kept.borrow_mut().remove(&server);
         let (link, descriptor) = match kept {
@@ -85,7 +88,7 @@
             .send(DecisionEvent::HealthChecked {
                 endpoint: server,
                 outcome: how,
-                took: tenths(started.elapsed()),
+                took: to_ticks(started.elapsed()),
                 load_report: report,
             })
             .await;
@@ -94,22 +97,22 @@
     /// Goes by the list as it stands: a descriptor is set aside for each server that may be asked, and connections to
     /// those that are gone are closed, those under way once they have brought their answer. A whole list says nothing
     /// of servers that are gone, and connections to them stayed for good.
-    pub fn listed(&self, servers: &BTreeMap<u32, Endpoint>) {
-        self.limiter.set_aside(if self.probing { servers.len() } else { 0 });
+    pub fn update_endpoints(&self, servers: &BTreeMap<u32, Endpoint>) {
+        self.limiter.reserve_for_health_checks(if self.probing { servers.len() } else { 0 });
         self.kept.borrow_mut().retain(|server, _| servers.contains_key(server));
         self.asked.borrow_mut().retain(|server| servers.contains_key(server));
     }
 
     /// One that is free, or that of the connection that has rested longest, or the next that another probe gives back.
-    async fn descriptor(&self) -> ProbePermit {
-        if let Some(free) = self.limiter.probe() {
+    async fn descriptor(&self) -> HealthCheckPermit {
+        if let Some(free) = self.limiter.try_acquire_health_check() {
             return free;
         }
         match self.oldest() {
             Some(kept) => kept.descriptor,
             None => {
                 self.waiting.set(self.waiting.get() + 1);
-                let next = self.limiter.next_probe().await;
+                let next = self.limiter.acquire_health_check().await;
                 self.waiting.set(self.waiting.get() - 1);
                 next
             }
@@ -127,7 +130,7 @@
         &self,
         mut link: Connection,
     ) -> std::result::Result<(AttemptOutcome, Vec<f64>, Connection), AttemptOutcome> {
-        match within(self.connect_timeout, self.lines(&mut link)).await {
+        match with_timeout(self.connect_timeout, self.lines(&mut link)).await {
             Ok((how, report)) => Ok((how, report, link)),
             Err(e) if e.kind() == ErrorKind::TimedOut => Err(AttemptOutcome::TimedOut),
             Err(_) => Err(AttemptOutcome::Reset),
@@ -137,14 +140,14 @@
     async fn lines(&self, link: &mut Connection) -> Result<(AttemptOutcome, Vec<f64>)> {
         let ask: &[u8] = if self.names.is_empty() { b"PING\r\n" } else { b"STATS\r\n" };
         write_gathered(&link.stream, &mut [IoSlice::new(ask)]).await?;
-        let n = link.line().await?;
-        let (word, rest) = word(&link.inbox.bytes()[..n]);
+        let n = link.read_line().await?;
+        let (word, rest) = parse_server_message(&link.buffer.bytes()[..n]);
         let answer = match word {
-            ServerMessage::Pong => (AttemptOutcome::Succeeded, report(rest, &self.names)),
+            ServerMessage::Pong => (AttemptOutcome::Succeeded, parse_load_report(rest, &self.names)),
             ServerMessage::Busy => (AttemptOutcome::AtCapacity, Vec::new()),
             _ => (AttemptOutcome::Failed, Vec::new()),
         };
-        link.inbox.consume(n);
+        link.buffer.consume(n);
         Ok(answer)
     }
 }
--- a/crates/larklink-proxy/src/message_latency.rs
+++ b/crates/larklink-proxy/src/upstream/message_latency.rs
@@ -26,7 +26,7 @@
     }
 
     /// A line came back from a server after so long: what to note, if it is time to.
-    pub fn echo(&mut self, now: Timestamp, server: u32, took: TickDuration) -> Option<TickDuration> {
+    pub fn record_answer(&mut self, now: Timestamp, server: u32, took: TickDuration) -> Option<TickDuration> {
         let e = self.servers.entry(server).or_default();
         (e.sum, e.count) = (e.sum + took, e.count + 1);
         if now < e.since + SECOND {
--- a/crates/larklink-proxy/tests/admin.rs
+++ b/crates/larklink-proxy/tests/admin.rs
@@ -3,7 +3,8 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-use larklink_proxy::admin::{self, CALLERS, answer};
+use larklink_proxy::admin::response::respond;
+use larklink_proxy::admin::{self, MAX_CONNECTIONS};
 use larklink_proxy::config::Config;
 use larklink_proxy::log::EndReason;
 use larklink_proxy::metrics::{FinalAnswer, Metrics};
@@ -25,7 +26,7 @@
 
 #[test]
 fn each_call_gets_its_status_and_a_length() {
-    let door = admin::open("127.0.0.1:0".parse().unwrap(), figures()).unwrap();
+    let door = admin::start("127.0.0.1:0".parse().unwrap(), figures()).unwrap();
     let long = format!("GET /ready HTTP/1.1\r\nx: {}", "y".repeat(9000));
     let many = format!("GET /ready HTTP/1.1\r\n{}\r\n", "x: y\r\n".repeat(80));
     for (text, status) in [
@@ -50,15 +51,15 @@
 #[test]
 fn a_call_may_come_cut_at_any_byte() {
     let text = b"GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n";
-    (0..text.len()).for_each(|n| assert_eq!(answer(&text[..n], &figures()), None));
-    assert!(answer(text, &figures()).unwrap().ends_with("_refusing_all_periods_total=0\n"));
+    (0..text.len()).for_each(|n| assert_eq!(respond(&text[..n], &figures()), None));
+    assert!(respond(text, &figures()).unwrap().ends_with("_refusing_all_periods_total=0\n"));
 }
 
 /// Many more than the door hears at once, that say nothing or half a call, keep nobody out and cost no thread.
 #[test]
 fn callers_that_stall_give_way() {
-    let door = admin::open("127.0.0.1:0".parse().unwrap(), figures()).unwrap();
-    let stalled: Vec<_> = (0..4 * CALLERS)
+    let door = admin::start("127.0.0.1:0".parse().unwrap(), figures()).unwrap();
+    let stalled: Vec<_> = (0..4 * MAX_CONNECTIONS)
         .map(|n| {
             let mut stream = TcpStream::connect(door).unwrap();
             stream.write_all(&b"GET /metrics HT"[..n % 15]).unwrap();
@@ -77,20 +78,20 @@
 
 #[test]
 fn a_taken_address_is_an_error() {
-    let door = admin::open("127.0.0.1:0".parse().unwrap(), figures()).unwrap();
-    assert!(admin::open(door, figures()).is_err());
+    let door = admin::start("127.0.0.1:0".parse().unwrap(), figures()).unwrap();
+    assert!(admin::start(door, figures()).is_err());
 }
 
 #[test]
 fn the_figures_keep_the_names_of_the_operators_page() {
     let figures = figures();
-    figures.answered(0, FinalAnswer::Accepted);
-    figures.answered(1, FinalAnswer::Rejected);
-    figures.answered(1, FinalAnswer::Failed);
-    figures.answered(7, FinalAnswer::Failed);
-    figures.tried();
-    figures.servers(5, 2);
-    let (one, two) = (figures.taken(), figures.taken());
+    figures.record_answer(0, FinalAnswer::Accepted);
+    figures.record_answer(1, FinalAnswer::Rejected);
+    figures.record_answer(1, FinalAnswer::Failed);
+    figures.record_answer(7, FinalAnswer::Failed);
+    figures.record_attempt_sent();
+    figures.set_endpoints(5, 2);
+    let (one, two) = (figures.session_started(), figures.session_started());
     drop(one);
     assert_eq!(
         figures.text(),
@@ -137,8 +138,9 @@
 #[test]
 fn a_process_that_serves_nobody_says_so_once_and_when_it_is_over() {
     let (figures, began) = (figures(), Instant::now());
-    let refuse = |ms: u64, reason| figures.refused_undialled(reason, began + Duration::from_millis(ms));
-    let dial = |ms: u64| figures.dialled(began + Duration::from_millis(ms));
+    let refuse =
+        |ms: u64, reason| figures.record_rejection_without_attempt(reason, began + Duration::from_millis(ms));
+    let dial = |ms: u64| figures.record_attempt_started(began + Duration::from_millis(ms));
     // A dial in between, too few, too short a time, or a pause in which nothing came: none of these.
     let lines = logged(|| {
         (0..5).for_each(|n| refuse(n * 900, EndReason::Refused));
@@ -150,7 +152,7 @@
     });
     assert_eq!((refusals(&figures), lines.len()), ((65, 0), 0), "{lines:?}");
     // Nothing but refusals, and once it has been said also after a pause.
-    figures.servers(9, 4);
+    figures.set_endpoints(9, 4);
     let lines = logged(|| {
         (1..=20).for_each(|n| refuse(18_000 + n * 400, EndReason::Refused));
         refuse(40_000, EndReason::NoRoom);
@@ -175,7 +177,7 @@
         (9, 9, EndReason::NoRoom, "no descriptors are left"),
         (9, 9, EndReason::Stopped, "the proxy stops"),
     ] {
-        figures.servers(known, skipped);
+        figures.set_endpoints(known, skipped);
         let lines = logged(|| (0..20).for_each(|n| refuse(50_000 + n * 400, reason)));
         assert!(lines.len() == 1 && lines[0].contains(why), "{lines:?}");
         dial(60_000);
@@ -190,11 +192,13 @@
             r#"{{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1",{console}"settings":{{}}}}"#
         ))
     };
-    let here = |given| config(r#""console":"127.0.0.1:3","#).unwrap().with_console(given).map(|c| c.console);
+    let here = |given| {
+        config(r#""console":"127.0.0.1:3","#).unwrap().with_admin_address(given).map(|c| c.admin_address)
+    };
     assert_eq!(here(None).unwrap(), "127.0.0.1:3".parse().ok());
     assert_eq!(here(Some("")).unwrap(), "127.0.0.1:3".parse().ok());
     assert_eq!(here(Some("127.0.0.1:4")).unwrap(), "127.0.0.1:4".parse().ok());
     assert!(here(Some("4")).unwrap_err().contains("ROUTER_CONSOLE: \"4\""));
-    assert_eq!(config("").unwrap().console, None);
+    assert_eq!(config("").unwrap().admin_address, None);
     assert!(config(r#""console":"nowhere","#).unwrap_err().to_string().contains("socket address"));
 }
--- a/crates/larklink-proxy/tests/descriptors.rs
+++ b/crates/larklink-proxy/tests/descriptors.rs
@@ -14,8 +14,8 @@
 use larklink_proxy::config::Config;
 use larklink_proxy::endpoint_list::Endpoint;
 use larklink_proxy::events::{DecisionEvent, queue};
-use larklink_proxy::health_check::HealthChecker;
 use larklink_proxy::limiter::ConnectionLimiter;
+use larklink_proxy::upstream::health_check::HealthChecker;
 
 mod stage;
 use stage::peer::{PATIENCE, Peer, open};
@@ -24,40 +24,40 @@
 /// The part of probes was computed once, from the first list.
 #[test]
 fn what_is_set_aside_grows_with_the_list_and_idle_ones_give_way_for_it() {
-    let limiter = ConnectionLimiter::beside(10, 100);
-    let mut session = limiter.enter().unwrap();
-    assert!(session.seat() && session.second());
-    let mut idle: Vec<_> = (0..88).map(|_| limiter.enter().unwrap()).collect();
-    assert_eq!(limiter.held(), 90);
+    let limiter = ConnectionLimiter::with_reserved(10, 100);
+    let mut session = limiter.try_acquire().unwrap();
+    assert!(session.start_session() && session.try_acquire_upstream());
+    let mut idle: Vec<_> = (0..88).map(|_| limiter.try_acquire().unwrap()).collect();
+    assert_eq!(limiter.client_descriptors(), 90);
     // One probe goes through whatever clients hold, on what is kept for good.
-    let mut probes = vec![limiter.probe().unwrap()];
-    assert!(limiter.probe().is_none());
+    let mut probes = vec![limiter.try_acquire_health_check().unwrap()];
+    assert!(limiter.try_acquire_health_check().is_none());
     let mut told = 0;
     for servers in [1, 8, 16, 1024] {
-        limiter.set_aside(servers);
+        limiter.reserve_for_health_checks(servers);
         // A third of the limit at most, with what is kept for good.
         let part = servers.min(33 - 10);
-        let gone = idle.iter().filter(|guest| block_on(poll_once(guest.must_go())).is_some()).count();
+        let gone = idle.iter().filter(|guest| block_on(poll_once(guest.evicted())).is_some()).count();
         assert_eq!(told + gone, part, "as many as were set aside, the oldest");
-        assert!(limiter.probe().is_none(), "they hold theirs until they have closed");
+        assert!(limiter.try_acquire_health_check().is_none(), "they hold theirs until they have closed");
         idle.drain(..gone).for_each(drop);
         told += gone;
-        probes.extend(std::iter::from_fn(|| limiter.probe()));
-        assert_eq!((probes.len(), limiter.held()), (part, 90 - part));
+        probes.extend(std::iter::from_fn(|| limiter.try_acquire_health_check()));
+        assert_eq!((probes.len(), limiter.client_descriptors()), (part, 90 - part));
     }
     drop(probes);
     // A newcomer does not take what is set aside: the oldest gives way to it, the session never.
-    let newcomer = limiter.enter().unwrap();
-    assert!(block_on(poll_once(idle[0].must_go())).is_some());
-    assert!(block_on(poll_once(limiter.settled())).is_none(), "the oldest has not closed yet");
+    let newcomer = limiter.try_acquire().unwrap();
+    assert!(block_on(poll_once(idle[0].evicted())).is_some());
+    assert!(block_on(poll_once(limiter.evictions_done())).is_none(), "the oldest has not closed yet");
     idle.remove(0);
-    assert!(block_on(poll_once(limiter.settled())).is_some());
-    assert!(block_on(poll_once(session.must_go())).is_none());
+    assert!(block_on(poll_once(limiter.evictions_done())).is_some());
+    assert!(block_on(poll_once(session.evicted())).is_none());
     // With a shorter list clients have it again.
-    limiter.set_aside(0);
-    idle.extend((0..23).map(|_| limiter.enter().unwrap()));
-    assert_eq!(limiter.held(), 90);
-    assert!(idle.iter().all(|guest| block_on(poll_once(guest.must_go())).is_none()));
+    limiter.reserve_for_health_checks(0);
+    idle.extend((0..23).map(|_| limiter.try_acquire().unwrap()));
+    assert_eq!(limiter.client_descriptors(), 90);
+    assert!(idle.iter().all(|guest| block_on(poll_once(guest.evicted())).is_none()));
     drop(newcomer);
 }
 
@@ -65,73 +65,73 @@
 #[test]
 fn who_has_spoken_by_the_time_it_is_told_to_go_stays_for_the_next_idle_one() {
     let limiter = ConnectionLimiter::new(2);
-    let (mut session, idle) = (limiter.enter().unwrap(), limiter.enter().unwrap());
-    let newcomer = limiter.enter().unwrap();
-    assert!(!session.seat());
-    assert!(session.stays() && session.seat());
-    assert!(block_on(poll_once(session.must_go())).is_none());
-    assert!(block_on(poll_once(idle.must_go())).is_some());
+    let (mut session, idle) = (limiter.try_acquire().unwrap(), limiter.try_acquire().unwrap());
+    let newcomer = limiter.try_acquire().unwrap();
+    assert!(!session.start_session());
+    assert!(session.keep_if_not_evicted() && session.start_session());
+    assert!(block_on(poll_once(session.evicted())).is_none());
+    assert!(block_on(poll_once(idle.evicted())).is_some());
     drop(idle);
-    assert!(block_on(poll_once(limiter.settled())).is_some());
+    assert!(block_on(poll_once(limiter.evictions_done())).is_some());
     let mut last = newcomer;
-    let more = limiter.enter().unwrap();
-    assert!(more.seat());
-    assert!(!last.stays(), "all others are sessions");
+    let more = limiter.try_acquire().unwrap();
+    assert!(more.start_session());
+    assert!(!last.keep_if_not_evicted(), "all others are sessions");
     drop((session, last, more));
-    assert_eq!(limiter.held(), 0);
+    assert_eq!(limiter.client_descriptors(), 0);
 }
 
 /// Each counted two until it had closed.
 #[test]
 fn who_lingers_after_its_session_holds_one_and_gives_way_before_sessions() {
     let limiter = ConnectionLimiter::new(4);
-    let mut over = limiter.enter().unwrap();
-    assert!(over.seat() && over.second());
-    over.spoke();
-    assert_eq!(limiter.held(), 1);
-    let mut session = limiter.enter().unwrap();
-    assert!(session.seat() && session.second());
-    let guest = limiter.enter().unwrap();
-    let newcomer = limiter.enter().unwrap();
-    assert!(block_on(poll_once(guest.must_go())).is_some() && !guest.seat());
+    let mut over = limiter.try_acquire().unwrap();
+    assert!(over.start_session() && over.try_acquire_upstream());
+    over.record_activity();
+    assert_eq!(limiter.client_descriptors(), 1);
+    let mut session = limiter.try_acquire().unwrap();
+    assert!(session.start_session() && session.try_acquire_upstream());
+    let guest = limiter.try_acquire().unwrap();
+    let newcomer = limiter.try_acquire().unwrap();
+    assert!(block_on(poll_once(guest.evicted())).is_some() && !guest.start_session());
     drop(guest);
-    assert!(newcomer.seat());
-    let last = limiter.enter().unwrap();
-    assert!(block_on(poll_once(over.must_go())).is_some());
+    assert!(newcomer.start_session());
+    let last = limiter.try_acquire().unwrap();
+    assert!(block_on(poll_once(over.evicted())).is_some());
     drop(over);
-    assert!(last.seat() && limiter.enter().is_none());
+    assert!(last.start_session() && limiter.try_acquire().is_none());
 }
 
 /// All that was set aside for probes counted for both processes, and left few descriptors to clients where the limit is low.
 #[test]
 fn the_other_process_leaves_what_is_held_and_not_what_is_set_aside() {
-    let limiter = ConnectionLimiter::beside(10, 100);
-    limiter.set_aside(20);
-    let _probes = (limiter.probe().unwrap(), limiter.probe().unwrap());
-    let _idle = limiter.enter().unwrap();
-    assert_eq!((limiter.fixed(), limiter.in_use()), (10, 10 + 2 + 1));
+    let limiter = ConnectionLimiter::with_reserved(10, 100);
+    limiter.reserve_for_health_checks(20);
+    let _probes = (limiter.try_acquire_health_check().unwrap(), limiter.try_acquire_health_check().unwrap());
+    let _idle = limiter.try_acquire().unwrap();
+    assert_eq!((limiter.reserved(), limiter.in_use()), (10, 10 + 2 + 1));
 }
 
 #[test]
 fn probes_share_what_there_is() {
-    let limiter = ConnectionLimiter::beside(4, 30);
-    limiter.set_aside(1024);
-    let mut probes: Vec<_> = std::iter::from_fn(|| limiter.probe()).collect();
+    let limiter = ConnectionLimiter::with_reserved(4, 30);
+    limiter.reserve_for_health_checks(1024);
+    let mut probes: Vec<_> = std::iter::from_fn(|| limiter.try_acquire_health_check()).collect();
     assert_eq!(probes.len(), 30 / 3 - 4);
-    let mut next = Box::pin(limiter.next_probe());
+    let mut next = Box::pin(limiter.acquire_health_check());
     assert!(block_on(poll_once(&mut next)).is_none());
     probes.pop();
     assert!(block_on(poll_once(&mut next)).is_some());
     // Sessions that stand where a list has grown go before: probes get theirs as sessions end.
-    let limiter = ConnectionLimiter::beside(4, 30);
+    let limiter = ConnectionLimiter::with_reserved(4, 30);
     let mut sessions: Vec<_> =
-        (0..26).map(|_| limiter.enter().filter(|place| place.seat()).unwrap()).collect();
-    limiter.set_aside(1024);
-    assert!(limiter.enter().is_none());
-    let first = limiter.probe();
-    assert!(first.is_some() && limiter.probe().is_none());
+        (0..26).map(|_| limiter.try_acquire().filter(|place| place.start_session()).unwrap()).collect();
+    limiter.reserve_for_health_checks(1024);
+    assert!(limiter.try_acquire().is_none());
+    let first = limiter.try_acquire_health_check();
+    assert!(first.is_some() && limiter.try_acquire_health_check().is_none());
     sessions.truncate(23);
-    let few: Vec<_> = std::iter::from_fn(|| limiter.probe()).collect();
+    let few: Vec<_> = std::iter::from_fn(|| limiter.try_acquire_health_check()).collect();
     assert_eq!(few.len(), 2);
 }
 
@@ -153,11 +153,11 @@
         config(&[at], nobody(), "proxy", 1024).replace(r#""send_cap""#, r#""probing":true,"send_cap""#);
     let config: Config = serde_json::from_str(&config.replace("250000000", "5000000000")).unwrap();
     let (queue, events) = queue();
-    let limiter = ConnectionLimiter::beside(4, 18);
+    let limiter = ConnectionLimiter::with_reserved(4, 18);
     let probes = HealthChecker::new(&config.settings, queue, Rc::clone(&limiter));
     let listed = (0..3).map(|n| (n, Endpoint::default())).collect();
-    probes.listed(&listed);
-    let asks = future::zip(future::zip(probes.ask(0, at), probes.ask(1, at)), probes.ask(2, at));
+    probes.update_endpoints(&listed);
+    let asks = future::zip(future::zip(probes.check(0, at), probes.check(1, at)), probes.check(2, at));
     let late = async {
         async_io::Timer::after(PATIENCE).await;
         panic!("a probe waits without end");
--- a/crates/larklink-proxy/tests/discovery.rs
+++ b/crates/larklink-proxy/tests/discovery.rs
@@ -4,8 +4,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use larklink_proxy::clock::span;
-use larklink_proxy::discovery::{Paces, SPARE, TOLD, pause};
+use larklink_proxy::clock::to_duration;
+use larklink_proxy::discovery::schedule::{NOTIFICATION_DEADLINE, PollSchedule, SCHEDULING_MARGIN, backoff};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
@@ -22,37 +22,53 @@
 /// was waited for sixteen times as long after four failures.
 #[test]
 fn what_can_be_had_is_heard_within_six_seconds_whatever_the_settings() {
-    let (most, mut chance) = (TOLD - SPARE, ChaCha8Rng::seed_from_u64(7));
+    let (most, mut chance) = (NOTIFICATION_DEADLINE - SCHEDULING_MARGIN, ChaCha8Rng::seed_from_u64(7));
     for (must_ask_in, grace) in spans().flat_map(|must| spans().map(move |grace| (must, grace))) {
         for on_request in [false, true] {
-            let paces = Paces::new(must_ask_in, grace, on_request);
-            let of = format!("must_ask_in {must_ask_in}, drain_grace {grace}, {on_request}: {paces:?}");
-            assert!((0..40).all(|failed| paces.heard_in(failed, 1) <= most), "{of}");
-            assert!(paces.heard_in(0, 3) <= most, "{of}");
+            let schedule = PollSchedule::new(must_ask_in, grace, on_request);
+            let of = format!("must_ask_in {must_ask_in}, drain_grace {grace}, {on_request}: {schedule:?}");
+            assert!((0..40).all(|failed| schedule.max_notification_delay(failed, 1) <= most), "{of}");
+            assert!(schedule.max_notification_delay(0, 3) <= most, "{of}");
             // After SIGHUP, as if one had failed before.
-            assert!(paces.heard_in(1, 2) <= Duration::from_secs(4) - SPARE, "{of}");
+            assert!(
+                schedule.max_notification_delay(1, 2) <= Duration::from_secs(4) - SCHEDULING_MARGIN,
+                "{of}"
+            );
             // Each order of three that hang or are refused, as it goes: never over the sum.
             for order in 0..8 {
                 let (mut all, mut refusals) = (Duration::ZERO, 0);
                 for failed in 0..3 {
                     let refused = order >> failed & 1 == 1;
                     refusals += u32::from(refused);
-                    let longest = if refused { paces.refused } else { paces.soon };
-                    let call = if refused { paces.call_after(failed) } else { paces.limit(failed, failed) };
-                    all += call + pause(refusals.max(1), longest, &mut chance);
+                    let longest = if refused { schedule.max_rejection_backoff } else { schedule.max_backoff };
+                    let call = if refused {
+                        schedule.call_timeout_after(failed)
+                    } else {
+                        schedule.total_timeout(failed, failed)
+                    };
+                    all += call + backoff(refusals.max(1), longest, &mut chance);
                 }
-                assert!(all + paces.call_after(3) <= paces.heard_in(0, 3), "{of}, order {order:03b}");
+                assert!(
+                    all + schedule.call_timeout_after(3) <= schedule.max_notification_delay(0, 3),
+                    "{of}, order {order:03b}"
+                );
             }
             // While no connection comes up, however long, the agent's return falls into three quarters of a grace.
-            assert!(on_request || grace < 2_000 || paces.call + paces.soon <= span(grace) * 3 / 4, "{of}");
+            assert!(
+                on_request
+                    || grace < 2_000
+                    || schedule.call_timeout + schedule.max_backoff <= to_duration(grace) * 3 / 4,
+                "{of}"
+            );
             // Never without end, and never so short that no answer could be read.
             assert!(
-                paces.call >= Duration::from_millis(100) && paces.soon >= Duration::from_millis(10),
+                schedule.call_timeout >= Duration::from_millis(100)
+                    && schedule.max_backoff >= Duration::from_millis(10),
                 "{of}"
             );
             // Pushed lists are asked for again within the grace, but for graces of under 40 ms.
-            let quarter = span(grace).max(Duration::from_millis(40)) / 4;
-            assert!(on_request || grace == 0 || paces.refused <= quarter, "{of}");
+            let quarter = to_duration(grace).max(Duration::from_millis(40)) / 4;
+            assert!(on_request || grace == 0 || schedule.max_rejection_backoff <= quarter, "{of}");
         }
     }
 }
@@ -115,7 +131,7 @@
 }
 
 fn is_heard_in_time(order: [Failure; 3], must_ask_in: u64, grace: u64, on_request: bool) {
-    let paces = Paces::new(must_ask_in, grace, on_request);
+    let schedule = PollSchedule::new(must_ask_in, grace, on_request);
     let ((_listener, at), (agent, discovery)) = (server(), server());
     let config = config(&[], discovery, "proxy", 1024)
         .replace(r#""drain_grace_ns":500000000"#, &format!(r#""drain_grace_ns":{grace}00000"#))
@@ -138,8 +154,12 @@
     figures_end(&proxy, [0, 0, 1]);
     let (first, last) = (first.elapsed(), last.elapsed());
     // So much more for a machine on which all of them run at once.
-    let what = format!("{order:?} {paces:?}: {first:?} from the first failure, {last:?} from the last");
-    assert!(first <= paces.heard_in(0, 3) + SPARE && last <= paces.heard_in(2, 1) + SPARE, "{what}");
+    let what = format!("{order:?} {schedule:?}: {first:?} from the first failure, {last:?} from the last");
+    assert!(
+        first <= schedule.max_notification_delay(0, 3) + SCHEDULING_MARGIN
+            && last <= schedule.max_notification_delay(2, 1) + SCHEDULING_MARGIN,
+        "{what}"
+    );
 }
 
 /// A proxy with two servers that it has just been told of, watched at an agent; a watch waits for half a second.
@@ -196,7 +216,8 @@
     told(&mut watch, &list(43, true, &[endpoint("s-1", b, "up")]));
     assert!(asked(&mut watch).starts_with("/api/targets?after=43&wait_ms=500"));
     assert!(
-        begun.elapsed() < Paces::new(20_000, 5_000, false).heard_in(0, 1) + SPARE,
+        begun.elapsed()
+            < PollSchedule::new(20_000, 5_000, false).max_notification_delay(0, 1) + SCHEDULING_MARGIN,
         "{:?}",
         begun.elapsed()
     );
--- a/crates/larklink-proxy/tests/endings.rs
+++ b/crates/larklink-proxy/tests/endings.rs
@@ -12,9 +12,9 @@
 use larklink_proxy::config::Config;
 use larklink_proxy::decision_task::DecisionTask;
 use larklink_proxy::events::{self, DecisionEvent};
-use larklink_proxy::health_check::HealthChecker;
 use larklink_proxy::limiter::ConnectionLimiter;
 use larklink_proxy::metrics::Metrics;
+use larklink_proxy::upstream::health_check::HealthChecker;
 
 mod stage;
 use stage::peer::{PATIENCE, Peer, open};
@@ -141,7 +141,7 @@
     let (queue, events) = events::queue();
     let figures = Metrics::new(&config.settings.listeners);
     let (fresh, _first) = async_channel::bounded(1);
-    let (settings, known) = (&config.settings, config.known.endpoints);
+    let (settings, known) = (&config.settings, config.cached_endpoints.endpoints);
     let probes = Rc::new(HealthChecker::new(settings, queue.clone(), ConnectionLimiter::new(64)));
     let owner = DecisionTask::new(settings, 7, known, probes, Rc::clone(&executor), figures, fresh);
     let (sender, orders) = async_channel::unbounded();
--- a/crates/larklink-proxy/tests/handover.rs
+++ b/crates/larklink-proxy/tests/handover.rs
@@ -448,26 +448,26 @@
 #[test]
 fn descriptors_count_for_both() {
     let limiter = ConnectionLimiter::new(6);
-    let guest = limiter.enter().unwrap();
-    let mut session = limiter.enter().unwrap();
-    assert!(session.seat() && session.second());
-    assert_eq!(limiter.held(), 3);
-    limiter.leave_to(3);
-    assert_eq!(limiter.held(), 3);
+    let guest = limiter.try_acquire().unwrap();
+    let mut session = limiter.try_acquire().unwrap();
+    assert!(session.start_session() && session.try_acquire_upstream());
+    assert_eq!(limiter.client_descriptors(), 3);
+    limiter.set_other_process_use(3);
+    assert_eq!(limiter.client_descriptors(), 3);
     // Full with the other's: the guest gives way, and then there is nobody left to.
-    let more = limiter.enter().unwrap();
-    assert!(!guest.seat());
+    let more = limiter.try_acquire().unwrap();
+    assert!(!guest.start_session());
     drop(guest);
-    assert!(more.seat());
-    assert!(limiter.enter().is_none());
+    assert!(more.start_session());
+    assert!(limiter.try_acquire().is_none());
     // Sessions that are given come all the same, and count.
-    let given = limiter.inherit();
-    assert_eq!(limiter.held(), 5);
-    limiter.leave_to(1);
-    assert!(limiter.enter().is_none());
+    let given = limiter.adopt();
+    assert_eq!(limiter.client_descriptors(), 5);
+    limiter.set_other_process_use(1);
+    assert!(limiter.try_acquire().is_none());
     drop(given);
-    assert!(limiter.enter().is_some());
-    limiter.leave_to(0);
+    assert!(limiter.try_acquire().is_some());
+    limiter.set_other_process_use(0);
     drop((more, session));
-    assert_eq!(limiter.held(), 0);
+    assert_eq!(limiter.client_descriptors(), 0);
 }
--- a/crates/larklink-proxy/tests/line_fixtures.rs
+++ b/crates/larklink-proxy/tests/line_fixtures.rs
@@ -30,15 +30,15 @@
     let figures = Metrics::new(&["chat".to_owned(), "pay".to_owned()]);
     let answers = [FinalAnswer::Accepted, FinalAnswer::Rejected, FinalAnswer::Failed];
     for (n, (listener, answer)) in (1..).zip([0, 1].into_iter().flat_map(|l| answers.map(|a| (l, a)))) {
-        (0..n).for_each(|_| figures.answered(listener, answer));
+        (0..n).for_each(|_| figures.record_answer(listener, answer));
     }
-    (0..7).for_each(|_| figures.tried());
-    (0..8).for_each(|_| std::mem::forget(figures.taken()));
-    figures.servers(10, 9);
+    (0..7).for_each(|_| figures.record_attempt_sent());
+    (0..8).for_each(|_| std::mem::forget(figures.session_started()));
+    figures.set_endpoints(10, 9);
     let now = std::time::Instant::now();
     for n in 0..11 {
         let at = now + std::time::Duration::from_millis(n * 400);
-        figures.refused_undialled(larklink_proxy::log::EndReason::Refused, at);
+        figures.record_rejection_without_attempt(larklink_proxy::log::EndReason::Refused, at);
     }
     figures
 }
@@ -48,7 +48,7 @@
     let figures = counted();
     let metrics = include_str!("fixtures/door_metrics.http");
     assert_eq!(figures.text(), metrics.split_once("\r\n\r\n").unwrap().1);
-    let door = admin::open("127.0.0.1:0".parse().unwrap(), Arc::clone(&figures)).unwrap();
+    let door = admin::start("127.0.0.1:0".parse().unwrap(), Arc::clone(&figures)).unwrap();
     assert_eq!(get(door, "/metrics"), metrics);
     assert_eq!(get(door, "/ready"), include_str!("fixtures/door_not_ready.http"));
     figures.set_ready(true);
--- a/crates/larklink-proxy/tests/protocol.rs
+++ b/crates/larklink-proxy/tests/protocol.rs
@@ -2,10 +2,14 @@
 //! delays.
 use larklink_balancer::EndpointState;
 use larklink_proxy::config::Config;
-use larklink_proxy::discovery::{Answer, pause};
-use larklink_proxy::endpoint_list::{Endpoint, server_id};
-use larklink_proxy::message_latency::LatencyEstimator;
-use larklink_proxy::protocol::{LONGEST, LineBuffer, ServerMessage, head, report, with_wait, word};
+use larklink_proxy::discovery::http::ResponseReader;
+use larklink_proxy::discovery::schedule::backoff;
+use larklink_proxy::endpoint_list::{Endpoint, endpoint_id};
+use larklink_proxy::protocol::{
+    LineBuffer, MAX_LINE_LENGTH, ServerMessage, parse_load_report, parse_open_line, parse_server_message,
+    with_dial_timeout,
+};
+use larklink_proxy::upstream::message_latency::LatencyEstimator;
 use proptest::prelude::*;
 use proptest::test_runner::{Config as Runs, RngSeed};
 
@@ -14,21 +18,22 @@
 
 #[test]
 fn a_head_is_read_where_it_stands() {
-    let h = head(HEAD).unwrap();
+    let h = parse_open_line(HEAD).unwrap();
     assert_eq!(
-        (h.key, h.group, h.listener, h.wait_ms),
+        (h.client_key, h.group_key, h.listener, h.dial_timeout_ms),
         (0x7f3a9c21e0b4d655, 0x5c0f6e1a2b3d4c59, "chat", 2000)
     );
-    assert!(h.retry && !h.again && !h.mid_flow && h.at.is_none());
-    assert_eq!(&HEAD[h.wait_at], b"2000");
-    let h = head(b"OPEN 1 2 d=5,c=x,again=1,mid=1,at=s-5be2a07c").unwrap();
-    assert!(h.again && h.mid_flow && h.at == Some("s-5be2a07c"));
+    assert!(h.client_retry && !h.reconnecting && !h.established && h.endpoint_name.is_none());
+    assert_eq!(&HEAD[h.dial_timeout_range], b"2000");
+    let h = parse_open_line(b"OPEN 1 2 d=5,c=x,again=1,mid=1,at=s-5be2a07c").unwrap();
+    assert!(h.reconnecting && h.established && h.endpoint_name == Some("s-5be2a07c"));
 }
 
 #[test]
 fn only_the_wait_is_written_anew() {
-    let h = head(HEAD).unwrap();
-    let written: Vec<u8> = with_wait(HEAD, &h.wait_at, "77").iter().flat_map(|s| s.to_vec()).collect();
+    let h = parse_open_line(HEAD).unwrap();
+    let written: Vec<u8> =
+        with_dial_timeout(HEAD, &h.dial_timeout_range, "77").iter().flat_map(|s| s.to_vec()).collect();
     let text = String::from_utf8(HEAD.to_vec()).unwrap();
     assert_eq!(String::from_utf8(written).unwrap(), text.replace("d=2000", "d=77"));
 }
@@ -58,21 +63,27 @@
         "OPEN id 2 c=a,d=1",
         "open 1 2 c=a,d=1",
     ] {
-        assert!(head(line.as_bytes()).is_err(), "{line}");
+        assert!(parse_open_line(line.as_bytes()).is_err(), "{line}");
     }
-    assert!(head(b"OPEN 1 2 c=\xff,d=1\r\n").is_err());
+    assert!(parse_open_line(b"OPEN 1 2 c=\xff,d=1\r\n").is_err());
 }
 
 #[test]
 fn words_and_reports_are_told_apart() {
-    assert_eq!(word(b"UP 0ac4\r\n"), (ServerMessage::Up, "0ac4"));
-    assert_eq!(word(b"LOAD 12.5\r\n").0, ServerMessage::Load(12.5));
-    assert_eq!(word(b"LOAD NaN\r\n").0, ServerMessage::Other("LOAD NaN"));
-    assert_eq!(word(b"BYE inflight=7,x0=0.61\r\n"), (ServerMessage::Bye, "inflight=7,x0=0.61"));
-    assert_eq!(word(b"UPPER\r\n").0, ServerMessage::Other("UPPER"));
+    assert_eq!(parse_server_message(b"UP 0ac4\r\n"), (ServerMessage::Up, "0ac4"));
+    assert_eq!(parse_server_message(b"LOAD 12.5\r\n").0, ServerMessage::Load(12.5));
+    assert_eq!(parse_server_message(b"LOAD NaN\r\n").0, ServerMessage::Other("LOAD NaN"));
+    assert_eq!(
+        parse_server_message(b"BYE inflight=7,x0=0.61\r\n"),
+        (ServerMessage::Bye, "inflight=7,x0=0.61")
+    );
+    assert_eq!(parse_server_message(b"UPPER\r\n").0, ServerMessage::Other("UPPER"));
     let names = ["x0", "util"].map(String::from);
-    assert_eq!(report("inflight=7,util=0.5,x0=0.61", &names), [0.61, 0.5]);
-    assert!(report("inflight=7,x0=0.61", &names).is_empty(), "a report that lacks a value is none");
+    assert_eq!(parse_load_report("inflight=7,util=0.5,x0=0.61", &names), [0.61, 0.5]);
+    assert!(
+        parse_load_report("inflight=7,x0=0.61", &names).is_empty(),
+        "a report that lacks a value is none"
+    );
 }
 
 #[test]
@@ -85,7 +96,7 @@
     };
     let other = Endpoint { address: "10.9.9.9:9".into(), status: "elsewhere".into(), ..one.clone() };
     assert_eq!(one.entry(&[]).id, other.entry(&[]).id);
-    assert_ne!(server_id("s-1"), server_id("s-2"));
+    assert_ne!(endpoint_id("s-1"), endpoint_id("s-2"));
     assert_eq!(
         (one.entry(&[]).state, other.entry(&[]).state),
         (EndpointState::Ready, EndpointState::Draining)
@@ -109,18 +120,18 @@
     for (text, kept) in [(plain, true), (chunked, false)] {
         for n in 0..text.len() {
             assert!(
-                Answer::default().read(&text.as_bytes()[..n]).unwrap().is_none(),
+                ResponseReader::default().read(&text.as_bytes()[..n]).unwrap().is_none(),
                 "{n} of {} bytes",
                 text.len()
             );
         }
-        let mut by_pieces = Answer::default();
+        let mut by_pieces = ResponseReader::default();
         let cut = |n| by_pieces.read(&text.as_bytes()[..n]).unwrap();
         assert_eq!(
             (1..=text.len()).filter_map(cut).map(|(list, _, used)| (list.index, used)).last(),
             Some((43, text.len()))
         );
-        let (list, keep, used) = Answer::default().read(text.as_bytes()).unwrap().unwrap();
+        let (list, keep, used) = ResponseReader::default().read(text.as_bytes()).unwrap().unwrap();
         assert_eq!((list.index, list.endpoints.len(), keep, used), (43, 1, kept, text.len()));
     }
 }
@@ -136,19 +147,19 @@
         "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nffffffffffffffff\r\n",
         "not http at all\r\n\r\n",
     ] {
-        assert!(Answer::default().read(text.as_bytes()).is_err(), "{text}");
+        assert!(ResponseReader::default().read(text.as_bytes()).is_err(), "{text}");
     }
 }
 
 #[test]
 fn a_slow_server_is_spoken_of_once_a_second_and_once_more() {
     let mut d = LatencyEstimator::new(600);
-    assert_eq!(d.echo(20_000, 1, 300), Some(300));
-    assert_eq!(d.echo(21_000, 1, 500), None);
-    assert_eq!(d.echo(30_000, 1, 100), Some(300), "the mean since it was last spoken of");
-    assert_eq!(d.echo(40_000, 1, 50), Some(50), "back under: once more");
-    assert_eq!(d.echo(50_000, 1, 50), None);
-    assert_eq!(d.echo(50_000, 2, 500), Some(500), "each server by itself");
+    assert_eq!(d.record_answer(20_000, 1, 300), Some(300));
+    assert_eq!(d.record_answer(21_000, 1, 500), None);
+    assert_eq!(d.record_answer(30_000, 1, 100), Some(300), "the mean since it was last spoken of");
+    assert_eq!(d.record_answer(40_000, 1, 50), Some(50), "back under: once more");
+    assert_eq!(d.record_answer(50_000, 1, 50), None);
+    assert_eq!(d.record_answer(50_000, 2, 500), Some(500), "each server by itself");
 }
 
 #[test]
@@ -172,12 +183,12 @@
 
     #[test]
     fn any_bytes_are_a_head_or_an_error(mut line in prop::collection::vec(any::<u8>(), 0..80), at in 0..80usize, b: u8) {
-        let _ = (head(&line), word(&line), Answer::default().read(&line));
+        let _ = (parse_open_line(&line), parse_server_message(&line), ResponseReader::default().read(&line));
         line = HEAD.to_vec();
         let at = at % line.len();
         line[at] = b;
-        if let Ok(h) = head(&line) {
-            prop_assert_eq!(std::str::from_utf8(&line[h.wait_at]).unwrap().parse(), Ok(h.wait_ms));
+        if let Ok(h) = parse_open_line(&line) {
+            prop_assert_eq!(std::str::from_utf8(&line[h.dial_timeout_range]).unwrap().parse(), Ok(h.dial_timeout_ms));
         }
     }
 
@@ -192,10 +203,10 @@
                 Ok(n)
             });
             read.extend_from_slice(&line[..got.unwrap()]);
-            prop_assert!(inbox.bytes().len() <= LONGEST);
-            prop_assert_eq!(inbox.is_full(), inbox.bytes().len() == LONGEST);
+            prop_assert!(inbox.bytes().len() <= MAX_LINE_LENGTH);
+            prop_assert_eq!(inbox.is_full(), inbox.bytes().len() == MAX_LINE_LENGTH);
             if n % 3 == 0 || inbox.is_full() {
-                let whole = if inbox.is_full() { LONGEST } else { inbox.lines() };
+                let whole = if inbox.is_full() { MAX_LINE_LENGTH } else { inbox.complete_lines_len() };
                 taken.extend_from_slice(&inbox.bytes()[..whole]);
                 inbox.consume(whole);
             }
@@ -213,7 +224,7 @@
     let most = Duration::from_millis(1250);
     let mean = |failed| {
         let pauses: Vec<_> = (0..100)
-            .map(|seed| pause(failed, most, &mut rand_chacha::ChaCha8Rng::seed_from_u64(seed)))
+            .map(|seed| backoff(failed, most, &mut rand_chacha::ChaCha8Rng::seed_from_u64(seed)))
             .collect();
         assert!(pauses.iter().all(|p| *p >= Duration::from_millis(50) && *p <= most));
         let tenths: std::collections::BTreeSet<_> = pauses.iter().map(|p| p.as_millis() / 20).collect();
--- a/crates/larklink-proxy/tests/wire_fixtures.rs
+++ b/crates/larklink-proxy/tests/wire_fixtures.rs
@@ -11,7 +11,7 @@
     RetryBudgetSettings,
 };
 use larklink_proxy::config::Config;
-use larklink_proxy::endpoint_list::{Endpoint, List, server_id};
+use larklink_proxy::endpoint_list::{Endpoint, EndpointList, endpoint_id};
 use larklink_proxy::handover::wire::{EstablishedSession, HandoverMessage, VERSION, talk, word};
 
 const WORDS: &str = include_str!("fixtures/handover_v1.jsonl");
@@ -121,10 +121,10 @@
 
 #[test]
 fn the_list_of_servers_is_read_as_discovery_writes_it() {
-    let list: List = serde_json::from_str(LIST).unwrap();
+    let list: EndpointList = serde_json::from_str(LIST).unwrap();
     assert_eq!((list.index, list.snapshot), (41, true));
     assert_eq!(list.endpoints, endpoints());
-    let changes: List = serde_json::from_str(r#"{"index":7,"endpoints":[]}"#).unwrap();
+    let changes: EndpointList = serde_json::from_str(r#"{"index":7,"endpoints":[]}"#).unwrap();
     assert_eq!((changes.index, changes.snapshot, changes.endpoints), (7, false, Vec::new()));
     // As the decisions get it.
     let zones = ["a", "b"].map(String::from);
@@ -140,7 +140,7 @@
             (0, ID[4], (2, 0), EndpointState::Ready, 0.0, 0),
         ]
     );
-    assert_eq!(server_id(""), ID[5]);
+    assert_eq!(endpoint_id(""), ID[5]);
 }
 
 /// All proxies must agree on them: of the servers of [`endpoints`] by their names, and of no name.
@@ -153,12 +153,12 @@
     assert_eq!(config.name, "edge-7");
     assert_eq!(config.listen, "127.0.0.1:7411".parse().unwrap());
     assert_eq!(config.discovery, "127.0.0.2:7412".parse().unwrap());
-    assert_eq!(config.console, Some("[::1]:7413".parse().unwrap()));
+    assert_eq!(config.admin_address, Some("[::1]:7413".parse().unwrap()));
     assert_eq!(config.seed, 0x0123_4567_89ab_cdef);
-    assert_eq!(config.limits.sockets, 4096);
-    assert_eq!(config.known.endpoints, endpoints());
+    assert_eq!(config.limits.max_descriptors, 4096);
+    assert_eq!(config.cached_endpoints.endpoints, endpoints());
     assert_eq!(
-        config.known.left_out,
+        config.cached_endpoints.unreadable,
         [
             "known.endpoints[5]: missing field `address`",
             "known.endpoints[6]: invalid type: integer `5`, expected a string",
@@ -208,9 +208,9 @@
 fn what_the_configuration_leaves_out_has_its_default() {
     let text = r#"{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1f","settings":{"grades":[{"name":"c"}]}}"#;
     let config: Config = serde_json::from_str(text).unwrap();
-    assert_eq!((config.name.as_str(), config.console, config.seed), ("", None, 31));
-    assert_eq!(config.limits.sockets, 1024);
-    assert!(config.known.endpoints.is_empty() && config.known.left_out.is_empty());
+    assert_eq!((config.name.as_str(), config.admin_address, config.seed), ("", None, 31));
+    assert_eq!(config.limits.max_descriptors, 1024);
+    assert!(config.cached_endpoints.endpoints.is_empty() && config.cached_endpoints.unreadable.is_empty());
     let told = &config.settings;
     assert_eq!((&told.listeners, told.zones.len(), told.report.len()), (&vec!["c".to_owned()], 0, 0));
     assert_eq!((told.load_position, told.in_flight_position), (None, None));
