--- a/crates/larklink-proxy/src/clients.rs
+++ b/crates/larklink-proxy/src/clients.rs
@@ -24,7 +24,7 @@
 use crate::log::EndReason;
 use crate::metrics::{FinalAnswer, InProgress, Metrics};
 use crate::pending::asks;
-use crate::protocol::{LineBuffer, OpenLine, parse_open_line};
+use crate::protocol::{LineBuffer, OpenLine, OpenLineError, parse_open_line};
 use crate::relay::Stands;
 use crate::timeout::with_timeout;
 
@@ -74,6 +74,17 @@
     pub came: Instant,
 }
 
+/// Why a connection's first line opens no session.
+#[derive(Debug, thiserror::Error)]
+enum FirstLineError {
+    #[error(transparent)]
+    Malformed(#[from] OpenLineError),
+    #[error("no such listener")]
+    UnknownListener,
+    #[error("the id of another that is open")]
+    SessionIdInUse,
+}
+
 /// A session's id while it is open.
 struct Named<'a>(&'a SessionContext, u64);
 
@@ -178,13 +189,11 @@
                 return (None, reason);
             }
         };
-        let head = parse_open_line(&line).and_then(|h| {
-            let listener = self.listener(&h).ok_or("no such listener")?;
+        let head = parse_open_line(&line).map_err(FirstLineError::from).and_then(|h| {
+            let listener = self.listener(&h).ok_or(FirstLineError::UnknownListener)?;
             match self.open.borrow().get(&h.id) {
                 // Its packets may come here by another way than before.
-                Some(&key) if !(h.established && key == h.client_key) => {
-                    Err("the id of another that is open")
-                }
+                Some(&key) if !(h.established && key == h.client_key) => Err(FirstLineError::SessionIdInUse),
                 _ => Ok((h, listener)),
             }
         });
--- a/crates/larklink-proxy/src/config.rs
+++ b/crates/larklink-proxy/src/config.rs
@@ -1,15 +1,18 @@
 //! What a proxy is told at its start: one JSON file.
-use std::fmt::Display;
-use std::net::SocketAddr;
-use std::path::Path;
+use std::net::{AddrParseError, SocketAddr};
+use std::path::{Path, PathBuf};
 
 use larklink_engine::settings::ProxySettings;
-use serde::{Deserialize, Deserializer, de::Error};
+use serde::{Deserialize, Deserializer, de};
 use serde_json::Value;
+use thiserror::Error;
 
 use crate::endpoint_list::Endpoint;
 use crate::protocol;
 
+/// The environment variable with the address of the admin endpoint.
+pub const ADMIN_ADDRESS_VARIABLE: &str = "ROUTER_CONSOLE";
+
 #[derive(Clone, Debug, Deserialize)]
 pub struct Config {
     #[serde(default)]
@@ -71,32 +74,81 @@
 
 fn hex<'de, D: Deserializer<'de>>(d: D) -> Result<u64, D::Error> {
     let text = String::deserialize(d)?;
-    protocol::hex(&text).ok_or_else(|| D::Error::custom(format!("seed {text:?} is not a hex number")))
+    protocol::parse_hex(&text).ok_or_else(|| de::Error::custom(format!("seed {text:?} is not a hex number")))
+}
+
+/// Why a configuration cannot be used.
+#[derive(Debug, Error)]
+pub enum ConfigError {
+    /// The file cannot be read.
+    #[error("{}: {reason}", file.display())]
+    Unreadable {
+        /// The file.
+        file: PathBuf,
+        /// What the system says.
+        reason: std::io::Error,
+    },
+    /// A field has no valid value.
+    #[error("{}: {reason}", file.display())]
+    InvalidField {
+        /// The file.
+        file: PathBuf,
+        /// The path of the field and what is wrong there.
+        reason: serde_path_to_error::Error<serde_json::Error>,
+    },
+    /// Something follows the JSON object.
+    #[error("{}: {reason}", file.display())]
+    TrailingData {
+        /// The file.
+        file: PathBuf,
+        /// Where it follows.
+        reason: serde_json::Error,
+    },
+    /// The settings list no listener.
+    #[error("{}: the settings name no listener", file.display())]
+    NoListener {
+        /// The file.
+        file: PathBuf,
+    },
+    /// The environment variable `ROUTER_CONSOLE` is not a socket address.
+    #[error("{ADMIN_ADDRESS_VARIABLE}: {value:?}: {reason}")]
+    InvalidAdminAddress {
+        /// The variable's value.
+        value: String,
+        /// What is wrong with it.
+        reason: AddrParseError,
+    },
 }
 
 impl Config {
-    pub fn read(path: &Path) -> Result<Self, String> {
-        let wrong = |what: &dyn Display| format!("{}: {what}", path.display());
-        let text = std::fs::read(path).map_err(|e| wrong(&e))?;
-        let mut text = serde_json::Deserializer::from_slice(&text);
-        let config: Self = serde_path_to_error::deserialize(&mut text).map_err(|e| wrong(&e))?;
-        text.end().map_err(|e| wrong(&e))?;
+    /// Reads a configuration file.
+    ///
+    /// # Errors
+    /// The file cannot be read, a field is missing or invalid, or the settings list no listener.
+    pub fn read(path: &Path) -> Result<Self, ConfigError> {
+        let file = || path.to_path_buf();
+        let bytes = std::fs::read(path).map_err(|reason| ConfigError::Unreadable { file: file(), reason })?;
+        let mut json = serde_json::Deserializer::from_slice(&bytes);
+        let config: Self = serde_path_to_error::deserialize(&mut json)
+            .map_err(|reason| ConfigError::InvalidField { file: file(), reason })?;
+        json.end().map_err(|reason| ConfigError::TrailingData { file: file(), reason })?;
         if config.settings.listeners.is_empty() {
-            return Err(wrong(&"the settings name no listener"));
+            return Err(ConfigError::NoListener { file: file() });
         }
         Ok(config)
     }
 
-    /// The operators' door from the environment goes before that of the file: it is each process's own, where the
-    /// file may be shared by two processes of one proxy. An empty one is as good as none.
+    /// Replaces the admin address by the value of `ROUTER_CONSOLE`, if that is set and not empty: the environment
+    /// belongs to one process, while two processes of a proxy may share the file.
     ///
     /// # Errors
-    /// It is no address.
-    pub fn with_admin_address(mut self, given: Option<&str>) -> Result<Self, String> {
-        if let Some(text) = given.filter(|text| !text.is_empty()) {
-            let address = text.parse().map_err(|e| format!("ROUTER_CONSOLE: {text:?}: {e}"))?;
-            self.admin_address = Some(address);
-        }
+    /// The value is not a socket address.
+    pub fn with_admin_address(mut self, value: Option<&str>) -> Result<Self, ConfigError> {
+        let Some(value) = value.filter(|value| !value.is_empty()) else { return Ok(self) };
+        let address = value
+            .parse()
+            .map_err(|reason| ConfigError::InvalidAdminAddress { value: value.to_owned(), reason })?;
+        self.admin_address = Some(address);
         Ok(self)
     }
 }
--- a/crates/larklink-proxy/src/decision_task.rs
+++ b/crates/larklink-proxy/src/decision_task.rs
@@ -173,10 +173,10 @@
             } else {
                 self.listed.insert(id, e.clone());
             }
-            tracing::info!("server {} {} is {:08x}, since {}", e.name, e.status, id, e.since_ms);
+            tracing::info!("server {} {} is {:08x}, since {}", e.name, e.status, id, e.started_at_ms);
         }
         self.probes.update_endpoints(&self.listed);
-        self.engine.update_endpoints(now, scope, endpoints.iter().map(|e| e.entry(&self.zones)).collect());
+        self.engine.update_endpoints(now, scope, endpoints.iter().map(|e| e.to_entry(&self.zones)).collect());
     }
 
     fn act(&mut self, now: Timestamp, action: ProxyAction) {
--- a/crates/larklink-proxy/src/discovery/mod.rs
+++ b/crates/larklink-proxy/src/discovery/mod.rs
@@ -1,4 +1,6 @@
 //! Follows the endpoint list at the discovery service.
-pub mod client;
+mod client;
 pub mod http;
 pub mod schedule;
+
+pub use client::follow;
--- a/crates/larklink-proxy/src/endpoint_list.rs
+++ b/crates/larklink-proxy/src/endpoint_list.rs
@@ -19,12 +19,12 @@
     pub status: String,
     #[serde(default)]
     pub zone: String,
-    #[serde(default)]
-    pub group: u16,
+    #[serde(default, rename = "group")]
+    pub cell: u16,
     #[serde(default)]
     pub weight: f64,
-    #[serde(default)]
-    pub since_ms: f64,
+    #[serde(default, rename = "since_ms")]
+    pub started_at_ms: f64,
 }
 
 /// A server's id: by its name alone, so that all proxies agree on it whatever its address and place in the
@@ -34,12 +34,12 @@
 }
 
 impl Endpoint {
-    pub fn entry(&self, zones: &[String]) -> EndpointEntry {
+    pub fn to_entry(&self, zones: &[String]) -> EndpointEntry {
         EndpointEntry {
             endpoint: 0,
             id: endpoint_id(&self.name),
             zone: zones.iter().position(|z| *z == self.zone).unwrap_or(zones.len()) as u16,
-            cell: self.group,
+            cell: self.cell,
             state: match self.status.as_str() {
                 "up" => EndpointState::Ready,
                 "removed" => EndpointState::Removed,
@@ -47,7 +47,7 @@
                 _ => EndpointState::Draining,
             },
             weight: self.weight,
-            started_at: (self.since_ms * 10.0).round() as TickDuration,
+            started_at: (self.started_at_ms * 10.0).round() as TickDuration,
         }
     }
 }
--- a/crates/larklink-proxy/src/main.rs
+++ b/crates/larklink-proxy/src/main.rs
@@ -9,7 +9,7 @@
 use async_executor::LocalExecutor;
 use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
-use larklink_proxy::config::Config;
+use larklink_proxy::config::{ADMIN_ADDRESS_VARIABLE, Config};
 use larklink_proxy::handover::{self, Predecessor};
 use larklink_proxy::metrics::Metrics;
 use larklink_proxy::proxy::{self, Start};
@@ -26,9 +26,9 @@
         eprintln!("usage: larklink CONFIG, or ROUTER_CONFIG in the environment");
         return ExitCode::FAILURE;
     };
-    let console = std::env::var("ROUTER_CONSOLE").ok();
+    let console = std::env::var(ADMIN_ADDRESS_VARIABLE).ok();
     let config = Config::read(&path).and_then(|config| config.with_admin_address(console.as_deref()));
-    match config.and_then(|config| start(path, config)) {
+    match config.map_err(|e| e.to_string()).and_then(|config| start(path, config)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(wrong) => {
             eprintln!("larklink: {wrong}");
--- a/crates/larklink-proxy/src/pending.rs
+++ b/crates/larklink-proxy/src/pending.rs
@@ -20,7 +20,7 @@
 use crate::metrics::FinalAnswer;
 use crate::protocol::{LineBuffer, OpenLine, with_dial_timeout};
 use crate::relay::Stands;
-use crate::upstream::attempt::send_attempt;
+use crate::upstream::attempt::Attempt;
 
 /// A connection from before the start is tried again after so long, up to so long.
 const STAND_AGAIN: Duration = Duration::from_millis(250);
@@ -140,8 +140,14 @@
                         self.limiter.evictions_done().await;
                         Ok(match address {
                             Some(to) => {
-                                send_attempt(to, &mut slices, until, timeout, may_begin, may_send, figures)
-                                    .await
+                                Attempt {
+                                    address: to,
+                                    deadline: until,
+                                    connect_timeout: timeout,
+                                    metrics: figures,
+                                }
+                                .send(&mut slices, may_begin, may_send)
+                                .await
                             }
                             None => Err(AttemptOutcome::ConnectFailed),
                         })
@@ -242,7 +248,9 @@
                 let mut slices = [std::io::IoSlice::new(line)];
                 let waits = || waits_still(stream.get_ref(), true);
                 let (timeout, figures) = (self.connect_timeout, &self.figures);
-                match send_attempt(address, &mut slices, until, timeout, waits, waits, figures).await {
+                let attempt =
+                    Attempt { address, deadline: until, connect_timeout: timeout, metrics: figures };
+                match attempt.send(&mut slices, waits, waits).await {
                     Ok(link) => return Ok(link),
                     // Once it may have run there, another would be a second copy.
                     Err(how) if !how.never_ran() || Instant::now() >= until => {
--- a/crates/larklink-proxy/src/protocol.rs
+++ b/crates/larklink-proxy/src/protocol.rs
@@ -3,6 +3,8 @@
 use std::io::IoSlice;
 use std::ops::Range;
 
+use thiserror::Error;
+
 /// The longest line, its CRLF included.
 pub const MAX_LINE_LENGTH: usize = 4096;
 /// The longest that a client may say it waits, in milliseconds: an hour is no dial timeout.
@@ -76,40 +78,85 @@
     pub endpoint_name: Option<&'a str>,
 }
 
-pub fn hex(text: &str) -> Option<u64> {
+/// Why a line does not open a session.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+pub enum OpenLineError {
+    /// It is not UTF-8.
+    #[error("not text")]
+    NotText,
+    /// Its first word is another.
+    #[error("not an OPEN line")]
+    NotOpen,
+    /// It contains a control character.
+    #[error("control characters in it")]
+    ControlCharacters,
+    /// The session id is missing or not hexadecimal.
+    #[error("the id is not a hex number")]
+    BadId,
+    /// The client key is missing or not hexadecimal.
+    #[error("the key is not a hex number")]
+    BadClientKey,
+    /// Nothing follows the client key.
+    #[error("no list of names and values")]
+    NoAttributes,
+    /// An attribute has no `=`.
+    #[error("a name without a value")]
+    AttributeWithoutValue,
+    /// `d` is not a decimal number of milliseconds.
+    #[error("d is not a number")]
+    BadDialTimeout,
+    /// `g` is not hexadecimal.
+    #[error("g is not a hex number")]
+    BadGroupKey,
+    /// An attribute occurs twice.
+    #[error("a name that stands twice")]
+    DuplicateAttribute,
+    /// `c` is missing.
+    #[error("no listener")]
+    NoListener,
+    /// `d` is missing.
+    #[error("no dial timeout")]
+    NoDialTimeout,
+    /// `d` is over the limit.
+    #[error("d is too long")]
+    DialTimeoutTooLong,
+}
+
+pub fn parse_hex(text: &str) -> Option<u64> {
     let digits = !text.is_empty() && text.bytes().all(|b| b.is_ascii_hexdigit());
     digits.then(|| u64::from_str_radix(text, 16).ok()).flatten()
 }
 
 /// Reads the first line, with or without its CRLF; or says what is wrong with it.
-pub fn parse_open_line(line: &[u8]) -> Result<OpenLine<'_>, &'static str> {
-    let text = std::str::from_utf8(line).map_err(|_| "not text")?.trim_end_matches("\r\n");
+pub fn parse_open_line(line: &[u8]) -> Result<OpenLine<'_>, OpenLineError> {
+    let text = std::str::from_utf8(line).map_err(|_| OpenLineError::NotText)?.trim_end_matches("\r\n");
     let mut words = text.splitn(4, ' ');
     if words.next() != Some("OPEN") {
-        return Err("not an OPEN line");
+        return Err(OpenLineError::NotOpen);
     }
     if text.contains(char::is_control) {
-        return Err("control characters in it");
+        return Err(OpenLineError::ControlCharacters);
     }
-    let id = words.next().and_then(hex).ok_or("the id is not a hex number")?;
-    let key = words.next().and_then(hex).ok_or("the key is not a hex number")?;
-    let list = words.next().ok_or("no list of names and values")?;
+    let id = words.next().and_then(parse_hex).ok_or(OpenLineError::BadId)?;
+    let key = words.next().and_then(parse_hex).ok_or(OpenLineError::BadClientKey)?;
+    let list = words.next().ok_or(OpenLineError::NoAttributes)?;
     let (mut listener, mut wait) = (None, None);
     let mut head = OpenLine { id, client_key: key, ..OpenLine::default() };
     let mut names = Vec::new();
     let mut from = text.len() - list.len();
     for pair in list.split(',') {
         let end = from + pair.len();
-        let (name, value) = pair.split_once('=').ok_or("a name without a value")?;
+        let (name, value) = pair.split_once('=').ok_or(OpenLineError::AttributeWithoutValue)?;
         names.push(name);
         match name {
             "c" => listener = Some(value),
             "d" => {
                 let digits = value.bytes().all(|b| b.is_ascii_digit());
-                let ms: u64 = digits.then(|| value.parse().ok()).flatten().ok_or("d is not a number")?;
+                let ms: u64 =
+                    digits.then(|| value.parse().ok()).flatten().ok_or(OpenLineError::BadDialTimeout)?;
                 wait = Some((ms, end - value.len()..end));
             }
-            "g" => head.group_key = hex(value).ok_or("g is not a hex number")?,
+            "g" => head.group_key = parse_hex(value).ok_or(OpenLineError::BadGroupKey)?,
             "again" => head.reconnecting = value == "1",
             "r" => head.client_retry = value == "1",
             "mid" => head.established = value == "1",
@@ -121,14 +168,14 @@
     }
     names.sort_unstable();
     if names.windows(2).any(|n| n[0] == n[1]) {
-        return Err("a name that stands twice");
+        return Err(OpenLineError::DuplicateAttribute);
     }
-    head.listener = listener.ok_or("no listener")?;
-    let (ms, at) = wait.ok_or("no dial timeout")?;
+    head.listener = listener.ok_or(OpenLineError::NoListener)?;
+    let (ms, at) = wait.ok_or(OpenLineError::NoDialTimeout)?;
     // One that stood before the proxy's start waits for no server: its figure is whatever its life was to be, and who
     // is turned away for that loses a connection that stands. It is bounded only for the sums that follow.
     if ms > MAX_DIAL_TIMEOUT_MS && head.endpoint_name.is_none() {
-        return Err("d is too long");
+        return Err(OpenLineError::DialTimeoutTooLong);
     }
     (head.dial_timeout_ms, head.dial_timeout_range) = (ms.min(MAX_DIAL_TIMEOUT_MS), at);
     Ok(head)
--- a/crates/larklink-proxy/src/proxy.rs
+++ b/crates/larklink-proxy/src/proxy.rs
@@ -18,7 +18,7 @@
 use crate::clock::to_duration;
 use crate::config::Config;
 use crate::decision_task::DecisionTask;
-use crate::discovery::{client, schedule::PollSchedule};
+use crate::discovery::{self, schedule::PollSchedule};
 use crate::events;
 use crate::handover::{Handover, Predecessor};
 use crate::limiter::ConnectionLimiter;
@@ -93,7 +93,7 @@
     executor.spawn(owner.run(events)).detach();
     let set = &facts.settings;
     let schedule = PollSchedule::new(set.discovery_deadline, set.drain_grace, set.polled_discovery);
-    let watch = client::follow(config.discovery, moved, schedule, queue.clone(), chance(1));
+    let watch = discovery::follow(config.discovery, moved, schedule, queue.clone(), chance(1));
     executor.spawn(watch).detach();
     let (open, closed) = async_channel::bounded(1);
     let front = Rc::new(SessionContext {
--- a/crates/larklink-proxy/src/upstream/attempt.rs
+++ b/crates/larklink-proxy/src/upstream/attempt.rs
@@ -1,77 +1,106 @@
-//! Connections to servers: the dial of a session, and how it ended.
+//! Attempts to establish sessions at endpoints.
 use std::io::{ErrorKind, IoSlice};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
 use async_io::Async;
 use larklink_balancer::AttemptOutcome;
+use rustix::io::Errno;
 
 use crate::connection::{Connection, write_gathered};
 use crate::metrics::Metrics;
 use crate::protocol::{ServerMessage, parse_server_message};
 use crate::timeout::with_timeout;
 
-/// Errors that are a want of ours and say nothing of the server: ENOMEM, ENFILE, EMFILE, EADDRNOTAVAIL and
-/// ENOBUFS.
-const OURS: [i32; 5] = [12, 23, 24, 99, 105];
+/// Errors for want of a resource of this machine, which say nothing of the endpoint.
+const LOCAL_ERRORS: [Errno; 5] =
+    [Errno::NOMEM, Errno::NFILE, Errno::MFILE, Errno::ADDRNOTAVAIL, Errno::NOBUFS];
 
-/// Makes a connection; the error says how the dial ended.
-pub async fn connect(server: SocketAddr, limit: Duration) -> Result<Connection, AttemptOutcome> {
-    match with_timeout(limit, Async::<TcpStream>::connect(server)).await {
+/// Connects to an endpoint.
+///
+/// # Errors
+/// The outcome to report if no connection comes up within the timeout.
+pub async fn connect(address: SocketAddr, timeout: Duration) -> Result<Connection, AttemptOutcome> {
+    match with_timeout(timeout, Async::<TcpStream>::connect(address)).await {
         Ok(stream) => Ok(Connection::new(stream)),
-        Err(e) if e.raw_os_error().is_some_and(|code| OURS.contains(&code)) => Err(AttemptOutcome::NotSent),
+        Err(e) if is_local(&e) => Err(AttemptOutcome::NotSent),
         Err(_) => Err(AttemptOutcome::ConnectFailed),
     }
 }
 
-/// Dials a server with the head of a session. The link that is returned stands, with the server's `UP` line
-/// first in its inbox; else how the dial ended. Its connection is closed then, so that another dial may
-/// follow at once.
-///
-/// An attempt begins with its connection, and making that takes time, in which what the order rested on may end:
-/// `may_begin` is asked in the moment before the connection and `may_send` in that of the first byte. A dial that may
-/// not go out any more has not run.
-pub async fn send_attempt(
-    server: SocketAddr,
-    head: &mut [IoSlice<'_>],
-    until: Instant,
-    connect_timeout: Duration,
-    may_begin: impl FnOnce() -> bool,
-    may_send: impl FnOnce() -> bool,
-    figures: &Metrics,
-) -> Result<Connection, AttemptOutcome> {
-    if !may_begin() {
-        return Err(AttemptOutcome::NotSent);
+fn is_local(error: &std::io::Error) -> bool {
+    Errno::from_io_error(error).is_some_and(|errno| LOCAL_ERRORS.contains(&errno))
+}
+
+/// One attempt to establish a session at an endpoint.
+pub struct Attempt<'a> {
+    /// The endpoint's address.
+    pub address: SocketAddr,
+    /// When the attempt counts as timed out.
+    pub deadline: Instant,
+    /// The longest time that the connection may take.
+    pub connect_timeout: Duration,
+    /// Counts the attempt.
+    pub metrics: &'a Metrics,
+}
+
+impl Attempt<'_> {
+    /// Connects, sends the open line and waits for the endpoint's first message. Returns the connection with the
+    /// `UP` line still in its buffer.
+    ///
+    /// Connecting takes time, in which the session's client may leave or its send deadline pass: `may_connect` is
+    /// called immediately before connecting and `may_send` immediately before the first byte is sent.
+    ///
+    /// # Errors
+    /// The outcome of the attempt if it was not accepted; its connection is closed then. It is
+    /// [`AttemptOutcome::NotSent`] if `may_connect` or `may_send` returned false.
+    pub async fn send(
+        &self,
+        open_line: &mut [IoSlice<'_>],
+        may_connect: impl FnOnce() -> bool,
+        may_send: impl FnOnce() -> bool,
+    ) -> Result<Connection, AttemptOutcome> {
+        if !may_connect() {
+            return Err(AttemptOutcome::NotSent);
+        }
+        self.metrics.record_attempt_started(Instant::now());
+        let mut connection = connect(self.address, self.connect_timeout.min(self.remaining())).await?;
+        if !may_send() {
+            return Err(AttemptOutcome::NotSent);
+        }
+        // The endpoint cannot have run the session before it has the whole line.
+        with_timeout(self.remaining(), write_gathered(&connection.stream, open_line))
+            .await
+            .map_err(|_| AttemptOutcome::ConnectFailed)?;
+        self.metrics.record_attempt_sent();
+        let length =
+            with_timeout(self.remaining(), connection.read_line()).await.map_err(|e| match e.kind() {
+                ErrorKind::TimedOut => AttemptOutcome::TimedOut,
+                ErrorKind::InvalidData => AttemptOutcome::Failed,
+                _ => AttemptOutcome::Reset,
+            })?;
+        match self.outcome(&connection.buffer.bytes()[..length]) {
+            None => Ok(connection),
+            Some(outcome) => Err(outcome),
+        }
     }
-    figures.record_attempt_started(Instant::now());
-    let left = until.saturating_duration_since(Instant::now());
-    let mut link = connect(server, connect_timeout.min(left)).await?;
-    if !may_send() {
-        return Err(AttemptOutcome::NotSent);
+
+    fn remaining(&self) -> Duration {
+        self.deadline.saturating_duration_since(Instant::now())
     }
-    let left = until.saturating_duration_since(Instant::now());
-    // Until its last byte is written, the server cannot have run it.
-    with_timeout(left, write_gathered(&link.stream, head))
-        .await
-        .map_err(|_| AttemptOutcome::ConnectFailed)?;
-    figures.record_attempt_sent();
-    let left = until.saturating_duration_since(Instant::now());
-    let line = match with_timeout(left, link.read_line()).await {
-        Ok(n) => &link.buffer.bytes()[..n],
-        Err(e) if e.kind() == ErrorKind::TimedOut => return Err(AttemptOutcome::TimedOut),
-        Err(e) if e.kind() == ErrorKind::InvalidData => return Err(AttemptOutcome::Failed),
-        Err(_) => return Err(AttemptOutcome::Reset),
-    };
-    match parse_server_message(line).0 {
-        ServerMessage::Up => Ok(link),
-        ServerMessage::Busy => Err(AttemptOutcome::AtCapacity),
-        ServerMessage::Move => Err(AttemptOutcome::Cancelled),
-        ServerMessage::Bye => Err(AttemptOutcome::Succeeded),
-        other => {
-            if let ServerMessage::Other(text) = other {
-                tracing::warn!("server {server} answered {text:?}");
+
+    /// The outcome that an endpoint's first line means; none if it accepts the session.
+    fn outcome(&self, line: &[u8]) -> Option<AttemptOutcome> {
+        match parse_server_message(line).0 {
+            ServerMessage::Up => None,
+            ServerMessage::Busy => Some(AttemptOutcome::AtCapacity),
+            ServerMessage::Move => Some(AttemptOutcome::Cancelled),
+            ServerMessage::Bye => Some(AttemptOutcome::Succeeded),
+            ServerMessage::Other(text) => {
+                tracing::warn!(address = %self.address, line = ?text, "endpoint sent an unexpected line");
+                Some(AttemptOutcome::Failed)
             }
-            Err(AttemptOutcome::Failed)
+            ServerMessage::Err | ServerMessage::Pong | ServerMessage::Load(_) => Some(AttemptOutcome::Failed),
         }
     }
 }
--- a/crates/larklink-proxy/tests/admin.rs
+++ b/crates/larklink-proxy/tests/admin.rs
@@ -198,7 +198,7 @@
     assert_eq!(here(None).unwrap(), "127.0.0.1:3".parse().ok());
     assert_eq!(here(Some("")).unwrap(), "127.0.0.1:3".parse().ok());
     assert_eq!(here(Some("127.0.0.1:4")).unwrap(), "127.0.0.1:4".parse().ok());
-    assert!(here(Some("4")).unwrap_err().contains("ROUTER_CONSOLE: \"4\""));
+    assert!(here(Some("4")).unwrap_err().to_string().contains("ROUTER_CONSOLE: \"4\""));
     assert_eq!(config("").unwrap().admin_address, None);
     assert!(config(r#""console":"nowhere","#).unwrap_err().to_string().contains("socket address"));
 }
--- a/crates/larklink-proxy/tests/protocol.rs
+++ b/crates/larklink-proxy/tests/protocol.rs
@@ -95,14 +95,14 @@
         ..Endpoint::default()
     };
     let other = Endpoint { address: "10.9.9.9:9".into(), status: "elsewhere".into(), ..one.clone() };
-    assert_eq!(one.entry(&[]).id, other.entry(&[]).id);
+    assert_eq!(one.to_entry(&[]).id, other.to_entry(&[]).id);
     assert_ne!(endpoint_id("s-1"), endpoint_id("s-2"));
     assert_eq!(
-        (one.entry(&[]).state, other.entry(&[]).state),
+        (one.to_entry(&[]).state, other.to_entry(&[]).state),
         (EndpointState::Ready, EndpointState::Draining)
     );
-    let started = Endpoint { since_ms: 1_796_122_544_461.0, ..one };
-    assert_eq!(started.entry(&[]).started_at, 17_961_225_444_610);
+    let started = Endpoint { started_at_ms: 1_796_122_544_461.0, ..one };
+    assert_eq!(started.to_entry(&[]).started_at, 17_961_225_444_610);
 }
 
 const LIST: &str =
--- a/crates/larklink-proxy/tests/wire_fixtures.rs
+++ b/crates/larklink-proxy/tests/wire_fixtures.rs
@@ -17,15 +17,15 @@
 const WORDS: &str = include_str!("fixtures/handover_v1.jsonl");
 const LIST: &str = include_str!("fixtures/list.json");
 
-fn endpoint(name: &str, at: &str, status: &str, (zone, group): (&str, u16), numbers: [f64; 2]) -> Endpoint {
+fn endpoint(name: &str, at: &str, status: &str, (zone, cell): (&str, u16), numbers: [f64; 2]) -> Endpoint {
     Endpoint {
         name: name.into(),
         address: at.into(),
         status: status.into(),
         zone: zone.into(),
-        group,
+        cell,
         weight: numbers[0],
-        since_ms: numbers[1],
+        started_at_ms: numbers[1],
     }
 }
 
@@ -129,7 +129,7 @@
     // As the decisions get it.
     let zones = ["a", "b"].map(String::from);
     let seen = |e: EndpointEntry| (e.endpoint, e.id, (e.zone, e.cell), e.state, e.weight, e.started_at);
-    let entries: Vec<_> = list.endpoints.iter().map(|e| seen(e.entry(&zones))).collect();
+    let entries: Vec<_> = list.endpoints.iter().map(|e| seen(e.to_entry(&zones))).collect();
     assert_eq!(
         entries,
         [
