--- a/crates/larklink-proxy/src/clients.rs
+++ b/crates/larklink-proxy/src/clients.rs
@@ -18,8 +18,9 @@
 
 use crate::connection::Connection;
 use crate::events::{DecisionEvent, DecisionQueue};
-use crate::handover::wire::EstablishedSession;
-use crate::handover::{HandedOver, Successor};
+use crate::handover::messages::EstablishedSession;
+use crate::handover::predecessor::HandedOverSession;
+use crate::handover::successor::Successor;
 use crate::limiter::{ConnectionLimiter, ConnectionPermit};
 use crate::log::EndReason;
 use crate::metrics::{FinalAnswer, InProgress, Metrics};
@@ -103,8 +104,9 @@
 }
 
 /// Goes on with a session that stands, given by the process before this one.
-pub async fn inherit(front: Rc<SessionContext>, (mut was, client, server): HandedOver) {
+pub async fn inherit(front: Rc<SessionContext>, handed_over: HandedOverSession) {
     let started = Instant::now();
+    let HandedOverSession { session: mut was, client, server } = handed_over;
     let link = |stream, bytes: &mut Vec<u8>| {
         let inbox = LineBuffer::with_bytes(std::mem::take(bytes))?;
         Some(Connection { buffer: inbox, stream: Async::new(stream).ok()? })
@@ -222,7 +224,7 @@
         client: &mut Client,
         link: Connection,
     ) -> (Option<u32>, EndReason) {
-        let line = was.head.as_bytes();
+        let line = was.open_line.as_bytes();
         let Some((head, listener)) =
             parse_open_line(line).ok().and_then(|h| self.listener(&h).map(|l| (h, l)))
         else {
@@ -232,7 +234,7 @@
         let ask = asks(&head, listener);
         let (session, _open) = self.enter(&head);
         let (sender, orders) = async_channel::bounded(4);
-        let server = was.server;
+        let server = was.endpoint;
         self.queue.send(DecisionEvent::FindEndpoint { session, endpoint: server, commands: sender }).await;
         self.queue.send(DecisionEvent::AdoptEstablished { session, request: ask, endpoint: server }).await;
         if let Some(load) = was.load {
@@ -240,7 +242,14 @@
                 .send(DecisionEvent::Observed { session, attempt: 0, observation: Observation::Load(load) })
                 .await;
         }
-        let at = Stands { session, dial: 0, server, head: line, unanswered: was.unanswered, load: was.load };
+        let at = Stands {
+            session,
+            dial: 0,
+            server,
+            head: line,
+            unanswered: was.unanswered_messages,
+            load: was.load,
+        };
         (Some(session), self.standing(at, client, link, &orders).await)
     }
 
--- /dev/null
+++ b/crates/larklink-proxy/src/handover/channel.rs
@@ -0,0 +1,129 @@
+//! Messages over a Unix socket, with descriptors attached to their first byte (`SCM_RIGHTS`).
+use std::collections::VecDeque;
+use std::io::{ErrorKind, IoSlice, IoSliceMut, Result};
+use std::mem::MaybeUninit;
+use std::os::fd::{BorrowedFd, OwnedFd};
+use std::os::unix::net::UnixStream;
+use std::rc::Rc;
+use std::time::Duration;
+
+use async_io::Async;
+use async_lock::Mutex;
+use futures_lite::AsyncWriteExt;
+use rustix::net::{
+    RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
+    SendFlags, recvmsg, sendmsg,
+};
+
+use super::messages::{HandoverMessage, ProtocolError, parse_message};
+use crate::timeout::with_timeout;
+
+/// The longest message, in bytes; as for an endpoint list of discovery.
+const MAX_MESSAGE_LENGTH: usize = 1 << 20;
+/// How long the other process may take for a message that is due. One that hangs must not delay a start.
+pub const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// The most descriptors attached to one message.
+const MAX_ATTACHED: usize = 2;
+/// Bytes read from the socket at once.
+const CHUNK_LENGTH: usize = 4096;
+
+/// The receiving half of a connection to the other process.
+pub struct MessageReader {
+    stream: Rc<Async<UnixStream>>,
+    buffer: Vec<u8>,
+    descriptors: VecDeque<OwnedFd>,
+}
+
+impl MessageReader {
+    /// Receives the next message. Cancel safe: nothing is lost when the future is dropped.
+    ///
+    /// # Errors
+    /// The other process has closed the connection, or sent what is no message.
+    pub async fn receive(&mut self) -> Result<HandoverMessage> {
+        loop {
+            if let Some(end) = self.buffer.iter().position(|&b| b == b'\n') {
+                let line: Vec<_> = self.buffer.drain(..=end).collect();
+                return parse_message(&line[..end]);
+            }
+            if self.buffer.len() > MAX_MESSAGE_LENGTH {
+                return Err(ProtocolError::TooLong { limit: MAX_MESSAGE_LENGTH }.into());
+            }
+            let Self { stream, buffer, descriptors } = self;
+            if stream.read_with(|s| receive_chunk(s, buffer, descriptors)).await? == 0 {
+                return Err(ErrorKind::UnexpectedEof.into());
+            }
+        }
+    }
+
+    /// Takes the next descriptor that came attached to a message, in the order in which they were sent.
+    ///
+    /// # Errors
+    /// There is none.
+    pub fn take_descriptor(&mut self) -> Result<OwnedFd> {
+        self.descriptors.pop_front().ok_or_else(|| ProtocolError::MissingDescriptor.into())
+    }
+}
+
+fn receive_chunk(
+    stream: &UnixStream,
+    buffer: &mut Vec<u8>,
+    descriptors: &mut VecDeque<OwnedFd>,
+) -> Result<usize> {
+    let mut chunk = [0; CHUNK_LENGTH];
+    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_ATTACHED))];
+    let mut ancillary = RecvAncillaryBuffer::new(&mut space);
+    let mut slices = [IoSliceMut::new(&mut chunk)];
+    let received = recvmsg(stream, &mut slices, &mut ancillary, RecvFlags::CMSG_CLOEXEC)?.bytes;
+    for message in ancillary.drain() {
+        if let RecvAncillaryMessage::ScmRights(attached) = message {
+            descriptors.extend(attached);
+        }
+    }
+    if descriptors.len() > MAX_ATTACHED * CHUNK_LENGTH {
+        return Err(ProtocolError::TooManyDescriptors.into());
+    }
+    buffer.extend_from_slice(&chunk[..received]);
+    Ok(received)
+}
+
+/// The sending half of a connection to the other process. Several tasks may send; each message goes whole.
+pub struct MessageWriter {
+    stream: Rc<Async<UnixStream>>,
+    write_lock: Mutex<()>,
+}
+
+impl MessageWriter {
+    /// Sends a message with descriptors attached; the descriptors stay open here.
+    ///
+    /// # Errors
+    /// The other process has closed the connection or does not read within [`RESPONSE_TIMEOUT`]; it may have received a
+    /// part.
+    pub async fn send(&self, message: &HandoverMessage, attached: &[BorrowedFd<'_>]) -> Result<()> {
+        let mut line = serde_json::to_vec(message)?;
+        line.push(b'\n');
+        let write = async {
+            let _locked = self.write_lock.lock().await;
+            let sent = self.stream.write_with(|s| send_first_part(s, &line, attached)).await?;
+            (&*self.stream).write_all(&line[sent..]).await
+        };
+        with_timeout(RESPONSE_TIMEOUT, write).await
+    }
+}
+
+fn send_first_part(stream: &UnixStream, line: &[u8], attached: &[BorrowedFd<'_>]) -> Result<usize> {
+    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_ATTACHED))];
+    let mut ancillary = SendAncillaryBuffer::new(&mut space);
+    if !attached.is_empty() {
+        ancillary.push(SendAncillaryMessage::ScmRights(attached));
+    }
+    Ok(sendmsg(stream, &[IoSlice::new(line)], &mut ancillary, SendFlags::NOSIGNAL)?)
+}
+
+/// Splits a connection to the other process into its halves.
+pub fn message_channel(stream: Async<UnixStream>) -> (MessageReader, Rc<MessageWriter>) {
+    let stream = Rc::new(stream);
+    let reader =
+        MessageReader { stream: Rc::clone(&stream), buffer: Vec::new(), descriptors: VecDeque::new() };
+    let writer = MessageWriter { stream, write_lock: Mutex::new(()) };
+    (reader, Rc::new(writer))
+}
--- /dev/null
+++ b/crates/larklink-proxy/src/handover/successor.rs
@@ -0,0 +1,240 @@
+//! The side of the process that serves: offers its listener and endpoint list to each new process, lets one of them take
+//! over, and hands established sessions over to it.
+use std::cell::RefCell;
+use std::io::Result;
+use std::net::{TcpListener, TcpStream};
+use std::os::fd::AsFd;
+use std::os::unix::net::{UnixListener, UnixStream};
+use std::rc::Rc;
+
+use async_channel::{Receiver, Sender};
+use async_executor::LocalExecutor;
+use async_io::{Async, Timer};
+use futures_lite::{FutureExt, future};
+
+use super::channel::{MessageReader, MessageWriter, message_channel};
+use super::messages::{EstablishedSession, HandoverMessage, ProtocolError, VERSION};
+use super::{HandoverContext, POLL_INTERVAL};
+use crate::events::DecisionEvent;
+
+/// The process that has taken over from this one, if there is one.
+#[derive(Default)]
+pub struct Successor {
+    writer: RefCell<Option<Rc<MessageWriter>>>,
+}
+
+impl Successor {
+    /// Whether a process has taken over.
+    pub fn is_present(&self) -> bool {
+        self.writer.borrow().is_some()
+    }
+
+    /// Hands a session over; whether the successor owns it now.
+    pub async fn hand_over(
+        &self,
+        session: EstablishedSession,
+        client: &TcpStream,
+        server: &TcpStream,
+    ) -> bool {
+        let Some(writer) = self.writer.borrow().clone() else { return false };
+        let message = HandoverMessage::Session(session);
+        writer.send(&message, &[client.as_fd(), server.as_fd()]).await.is_ok()
+    }
+
+    fn set(&self, writer: &Rc<MessageWriter>) {
+        self.writer.replace(Some(Rc::clone(writer)));
+    }
+
+    fn is(&self, writer: &Rc<MessageWriter>) -> bool {
+        self.writer.borrow().as_ref().is_some_and(|current| Rc::ptr_eq(current, writer))
+    }
+
+    fn clear(&self) {
+        self.writer.take();
+    }
+}
+
+/// Serves the new processes that come to take over.
+pub struct HandoverServer {
+    context: Rc<HandoverContext>,
+    /// Closes when this process is to stop.
+    shutdown: Receiver<()>,
+    /// The listening socket, until this process accepts no more connections.
+    listener: RefCell<Option<TcpListener>>,
+    successor: Rc<Successor>,
+    /// Signals that a successor ended before this process was to stop.
+    successor_lost: Sender<()>,
+    /// The other end of `successor_lost`.
+    successor_losses: Receiver<()>,
+}
+
+impl HandoverServer {
+    /// A server that offers a listener. `shutdown` closes when this process is to stop.
+    pub fn new(
+        context: Rc<HandoverContext>,
+        listener: Option<TcpListener>,
+        successor: Rc<Successor>,
+        shutdown: Receiver<()>,
+    ) -> Self {
+        let (successor_lost, successor_losses) = async_channel::bounded(1);
+        let listener = RefCell::new(listener);
+        Self { context, shutdown, listener, successor, successor_lost, successor_losses }
+    }
+
+    /// Opens the socket at which new processes meet this one.
+    ///
+    /// # Errors
+    /// The socket cannot be bound or moved to its path.
+    pub fn bind(&self) -> Result<Async<UnixListener>> {
+        // Under a name of its own first: a process that looks meanwhile finds the old socket or this one, complete.
+        let path = &self.context.socket_path;
+        let temporary_path = path.with_extension(std::process::id().to_string());
+        let socket = Async::<UnixListener>::bind(&temporary_path)?;
+        std::fs::rename(&temporary_path, path)?;
+        Ok(socket)
+    }
+
+    /// Offers nothing from now on: this process accepts no more connections.
+    pub fn close_listener(&self) {
+        self.listener.take();
+    }
+
+    /// Serves each new process that connects, for as long as this one runs.
+    ///
+    /// # Errors
+    /// No process can connect any more.
+    pub async fn run(
+        self: Rc<Self>,
+        mut socket: Async<UnixListener>,
+        executor: &LocalExecutor<'static>,
+    ) -> Result<()> {
+        loop {
+            let accepted = async { socket.accept().await.map(|(stream, _)| Some(stream)) };
+            let successor_lost = async {
+                let _ = self.successor_losses.recv().await;
+                Ok(None)
+            };
+            let Some(stream) = accepted.or(successor_lost).await? else {
+                // The successor had put its own socket in the place of this one's.
+                socket = self.bind()?;
+                continue;
+            };
+            let server = Rc::clone(&self);
+            // Ends with its connection.
+            executor.spawn(async move { server.serve(stream).await }).detach();
+        }
+    }
+
+    async fn serve(&self, stream: Async<UnixStream>) {
+        // The new process holds the fixed descriptors from its start on.
+        let limiter = &self.context.limiter;
+        limiter.set_other_process_use(limiter.reserved());
+        let (reader, writer) = message_channel(stream);
+        if let Err(error) = Conversation::new(self, reader, &writer).run().await {
+            tracing::info!(%error, "new process lost");
+        }
+        let was_successor = self.successor.is(&writer);
+        if was_successor {
+            self.successor.clear();
+        }
+        if !self.successor.is_present() {
+            limiter.set_other_process_use(0);
+        }
+        if was_successor && !self.shutdown.is_closed() {
+            tracing::warn!("successor lost, accepting connections again");
+            let _ = self.successor_lost.try_send(());
+            self.context.start_accepting().await;
+        }
+    }
+}
+
+/// A step of the conversation with a new process.
+enum Step {
+    Received(HandoverMessage),
+    ReportDue,
+    ShuttingDown,
+}
+
+/// The conversation with one new process.
+struct Conversation<'a> {
+    server: &'a HandoverServer,
+    reader: MessageReader,
+    writer: &'a Rc<MessageWriter>,
+    /// Whether the takeover was granted to this process.
+    granted: bool,
+    /// Whether it was notified that this process stops.
+    shutdown_announced: bool,
+    /// The last report of the descriptors that this process holds.
+    reported_descriptors: usize,
+}
+
+impl<'a> Conversation<'a> {
+    fn new(server: &'a HandoverServer, reader: MessageReader, writer: &'a Rc<MessageWriter>) -> Self {
+        Self { server, reader, writer, granted: false, shutdown_announced: false, reported_descriptors: 0 }
+    }
+
+    /// Runs until the other process ends, or has been turned down.
+    async fn run(mut self) -> Result<()> {
+        self.send_offer().await?;
+        loop {
+            match self.next_step().await? {
+                Step::Received(HandoverMessage::TakeOver) if self.server.successor.is_present() => {
+                    return self.writer.send(&HandoverMessage::AlreadyTaken, &[]).await;
+                }
+                Step::Received(HandoverMessage::TakeOver) => self.grant().await?,
+                Step::Received(other) => return Err(ProtocolError::Unexpected(other).into()),
+                Step::ShuttingDown => {
+                    self.shutdown_announced = true;
+                    self.writer.send(&HandoverMessage::Stopping, &[]).await?;
+                }
+                Step::ReportDue => self.report_descriptors().await?,
+            }
+        }
+    }
+
+    async fn send_offer(&self) -> Result<()> {
+        let (sender, answer) = async_channel::bounded(1);
+        self.server.context.queue.send(DecisionEvent::CurrentEndpoints(sender)).await;
+        let endpoints = answer.recv().await.unwrap_or_default();
+        let listener = self.server.listener.borrow().as_ref().map(TcpListener::try_clone).transpose()?;
+        let listener =
+            listener.ok_or_else(|| std::io::Error::other("this process accepts no more connections"))?;
+        let offer = HandoverMessage::Offer { version: VERSION, endpoints };
+        self.writer.send(&offer, &[listener.as_fd()]).await
+    }
+
+    async fn next_step(&mut self) -> Result<Step> {
+        let received = async { self.reader.receive().await.map(Step::Received) };
+        let shutting_down = async {
+            if self.shutdown_announced {
+                return future::pending().await;
+            }
+            let _ = self.server.shutdown.recv().await;
+            Ok(Step::ShuttingDown)
+        };
+        let report_due = async {
+            Timer::after(POLL_INTERVAL).await;
+            Ok(Step::ReportDue)
+        };
+        received.or(shutting_down).or(report_due).await
+    }
+
+    async fn grant(&mut self) -> Result<()> {
+        tracing::info!("takeover granted to a new process");
+        self.server.context.set_accepting(false).await;
+        self.granted = true;
+        self.reported_descriptors = self.server.context.limiter.in_use();
+        self.server.successor.set(self.writer);
+        let granted = HandoverMessage::Granted { descriptors_in_use: self.reported_descriptors };
+        self.writer.send(&granted, &[]).await
+    }
+
+    async fn report_descriptors(&mut self) -> Result<()> {
+        let descriptors_in_use = self.server.context.limiter.in_use();
+        if !self.granted || descriptors_in_use == self.reported_descriptors {
+            return Ok(());
+        }
+        self.reported_descriptors = descriptors_in_use;
+        self.writer.send(&HandoverMessage::DescriptorsInUse { descriptors_in_use }, &[]).await
+    }
+}
--- a/crates/larklink-proxy/src/main.rs
+++ b/crates/larklink-proxy/src/main.rs
@@ -10,7 +10,8 @@
 use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
 use larklink_proxy::config::{ADMIN_ADDRESS_VARIABLE, Config};
-use larklink_proxy::handover::{self, Predecessor};
+use larklink_proxy::handover::predecessor::{self, Offer, Predecessor};
+use larklink_proxy::handover::socket_path;
 use larklink_proxy::metrics::Metrics;
 use larklink_proxy::proxy::{self, Start};
 use larklink_proxy::{admin, log, reload::Reload};
@@ -43,7 +44,7 @@
     // we listen.
     let mut signals =
         Signals::new([Signal::Hup, Signal::Term, Signal::Int]).map_err(|e| format!("signals: {e}"))?;
-    let place = handover::place(&config, std::env::var_os("TMPDIR").map(PathBuf::from));
+    let place = socket_path(&config, std::env::var_os("TMPDIR").map(PathBuf::from));
     let (listener, old) = match place.as_deref().and_then(|at| meet(at, config.listen)) {
         Some((listener, old)) => (listener, Some(old)),
         None => (listen(&config).map_err(|e| format!("{}: {e}", config.listen))?, None),
@@ -94,8 +95,10 @@
 /// The process that serves already under this address, with the listening socket that it hands over. One that does
 /// not speak as it should is let be: the address can be shared with it.
 fn meet(at: &Path, listen: SocketAddr) -> Option<(TcpListener, Predecessor)> {
-    match async_io::block_on(handover::meet(at)) {
-        Ok(Some((listener, old))) if listener.local_addr().ok() == Some(listen) => Some((listener, old)),
+    match async_io::block_on(predecessor::meet(at)) {
+        Ok(Some(Offer { listener, predecessor })) if listener.local_addr().ok() == Some(listen) => {
+            Some((listener, predecessor))
+        }
         Ok(Some(_)) => {
             tracing::warn!("{}: a process with another address", at.display());
             None
--- a/crates/larklink-proxy/src/proxy.rs
+++ b/crates/larklink-proxy/src/proxy.rs
@@ -20,7 +20,9 @@
 use crate::decision_task::DecisionTask;
 use crate::discovery::{self, schedule::PollSchedule};
 use crate::events;
-use crate::handover::{Handover, Predecessor};
+use crate::handover::HandoverContext;
+use crate::handover::predecessor::Predecessor;
+use crate::handover::successor::HandoverServer;
 use crate::limiter::ConnectionLimiter;
 use crate::metrics::Metrics;
 use crate::upstream::health_check::HealthChecker;
@@ -68,8 +70,8 @@
     for left_out in config.cached_endpoints.unreadable {
         tracing::warn!("of the list that was kept some is left out: {left_out}");
     }
-    if let Some(old) = old.as_ref().filter(|old| !old.list.is_empty()) {
-        known.clone_from(&old.list);
+    if let Some(old) = old.as_ref().filter(|old| !old.endpoints.is_empty()) {
+        known.clone_from(&old.endpoints);
     }
     let door = if config.admin_address.is_some() { admin::DESCRIPTORS } else { 0 };
     let limiter = ConnectionLimiter::with_reserved(RESERVED + door, config.limits.max_descriptors);
@@ -114,18 +116,12 @@
     });
     let (taking, turns) = async_channel::bounded(1);
     let (handed_over, sessions) = async_channel::bounded(1);
-    let handover = place.map(|place| {
-        Rc::new(Handover {
-            place,
-            limiter: Rc::clone(&limiter),
-            queue,
-            taking,
-            stop: stop.clone(),
-            listener: kept.into(),
-            successor: Rc::clone(&front.successor),
-            lost: async_channel::bounded(1),
-            handed_over,
-        })
+    let context = place.map(|socket_path| {
+        Rc::new(HandoverContext { socket_path, limiter: Rc::clone(&limiter), queue, accepting: taking })
+    });
+    let handover = context.as_ref().map(|context| {
+        let successor = Rc::clone(&front.successor);
+        Rc::new(HandoverServer::new(Rc::clone(context), kept, successor, stop.clone()))
     });
     // While an old process takes connections, this one does not.
     let mut takes = old.is_none();
@@ -186,25 +182,25 @@
             };
             heard.or(waited).await;
         };
-        let Some(handover) = &handover else {
+        let (Some(handover), Some(context)) = (&handover, &context) else {
             fresh.await;
             figures.set_ready(true);
             return future::pending().await;
         };
         match old {
             Some(old) => {
-                let old = handover.take(old, fresh).await;
-                let handover = Rc::clone(handover);
-                executor.spawn(async move { handover.follow(old).await }).detach();
+                let old = old.take_over(context, fresh).await;
+                let limiter = Rc::clone(&limiter);
+                executor.spawn(async move { old.follow(&limiter, &handed_over).await }).detach();
             }
             None => fresh.await,
         }
         // Who waits for the yes may start another process at once.
-        let place = handover.open();
+        let place = handover.bind();
         figures.set_ready(true);
-        let offered = async { Rc::clone(handover).offer(place?, &executor).await };
+        let offered = async { Rc::clone(handover).run(place?, &executor).await };
         if let Err(e) = offered.await {
-            tracing::warn!("{}: no process can take over from this one: {e}", handover.place.display());
+            tracing::warn!("{}: no process can take over from this one: {e}", context.socket_path.display());
         }
         future::pending().await
     };
@@ -213,7 +209,7 @@
         figures.set_ready(false);
         front.until();
         // None comes any more where a new process takes them.
-        if !front.successor.is_there() {
+        if !front.successor.is_present() {
             Timer::after(STILL_COMING).await;
         }
     };
@@ -227,7 +223,7 @@
     drop(listener);
     drop(open);
     if let Some(handover) = &handover {
-        handover.listener.take();
+        handover.close_listener();
     }
     let until = front.until();
     // Where packets pass through, too: they go on through this proxy until those in front send them elsewhere.
--- a/crates/larklink-proxy/src/relay.rs
+++ b/crates/larklink-proxy/src/relay.rs
@@ -15,7 +15,7 @@
 use crate::clock::to_ticks;
 use crate::connection::{Connection, read};
 use crate::events::{DecisionEvent, SessionCommand};
-use crate::handover::wire::EstablishedSession;
+use crate::handover::messages::EstablishedSession;
 use crate::log::EndReason;
 use crate::protocol::{LineBuffer, ServerMessage, parse_server_message};
 use crate::timeout::with_timeout;
@@ -107,14 +107,14 @@
                 break end;
             }
             let session = EstablishedSession {
-                head: String::from_utf8_lossy(at.head).into_owned(),
-                server: at.server,
+                open_line: String::from_utf8_lossy(at.head).into_owned(),
+                endpoint: at.server,
                 to_server: client.link.buffer.bytes().to_vec(),
                 to_client: link.buffer.bytes()[pipe.passed.get()..].to_vec(),
-                unanswered: pipe.sent.borrow().len(),
+                unanswered_messages: pipe.sent.borrow().len(),
                 load: pipe.load.get(),
             };
-            if self.successor.give(session, pipe.to_client.get_ref(), pipe.to_server.get_ref()).await {
+            if self.successor.hand_over(session, pipe.to_client.get_ref(), pipe.to_server.get_ref()).await {
                 break end;
             }
             // The new process is gone: this one ends the session as if there had been none.
@@ -309,7 +309,7 @@
             let at = Instant::now() + left.mul_f64(share);
             // A new process may come to be the successor only now.
             while self.front.passes || Instant::now() < at {
-                if self.front.successor.is_there() && !self.alone.get() && !self.ending.get() {
+                if self.front.successor.is_present() && !self.alone.get() && !self.ending.get() {
                     return EndReason::HandedOver;
                 }
                 Timer::after(LOOK).await;
--- a/crates/larklink-proxy/tests/handover.rs
+++ b/crates/larklink-proxy/tests/handover.rs
@@ -14,7 +14,8 @@
 use std::time::Instant;
 
 use larklink_proxy::endpoint_list::Endpoint;
-use larklink_proxy::handover::wire::{HandoverMessage, VERSION, talk, word};
+use larklink_proxy::handover::channel::message_channel;
+use larklink_proxy::handover::messages::{HandoverMessage, VERSION, parse_message};
 use larklink_proxy::limiter::ConnectionLimiter;
 use rustix::process::{Pid, Signal, kill_process};
 
@@ -309,18 +310,18 @@
     let early = proxy.start();
     assert!(!early.ready());
     drop(early);
-    old.says("the new process is gone");
+    old.says("new process lost");
     goes_on(&mut stands(&proxy));
     // One that dies after it was ready, and before the old one was stopped.
     drop(proxy.start().gets_ready());
-    old.says("takes connections again");
+    old.says("successor lost, accepting connections again");
     goes_on(&mut stands(&proxy));
     goes_on(&mut client);
     // The old one is stopped before the new one is ready, and gives it what stands at once.
     let new = proxy.start();
     assert!(!new.ready());
     old.signal(Signal::TERM);
-    new.says("takes the connections over");
+    new.says("takeover complete");
     old.ends();
     goes_on(&mut stands(&proxy));
     goes_on(&mut client);
@@ -377,12 +378,12 @@
     door.listen(1).unwrap();
     thread::spawn(move || {
         for met in place.incoming() {
-            let (mut ear, mouth) = talk(async_io::Async::new(met.unwrap()).unwrap());
+            let (mut reader, writer) = message_channel(async_io::Async::new(met.unwrap()).unwrap());
             async_io::block_on(async {
-                let offer = HandoverMessage::Offer { version: VERSION, list: Vec::new() };
-                let _ = mouth.say(&offer, &[door.as_fd()]).await;
-                if ear.hear().await.is_ok() {
-                    let _ = mouth.say(&HandoverMessage::Taken, &[]).await;
+                let offer = HandoverMessage::Offer { version: VERSION, endpoints: Vec::new() };
+                let _ = writer.send(&offer, &[door.as_fd()]).await;
+                if reader.receive().await.is_ok() {
+                    let _ = writer.send(&HandoverMessage::AlreadyTaken, &[]).await;
                 }
             });
         }
@@ -402,14 +403,14 @@
     let _silent = meet();
     for said in ["nonsense\n", "{\"session\":{}}\n", "\"stops\"\n"] {
         meet().write_all(said.as_bytes()).unwrap();
-        process.says("the new process is gone");
+        process.says("new process lost");
         goes_on(&mut stands(&proxy));
     }
 }
 
 #[test]
 fn words_that_are_none_are_told_with_their_reason() {
-    assert!(word(br#"{"offer":{"version":1,"list":[]}}"#).is_ok());
+    assert!(parse_message(br#"{"offer":{"version":1,"list":[]}}"#).is_ok());
     for (line, reason) in [
         (&br#"{"offer":{"version":2,"list":[]}}"#[..], "version 2"),
         (br#"{"offer":{"version":1}}"#, "missing field `list`"),
@@ -419,7 +420,7 @@
         (b"\xff\xfe", "expected value"),
         (b"", "EOF"),
     ] {
-        let wrong = word(line).unwrap_err().to_string();
+        let wrong = parse_message(line).unwrap_err().to_string();
         assert!(wrong.contains(reason), "{line:?}: {wrong}");
     }
 }
@@ -435,11 +436,11 @@
         })
         .collect();
     let (one, other) = UnixStream::pair().unwrap();
-    let (_, mouth) = talk(async_io::Async::new(one).unwrap());
-    let (mut ear, _) = talk(async_io::Async::new(other).unwrap());
-    let offer = HandoverMessage::Offer { version: VERSION, list };
-    let said = mouth.say(&offer, &[]);
-    let (said, heard) = async_io::block_on(futures_lite::future::zip(said, ear.hear()));
+    let (_, writer) = message_channel(async_io::Async::new(one).unwrap());
+    let (mut reader, _) = message_channel(async_io::Async::new(other).unwrap());
+    let offer = HandoverMessage::Offer { version: VERSION, endpoints: list };
+    let said = writer.send(&offer, &[]);
+    let (said, heard) = async_io::block_on(futures_lite::future::zip(said, reader.receive()));
     said.unwrap();
     assert_eq!(heard.unwrap(), offer);
 }
--- a/crates/larklink-proxy/tests/wire_fixtures.rs
+++ b/crates/larklink-proxy/tests/wire_fixtures.rs
@@ -12,7 +12,8 @@
 };
 use larklink_proxy::config::Config;
 use larklink_proxy::endpoint_list::{Endpoint, EndpointList, endpoint_id};
-use larklink_proxy::handover::wire::{EstablishedSession, HandoverMessage, VERSION, talk, word};
+use larklink_proxy::handover::channel::message_channel;
+use larklink_proxy::handover::messages::{EstablishedSession, HandoverMessage, VERSION, parse_message};
 
 const WORDS: &str = include_str!("fixtures/handover_v1.jsonl");
 const LIST: &str = include_str!("fixtures/list.json");
@@ -43,11 +44,11 @@
 fn standing(head: &str, bytes: [&[u8]; 2], unanswered: usize, load: Option<f64>) -> HandoverMessage {
     let [to_server, to_client] = bytes.map(<[u8]>::to_vec);
     HandoverMessage::Session(EstablishedSession {
-        head: head.into(),
-        server: u32::MAX,
+        open_line: head.into(),
+        endpoint: u32::MAX,
         to_server,
         to_client,
-        unanswered,
+        unanswered_messages: unanswered,
         load,
     })
 }
@@ -56,14 +57,14 @@
 fn words() -> Vec<HandoverMessage> {
     let head = "OPEN ab 12 c=chat,t=\u{e9},d=2000,g=1f\r\n";
     vec![
-        HandoverMessage::Offer { version: 1, list: endpoints() },
-        HandoverMessage::Offer { version: 1, list: Vec::new() },
-        HandoverMessage::Take,
-        HandoverMessage::Yours { held: 0 },
-        HandoverMessage::Yours { held: 4096 },
-        HandoverMessage::Taken,
-        HandoverMessage::Held { held: 17 },
-        HandoverMessage::Stops,
+        HandoverMessage::Offer { version: 1, endpoints: endpoints() },
+        HandoverMessage::Offer { version: 1, endpoints: Vec::new() },
+        HandoverMessage::TakeOver,
+        HandoverMessage::Granted { descriptors_in_use: 0 },
+        HandoverMessage::Granted { descriptors_in_use: 4096 },
+        HandoverMessage::AlreadyTaken,
+        HandoverMessage::DescriptorsInUse { descriptors_in_use: 17 },
+        HandoverMessage::Stopping,
         standing(head, [b"half a\r\n\0\xff", b"\x80M 1\r\n"], 3, Some(12.5)),
         standing("", [b"", b""], 0, None),
         standing("x", [b"", b"\n"], 1, Some(0.0)),
@@ -74,13 +75,13 @@
 fn each_word_of_the_handover_is_written_as_in_the_file() {
     assert_eq!(VERSION, 1);
     let (ours, mut theirs) = UnixStream::pair().unwrap();
-    let (_, mouth) = talk(Async::new(ours).unwrap());
+    let (_, writer) = message_channel(Async::new(ours).unwrap());
     async_io::block_on(async {
         for word in words() {
-            mouth.say(&word, &[]).await.unwrap();
+            writer.send(&word, &[]).await.unwrap();
         }
     });
-    drop(mouth);
+    drop(writer);
     let mut written = String::new();
     theirs.read_to_string(&mut written).unwrap();
     assert_eq!(written, WORDS);
@@ -88,16 +89,19 @@
 
 #[test]
 fn each_word_of_the_handover_is_read_from_the_file() {
-    assert_eq!(WORDS.lines().map(|line| word(line.as_bytes()).unwrap()).collect::<Vec<_>>(), words());
+    assert_eq!(
+        WORDS.lines().map(|line| parse_message(line.as_bytes()).unwrap()).collect::<Vec<_>>(),
+        words()
+    );
     let (ours, mut theirs) = UnixStream::pair().unwrap();
     theirs.write_all(WORDS.as_bytes()).unwrap();
     theirs.shutdown(Shutdown::Write).unwrap();
-    let (mut ear, _mouth) = talk(Async::new(ours).unwrap());
+    let (mut reader, _writer) = message_channel(Async::new(ours).unwrap());
     async_io::block_on(async {
         for word in words() {
-            assert_eq!(ear.hear().await.unwrap(), word);
+            assert_eq!(reader.receive().await.unwrap(), word);
         }
-        assert_eq!(ear.hear().await.unwrap_err().kind(), std::io::ErrorKind::UnexpectedEof);
+        assert_eq!(reader.receive().await.unwrap_err().kind(), std::io::ErrorKind::UnexpectedEof);
     });
 }
 
@@ -114,7 +118,7 @@
         ),
         (r#""yours""#, "invalid type: unit variant, expected struct variant"),
     ] {
-        let e = word(line.as_bytes()).unwrap_err();
+        let e = parse_message(line.as_bytes()).unwrap_err();
         assert_eq!((e.kind(), e.to_string().as_str()), (std::io::ErrorKind::InvalidData, error), "{line}");
     }
 }
