--- a/crates/larklink-proxy/src/clients.rs
+++ b/crates/larklink-proxy/src/clients.rs
@@ -123,7 +123,7 @@
 /// Refuses a connection for which there is no descriptor. Nobody's dial has run: trying again is harmless.
 pub fn turn_away(stream: &Async<TcpStream>) {
     busy_at_once(stream);
-    log_end(None, EndReason::NoRoom, Instant::now());
+    log_end(None, EndReason::NoDescriptors, Instant::now());
 }
 
 fn busy_at_once(stream: &Async<TcpStream>) {
@@ -139,7 +139,8 @@
 
 fn log_end(session: Option<u32>, reason: EndReason, started: Instant) {
     let session = session.map(|s| s.to_string()).unwrap_or_default();
-    tracing::info!(session, reason = %reason, ms = started.elapsed().as_millis() as u64, "end");
+    let duration_ms = started.elapsed().as_millis() as u64;
+    tracing::info!(session, %reason, duration_ms, "connection ended");
 }
 
 impl SessionContext {
@@ -155,24 +156,27 @@
             let must_go = place.evicted();
             async move {
                 must_go.await;
-                Err(EndReason::NoRoom)
+                Err(EndReason::NoDescriptors)
             }
         };
         let way = give_way(&client.place);
         let closed = async {
             let _ = self.closed.recv().await;
             Timer::after(LAST).await;
-            Err(EndReason::Stopped)
+            Err(EndReason::Shutdown)
         };
         let mut line = first_line(client).or(way).or(closed).await;
         // A line that has come by now is answered like any other: nobody is there to send it again. So is one of which a
         // stop finds a part, as long as it may still come.
         let late = matches!(
             line,
-            Err(EndReason::Stopped | EndReason::Pinged | EndReason::HeadStalled | EndReason::NoRoom)
+            Err(EndReason::Shutdown
+                | EndReason::HealthCheck
+                | EndReason::OpenLineTimeout
+                | EndReason::NoDescriptors)
         );
         let said =
-            client.link.has_complete_line() || line == Err(EndReason::Stopped) && client.link.has_input();
+            client.link.has_complete_line() || line == Err(EndReason::Shutdown) && client.link.has_input();
         if late && said && client.place.keep_if_not_evicted() {
             let way = give_way(&client.place);
             line = first_line(client).or(way).or(self.last_call()).await;
@@ -181,10 +185,10 @@
             Ok(line) => line,
             Err(reason) => {
                 match reason {
-                    EndReason::NoRoom => busy_at_once(&client.link.stream),
+                    EndReason::NoDescriptors => busy_at_once(&client.link.stream),
                     // The rest of its line may be on its way.
-                    EndReason::Stopped if client.link.has_input() => answer(client, "BUSY\r\n").await,
-                    EndReason::BadLine | EndReason::HeadStalled => answer(client, "ERR\r\n").await,
+                    EndReason::Shutdown if client.link.has_input() => answer(client, "BUSY\r\n").await,
+                    EndReason::ProtocolError | EndReason::OpenLineTimeout => answer(client, "ERR\r\n").await,
                     // In good order: what comes in this instant must not be met by a reset.
                     _ => close(&client.link).or(client.place.evicted()).await,
                 }
@@ -202,9 +206,9 @@
         match head {
             Ok((_, listener)) if !client.place.keep_if_not_evicted() || !client.place.start_session() => {
                 self.figures.record_answer(listener, FinalAnswer::Rejected);
-                self.figures.record_rejection_without_attempt(EndReason::NoRoom, Instant::now());
+                self.figures.record_rejection_without_attempt(EndReason::NoDescriptors, Instant::now());
                 busy_at_once(&client.link.stream);
-                (None, EndReason::NoRoom)
+                (None, EndReason::NoDescriptors)
             }
             Ok((head, listener)) => {
                 let (session, _open) = self.enter(&head);
@@ -213,7 +217,7 @@
             Err(wrong) => {
                 tracing::warn!("a first line with {wrong}");
                 answer(client, "ERR\r\n").await;
-                (None, EndReason::BadLine)
+                (None, EndReason::ProtocolError)
             }
         }
     }
@@ -229,7 +233,7 @@
             parse_open_line(line).ok().and_then(|h| self.listener(&h).map(|l| (h, l)))
         else {
             tracing::warn!("a session without a first line was given");
-            return (None, EndReason::BadLine);
+            return (None, EndReason::ProtocolError);
         };
         let ask = asks(&head, listener);
         let (session, _open) = self.enter(&head);
@@ -264,7 +268,7 @@
     pub(crate) async fn last_call<T>(&self) -> Result<T, EndReason> {
         let _ = self.stop.recv().await;
         Timer::at(self.until() - LAST).await;
-        Err(EndReason::Stopped)
+        Err(EndReason::Shutdown)
     }
 
     fn listener(&self, head: &OpenLine<'_>) -> Option<usize> {
@@ -297,10 +301,10 @@
             }
             Err(e) => {
                 return Err(match e.kind() {
-                    ErrorKind::InvalidData => EndReason::BadLine,
-                    _ if pinged && client.link.buffer.bytes().is_empty() => EndReason::Pinged,
-                    ErrorKind::TimedOut => EndReason::HeadStalled,
-                    _ => EndReason::ClientLeft,
+                    ErrorKind::InvalidData => EndReason::ProtocolError,
+                    _ if pinged && client.link.buffer.bytes().is_empty() => EndReason::HealthCheck,
+                    ErrorKind::TimedOut => EndReason::OpenLineTimeout,
+                    _ => EndReason::ClientClosed,
                 });
             }
         }
--- a/crates/larklink-proxy/src/main.rs
+++ b/crates/larklink-proxy/src/main.rs
@@ -14,7 +14,8 @@
 use larklink_proxy::handover::socket_path;
 use larklink_proxy::metrics::Metrics;
 use larklink_proxy::proxy::{self, Start};
-use larklink_proxy::{admin, log, reload::Reload};
+use larklink_proxy::reload::ConfigReloader;
+use larklink_proxy::{admin, log};
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use socket2::{Domain, Socket, Type};
 
@@ -59,12 +60,12 @@
     let executor = Rc::new(LocalExecutor::new());
     let (stop, stopping) = async_channel::bounded(1);
     let (to, moved) = async_channel::bounded(1);
-    let mut reload = Reload::new(path, config.clone(), to);
+    let reloader = ConfigReloader::new(path, config.clone(), to);
     executor
         .spawn(async move {
             while let Some(signal) = signals.next().await {
                 match signal {
-                    Ok(Signal::Hup) => reload.again(),
+                    Ok(Signal::Hup) => reloader.reload(),
                     // A second one is let pass.
                     _ => _ = stop.close(),
                 }
--- a/crates/larklink-proxy/src/metrics.rs
+++ b/crates/larklink-proxy/src/metrics.rs
@@ -106,8 +106,8 @@
         }
         self.refusing_all.fetch_add(1, Relaxed);
         let why = match (reason, self.known.load(Relaxed), self.skipped.load(Relaxed)) {
-            (EndReason::NoRoom, ..) => "no descriptors are left",
-            (EndReason::Stopped, ..) => "the proxy stops",
+            (EndReason::NoDescriptors, ..) => "no descriptors are left",
+            (EndReason::Shutdown, ..) => "the proxy stops",
             (_, 0, _) => "the list has no servers",
             (_, known, skipped) if skipped >= known => "each server drains, is silent or fails",
             _ => "the servers that may be dialled are full or cold, or dials are held back",
--- a/crates/larklink-proxy/src/pending.rs
+++ b/crates/larklink-proxy/src/pending.rs
@@ -108,12 +108,12 @@
             }
         };
         let reason = loop {
-            let order = async { orders.recv().await.ok().ok_or(EndReason::ClientLeft) };
+            let order = async { orders.recv().await.ok().ok_or(EndReason::ClientClosed) };
             let client_left = watch_client(&client.link.stream, &mut client.link.buffer, head.established);
             match order.or(client_left).or(self.last_call()).await {
                 // Only the first needs another descriptor: nothing has run.
                 Ok(SessionCommand::Connect { .. }) if !client.place.try_acquire_upstream() => {
-                    break EndReason::NoRoom;
+                    break EndReason::NoDescriptors;
                 }
                 Ok(SessionCommand::Connect {
                     attempt: number,
@@ -191,17 +191,17 @@
                     }
                 }
                 Ok(SessionCommand::Reject { retry_after }) => {
-                    refused(EndReason::Refused);
+                    refused(EndReason::Rejected);
                     match retry_after.div_ceil(10) {
                         0 => answer(client, "BUSY\r\n").await,
                         ms => answer(client, &format!("BUSY {ms}\r\n")).await,
                     }
-                    return EndReason::Refused;
+                    return EndReason::Rejected;
                 }
                 Ok(SessionCommand::Fail) => {
                     self.figures.record_answer(listener, FinalAnswer::Failed);
                     answer(client, "ERR\r\n").await;
-                    return EndReason::TornDown;
+                    return EndReason::Failed;
                 }
                 // Word on a dial that has ended meanwhile.
                 Ok(SessionCommand::LimitSendDeadline { .. } | SessionCommand::Migrate) => {}
@@ -210,11 +210,11 @@
         };
         self.queue.send(DecisionEvent::ClientLeft { session }).await;
         match reason {
-            EndReason::NoRoom | EndReason::Stopped if !may_have_run => {
+            EndReason::NoDescriptors | EndReason::Shutdown if !may_have_run => {
                 refused(reason);
                 answer(client, "BUSY\r\n").await;
             }
-            EndReason::BadLine | EndReason::NoRoom | EndReason::Stopped => {
+            EndReason::ProtocolError | EndReason::NoDescriptors | EndReason::Shutdown => {
                 self.figures.record_answer(listener, FinalAnswer::Failed);
                 answer(client, "ERR\r\n").await;
             }
@@ -240,9 +240,9 @@
         let stream = &*stream;
         let work = async {
             let Ok(SessionCommand::Connect { address: Some(address), .. }) = orders.recv().await else {
-                return Err(EndReason::TornDown);
+                return Err(EndReason::Failed);
             };
-            room.then_some(()).ok_or(EndReason::NoRoom)?;
+            room.then_some(()).ok_or(EndReason::NoDescriptors)?;
             self.limiter.evictions_done().await;
             loop {
                 let mut slices = [std::io::IoSlice::new(line)];
@@ -254,7 +254,7 @@
                     Ok(link) => return Ok(link),
                     // Once it may have run there, another would be a second copy.
                     Err(how) if !how.never_ran() || Instant::now() >= until => {
-                        return Err(EndReason::TornDown);
+                        return Err(EndReason::Failed);
                     }
                     Err(_) => Timer::after(STAND_AGAIN).await,
                 };
@@ -271,7 +271,7 @@
             }
             Err(reason) => {
                 self.queue.send(DecisionEvent::ClientLeft { session }).await;
-                if reason != EndReason::ClientLeft {
+                if reason != EndReason::ClientClosed {
                     self.figures.record_answer(listener, FinalAnswer::Failed);
                     answer(client, "ERR\r\n").await;
                 }
@@ -302,18 +302,18 @@
 ) -> Result<T, EndReason> {
     loop {
         if !inbox.bytes().is_empty() && !may_speak {
-            return Err(EndReason::BadLine);
+            return Err(EndReason::ProtocolError);
         }
         if inbox.is_full() {
             // What it says further waits in the kernel, and its end behind that: only asking tells of it.
             Timer::after(LOOK).await;
             if !waits_still(stream.get_ref(), may_speak) {
-                return Err(EndReason::ClientLeft);
+                return Err(EndReason::ClientClosed);
             }
             continue;
         }
         match read(stream, inbox).await {
-            Ok(0) | Err(_) => return Err(EndReason::ClientLeft),
+            Ok(0) | Err(_) => return Err(EndReason::ClientClosed),
             Ok(_) => {}
         }
     }
--- a/crates/larklink-proxy/src/relay.rs
+++ b/crates/larklink-proxy/src/relay.rs
@@ -130,7 +130,7 @@
         // One side is ended in the way that the other ended.
         match reason {
             EndReason::ClientReset => reset(&link.stream),
-            EndReason::ClientLeft => close(&link).await,
+            EndReason::ClientClosed => close(&link).await,
             EndReason::ServerReset => reset(&client.link.stream),
             // Both connections go on in the new process.
             EndReason::HandedOver => {}
@@ -169,7 +169,7 @@
             let more =
                 async { Ok(read(self.to_client, inbox).await) }.or(async { Err(self.overdue().await) });
             match more.await {
-                Ok(Ok(0)) => return (EndReason::ClientLeft, None),
+                Ok(Ok(0)) => return (EndReason::ClientClosed, None),
                 Ok(Ok(_)) => {}
                 Ok(Err(_)) => return (EndReason::ClientReset, None),
                 Err(end) => return end,
@@ -199,7 +199,7 @@
                 self.passed.set(0);
             }
             if inbox.is_full() {
-                return (EndReason::BadLine, Some(AttemptOutcome::Failed));
+                return (EndReason::ProtocolError, Some(AttemptOutcome::Failed));
             }
             // A server that has said its last may hold its connection open: its client need not wait for
             // that.
@@ -214,9 +214,9 @@
                 return (reason, None);
             }
             let reason = match (ended, last) {
-                (_, Some(AttemptOutcome::Succeeded)) => EndReason::ServerEnded,
-                (_, Some(_)) => EndReason::ServerMoved,
-                (Ok(_), None) => EndReason::ServerCut,
+                (_, Some(AttemptOutcome::Succeeded)) => EndReason::Completed,
+                (_, Some(_)) => EndReason::ServerMigrated,
+                (Ok(_), None) => EndReason::ServerClosed,
                 (Err(_), None) => EndReason::ServerReset,
             };
             return (reason, last.or(Some(AttemptOutcome::Reset)));
@@ -243,7 +243,7 @@
         while !bytes.is_empty() {
             self.writing.set(Some(Instant::now()));
             let n = with_timeout(UNREAD, to_client.write(bytes)).await.map_err(|e| match e.kind() {
-                ErrorKind::TimedOut => EndReason::ClientStuck,
+                ErrorKind::TimedOut => EndReason::ClientWriteTimeout,
                 _ => EndReason::ClientReset,
             })?;
             bytes = &bytes[n..];
@@ -297,7 +297,7 @@
         let order = async {
             while let Ok(order) = orders.recv().await {
                 if order == SessionCommand::Migrate {
-                    return EndReason::Moved;
+                    return EndReason::Migrated;
                 }
             }
             future::pending().await
@@ -314,7 +314,7 @@
                 }
                 Timer::after(LOOK).await;
             }
-            EndReason::Stopped
+            EndReason::Shutdown
         };
         match order.or(stop).await {
             EndReason::HandedOver => (EndReason::HandedOver, None),
@@ -330,7 +330,7 @@
         while let Some(at) = oldest() {
             if let Some(since) = self.writing.get() {
                 if since.elapsed() >= SILENCE {
-                    return (EndReason::ClientStuck, None);
+                    return (EndReason::ClientWriteTimeout, None);
                 }
                 Timer::at((since + SILENCE).min(Instant::now() + doubt)).await;
                 continue;
@@ -350,8 +350,8 @@
             } else if from.elapsed() < SILENCE {
                 Timer::at(from + SILENCE).await;
             } else {
-                let reason = self.send_away(EndReason::Silent).await;
-                return (reason, (reason == EndReason::Silent).then_some(AttemptOutcome::Reset));
+                let reason = self.send_away(EndReason::Unresponsive).await;
+                return (reason, (reason == EndReason::Unresponsive).then_some(AttemptOutcome::Reset));
             }
         }
         // Nothing is out: it is asked again with the next line.
@@ -362,7 +362,7 @@
         let started = Instant::now();
         while self.writing.get().is_some() {
             if started.elapsed() >= STUCK {
-                return EndReason::ClientStuck;
+                return EndReason::ClientWriteTimeout;
             }
             Timer::after(STUCK / 100).await;
         }
@@ -374,7 +374,7 @@
         let mut to_client = self.to_client;
         match with_timeout(STUCK, to_client.write_all(b"MOVE\r\n")).await {
             Ok(()) => reason,
-            Err(_) => EndReason::ClientStuck,
+            Err(_) => EndReason::ClientWriteTimeout,
         }
     }
 }
--- a/crates/larklink-proxy/src/reload.rs
+++ b/crates/larklink-proxy/src/reload.rs
@@ -1,5 +1,5 @@
-//! Reads the configuration anew. Only the address of discovery is taken over from it: the list is followed
-//! there from then on, and sessions go on untouched. All else needs a restart, and the log says so.
+//! Reload of the configuration while the proxy runs. Only the address of discovery is applied; sessions are untouched.
+//! Everything else needs a restart, and the log says so where it differs.
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -7,32 +7,42 @@
 
 use crate::config::Config;
 
-pub struct Reload {
+/// Reads the configuration file again on request.
+pub struct ConfigReloader {
     path: PathBuf,
-    /// What the proxy runs by.
-    config: Config,
-    to: Sender<SocketAddr>,
+    /// The configuration that the proxy runs with.
+    running: Config,
+    discovery: Sender<SocketAddr>,
 }
 
-impl Reload {
-    /// The channel holds one address: if several come at once, the last counts.
-    pub fn new(path: PathBuf, config: Config, to: Sender<SocketAddr>) -> Self {
-        Self { path, config, to }
+impl ConfigReloader {
+    /// A reloader that sends the address of discovery to a channel with room for one: of several reloads the last counts.
+    pub fn new(path: PathBuf, running: Config, discovery: Sender<SocketAddr>) -> Self {
+        Self { path, running, discovery }
     }
 
-    /// A file that cannot be read leaves all as it was.
-    pub fn again(&mut self) {
+    /// Reads the file and applies it. One that cannot be read is logged and changes nothing.
+    pub fn reload(&self) {
         let new = match Config::read(&self.path) {
             Ok(new) => new,
-            Err(wrong) => return tracing::warn!("the configuration stands as it was: {wrong}"),
+            Err(error) => {
+                tracing::warn!(%error, "configuration not reloaded");
+                return;
+            }
         };
-        let old = &self.config;
-        if (&new.name, new.listen, &new.limits, &new.settings)
-            != (&old.name, old.listen, &old.limits, &old.settings)
-        {
-            tracing::warn!("of the new configuration only discovery counts before a restart");
+        if self.needs_restart(&new) {
+            tracing::warn!("configuration changes other than discovery need a restart");
         }
-        tracing::info!(discovery = %new.discovery, "reloads");
-        let _ = self.to.force_send(new.discovery);
+        tracing::info!(discovery = %new.discovery, "configuration reloaded");
+        // It only fails when the proxy is about to exit.
+        let _ = self.discovery.force_send(new.discovery);
+    }
+
+    fn needs_restart(&self, new: &Config) -> bool {
+        let running = &self.running;
+        new.name != running.name
+            || new.listen != running.listen
+            || new.limits != running.limits
+            || new.settings != running.settings
     }
 }
--- a/crates/larklink-proxy/tests/admin.rs
+++ b/crates/larklink-proxy/tests/admin.rs
@@ -143,19 +143,19 @@
     let dial = |ms: u64| figures.record_attempt_started(began + Duration::from_millis(ms));
     // A dial in between, too few, too short a time, or a pause in which nothing came: none of these.
     let lines = logged(|| {
-        (0..5).for_each(|n| refuse(n * 900, EndReason::Refused));
+        (0..5).for_each(|n| refuse(n * 900, EndReason::Rejected));
         dial(4000);
-        (0..9).for_each(|n| refuse(5000 + n * 500, EndReason::Refused));
+        (0..9).for_each(|n| refuse(5000 + n * 500, EndReason::Rejected));
         dial(9500);
-        (0..50).for_each(|n| refuse(10_000 + n * 79, EndReason::Refused));
-        refuse(18_000, EndReason::Refused);
+        (0..50).for_each(|n| refuse(10_000 + n * 79, EndReason::Rejected));
+        refuse(18_000, EndReason::Rejected);
     });
     assert_eq!((refusals(&figures), lines.len()), ((65, 0), 0), "{lines:?}");
     // Nothing but refusals, and once it has been said also after a pause.
     figures.set_endpoints(9, 4);
     let lines = logged(|| {
-        (1..=20).for_each(|n| refuse(18_000 + n * 400, EndReason::Refused));
-        refuse(40_000, EndReason::NoRoom);
+        (1..=20).for_each(|n| refuse(18_000 + n * 400, EndReason::Rejected));
+        refuse(40_000, EndReason::NoDescriptors);
         dial(41_000);
         dial(42_000);
     });
@@ -165,17 +165,17 @@
         lines,
         [
             format!(
-                r#"WARN larklink_proxy::metrics: refuses all that comes reason=refused why="{why}" sessions=11 ms=4000"#
+                r#"WARN larklink_proxy::metrics: refuses all that comes reason=rejected why="{why}" sessions=11 ms=4000"#
             ),
             "INFO larklink_proxy::metrics: no longer refuses all that comes sessions=22 ms=23000".to_owned(),
         ]
     );
     // The reason goes by what is seen then.
     for (known, skipped, reason, why) in [
-        (0, 0, EndReason::Refused, "the list has no servers"),
-        (9, 9, EndReason::Refused, "each server drains, is silent or fails"),
-        (9, 9, EndReason::NoRoom, "no descriptors are left"),
-        (9, 9, EndReason::Stopped, "the proxy stops"),
+        (0, 0, EndReason::Rejected, "the list has no servers"),
+        (9, 9, EndReason::Rejected, "each server drains, is silent or fails"),
+        (9, 9, EndReason::NoDescriptors, "no descriptors are left"),
+        (9, 9, EndReason::Shutdown, "the proxy stops"),
     ] {
         figures.set_endpoints(known, skipped);
         let lines = logged(|| (0..20).for_each(|n| refuse(50_000 + n * 400, reason)));
--- a/crates/larklink-proxy/tests/line_fixtures.rs
+++ b/crates/larklink-proxy/tests/line_fixtures.rs
@@ -38,7 +38,7 @@
     let now = std::time::Instant::now();
     for n in 0..11 {
         let at = now + std::time::Duration::from_millis(n * 400);
-        figures.record_rejection_without_attempt(larklink_proxy::log::EndReason::Refused, at);
+        figures.record_rejection_without_attempt(larklink_proxy::log::EndReason::Rejected, at);
     }
     figures
 }
--- a/crates/larklink-proxy/tests/reload.rs
+++ b/crates/larklink-proxy/tests/reload.rs
@@ -55,7 +55,7 @@
     {
         std::fs::write(&path, text).unwrap();
         program.hang_up();
-        let said = log.find(|l| l.contains("WARN the configuration stands as it was")).unwrap();
+        let said = log.find(|l| l.contains("WARN configuration not reloaded")).unwrap();
         assert!(said.contains(place), "{said}");
     }
     std::fs::write(&path, zone("1")).unwrap();
