--- a/crates/larklink-proxy/src/events.rs
+++ b/crates/larklink-proxy/src/events.rs
@@ -11,6 +11,9 @@
 /// The most events that wait in the queue; whoever sends a further one waits until there is space.
 pub const QUEUE_CAPACITY: usize = 1024;
 
+/// The most commands that wait for a session: an attempt, a limit of it and a migration.
+pub const COMMAND_CAPACITY: usize = 4;
+
 /// What a socket task tells the decision task.
 #[derive(Debug)]
 pub enum DecisionEvent {
--- a/crates/larklink-proxy/src/lib.rs
+++ b/crates/larklink-proxy/src/lib.rs
@@ -1,7 +1,6 @@
 //! A proxy for long-lived connections on sockets, round the larklink decisions. One thread runs it all; one
 //! task owns the decisions (`decisions`), and every other reaches them through its queue only.
 pub mod admin;
-pub mod clients;
 pub mod clock;
 pub mod config;
 pub mod connection;
@@ -13,10 +12,9 @@
 pub mod limiter;
 pub mod log;
 pub mod metrics;
-mod pending;
 pub mod protocol;
 pub mod proxy;
-mod relay;
 pub mod reload;
+pub mod session;
 pub mod timeout;
 pub mod upstream;
--- a/crates/larklink-proxy/src/proxy.rs
+++ b/crates/larklink-proxy/src/proxy.rs
@@ -1,5 +1,4 @@
 //! Puts a proxy together: takes connections in, and stops in good order.
-use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -14,7 +13,6 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::admin;
-use crate::clients::{self, SessionContext};
 use crate::clock::to_duration;
 use crate::config::Config;
 use crate::decision_task::DecisionTask;
@@ -25,6 +23,10 @@
 use crate::handover::successor::HandoverServer;
 use crate::limiter::ConnectionLimiter;
 use crate::metrics::Metrics;
+use crate::session::context::SessionContext;
+use crate::session::handler;
+use crate::session::registry::SessionRegistry;
+use crate::session::shutdown::Shutdown;
 use crate::upstream::health_check::HealthChecker;
 
 /// Descriptors kept for the listener, discovery, logs, the event loop and one handover, and for a connection that is
@@ -100,18 +102,15 @@
     let (open, closed) = async_channel::bounded(1);
     let front = Rc::new(SessionContext {
         queue: queue.clone(),
-        figures: Arc::clone(&figures),
+        metrics: Arc::clone(&figures),
         listeners: facts.listeners,
         connect_timeout: to_duration(facts.settings.connect_timeout),
-        passes: facts.passes,
-        chance: chance(2).into(),
-        stop: stop.clone(),
-        closed,
-        last: STILL_COMING + to_duration(facts.longest).min(LONGEST),
-        stopped: Cell::new(None),
-        next: Cell::new(0),
+        passthrough: facts.passes,
+        rng: chance(2).into(),
+        listener_closed: closed,
+        shutdown: Shutdown::new(stop.clone(), STILL_COMING + to_duration(facts.longest).min(LONGEST)),
         limiter: Rc::clone(&limiter),
-        open: RefCell::default(),
+        sessions: SessionRegistry::default(),
         successor: Rc::default(),
     });
     let (taking, turns) = async_channel::bounded(1);
@@ -126,8 +125,8 @@
     // While an old process takes connections, this one does not.
     let mut takes = old.is_none();
     let admit = |stream| match front.limiter.try_acquire() {
-        Some(place) => executor.spawn(clients::serve(Rc::clone(&front), stream, place)).detach(),
-        None => clients::turn_away(&stream),
+        Some(place) => executor.spawn(handler::handle(Rc::clone(&front), stream, place)).detach(),
+        None => handler::reject_connection(&stream),
     };
     let accept = async {
         let mut at_once = 0;
@@ -166,7 +165,7 @@
     };
     let inherit = async {
         while let Ok(session) = sessions.recv().await {
-            executor.spawn(clients::inherit(Rc::clone(&front), session)).detach();
+            executor.spawn(handler::resume(Rc::clone(&front), session)).detach();
         }
         future::pending().await
     };
@@ -207,7 +206,7 @@
     let stopped = async {
         let _ = stop.recv().or(serve).await;
         figures.set_ready(false);
-        front.until();
+        front.shutdown.deadline();
         // None comes any more where a new process takes them.
         if !front.successor.is_present() {
             Timer::after(STILL_COMING).await;
@@ -225,7 +224,7 @@
     if let Some(handover) = &handover {
         handover.close_listener();
     }
-    let until = front.until();
+    let until = front.shutdown.deadline();
     // Where packets pass through, too: they go on through this proxy until those in front send them elsewhere.
     while Rc::strong_count(&front) > 1 && Instant::now() < until {
         Timer::after(LOOK).await;
--- /dev/null
+++ b/crates/larklink-proxy/src/session/connect.rs
@@ -0,0 +1,221 @@
+//! A session that waits for its answer: it is sent to the endpoints that the decisions choose until one accepts it, or is
+//! answered without.
+use std::cell::Cell;
+use std::convert::Infallible;
+use std::net::SocketAddr;
+use std::time::Instant;
+
+use async_channel::Receiver;
+use futures_lite::FutureExt;
+use larklink_balancer::{AttemptOutcome, TickDuration};
+use larklink_engine::engine::{AttemptNumber, EndpointId};
+
+use super::client::{BUSY, Client, ERR};
+use super::client_watch::{is_waiting, watch_client};
+use super::context::SessionContext;
+use super::reconnect;
+use super::relay::{self, EstablishedAt};
+use super::request::Request;
+use super::send_permit::SendPermit;
+use crate::clock::to_ticks;
+use crate::connection::Connection;
+use crate::events::{COMMAND_CAPACITY, DecisionEvent, SessionCommand};
+use crate::log::EndReason;
+use crate::metrics::FinalAnswer;
+use crate::protocol::with_dial_timeout;
+use crate::upstream::attempt::Attempt;
+
+/// Ticks of the decisions' clock in a millisecond.
+const TICKS_PER_MILLISECOND: TickDuration = 10;
+
+/// Runs a session to its end.
+pub(super) async fn run(context: &SessionContext, client: &mut Client, request: &Request<'_>) -> EndReason {
+    let mut session_request = request.to_session_request();
+    if context.shutdown.is_requested() {
+        // It must have its answer before this process ends.
+        let remaining = context.shutdown.last_answer_at().saturating_duration_since(client.received_at);
+        session_request.dial_timeout = session_request.dial_timeout.min(to_ticks(remaining));
+    }
+    if let Some(name) = request.open_line.endpoint_name {
+        return reconnect::run(context, client, request, session_request, name).await;
+    }
+    let (sender, commands) = async_channel::bounded(COMMAND_CAPACITY);
+    let open = DecisionEvent::OpenSession {
+        session: request.session,
+        received_at: client.received_at,
+        request: session_request,
+        commands: sender,
+    };
+    context.queue.send(open).await;
+    let pending = PendingSession {
+        context,
+        client,
+        request,
+        commands,
+        may_have_run: false,
+        has_connected: Cell::new(false),
+    };
+    pending.run().await
+}
+
+/// A command to connect.
+struct ConnectCommand {
+    attempt: AttemptNumber,
+    endpoint: EndpointId,
+    address: Option<SocketAddr>,
+    deadline: Instant,
+    send_deadline: Instant,
+}
+
+/// A session that waits for its answer.
+struct PendingSession<'a> {
+    context: &'a SessionContext,
+    client: &'a mut Client,
+    request: &'a Request<'a>,
+    commands: Receiver<SessionCommand>,
+    /// Whether an attempt may have run the session at its endpoint.
+    may_have_run: bool,
+    /// Whether any attempt has begun to connect.
+    has_connected: Cell<bool>,
+}
+
+impl PendingSession<'_> {
+    async fn run(mut self) -> EndReason {
+        loop {
+            match self.next_command().await {
+                // Only the first attempt needs another descriptor: nothing has run.
+                Ok(SessionCommand::Connect { .. }) if !self.client.permit.try_acquire_upstream() => {
+                    return self.abandon(EndReason::NoDescriptors).await;
+                }
+                Ok(SessionCommand::Connect { attempt, endpoint, address, deadline, send_deadline }) => {
+                    let command = ConnectCommand { attempt, endpoint, address, deadline, send_deadline };
+                    match self.attempt(&command).await {
+                        Ok(Ok(connection)) => return self.establish(&command, connection).await,
+                        Ok(Err(outcome)) => self.report_attempt(attempt, outcome).await,
+                        Err(reason) => return self.abandon(reason).await,
+                    }
+                }
+                Ok(SessionCommand::Reject { retry_after }) => return self.reject(retry_after).await,
+                Ok(SessionCommand::Fail) => return self.fail().await,
+                // About an attempt that has ended meanwhile.
+                Ok(SessionCommand::LimitSendDeadline { .. } | SessionCommand::Migrate) => {}
+                Err(reason) => return self.abandon(reason).await,
+            }
+        }
+    }
+
+    /// The next command; or why the session ends before it comes.
+    async fn next_command(&mut self) -> Result<SessionCommand, EndReason> {
+        let command = async { self.commands.recv().await.map_err(|_| EndReason::ClientClosed) };
+        let Connection { stream, buffer } = &mut self.client.connection;
+        let client_left = watch_client(stream, buffer, self.request.open_line.established);
+        command.or(client_left).or(self.context.shutdown.last_answer_due()).await
+    }
+
+    /// Makes an attempt: the connection if it was accepted, else its outcome; or why the session ends meanwhile.
+    async fn attempt(
+        &mut self,
+        command: &ConnectCommand,
+    ) -> Result<Result<Connection, AttemptOutcome>, EndReason> {
+        let context = self.context;
+        let remaining = command.deadline.saturating_duration_since(Instant::now());
+        let dial_timeout_ms = remaining.as_millis().max(1).to_string();
+        let open_line = &self.request.open_line;
+        let mut line = with_dial_timeout(self.request.line, &open_line.dial_timeout_range, &dial_timeout_ms);
+        let permit = SendPermit::new(command.attempt, command.send_deadline, command.deadline);
+        let Connection { stream, buffer } = &mut self.client.connection;
+        let stream = &*stream;
+        // The reactor need not have noticed yet that the client has left: while its line was read, while the session waited
+        // in a queue, or during an earlier attempt.
+        let is_client_waiting = || is_waiting(stream.get_ref(), open_line.established);
+        let may_connect = || {
+            let connects = is_client_waiting();
+            self.has_connected.set(self.has_connected.get() || connects);
+            connects
+        };
+        let may_send = || is_client_waiting() && permit.try_use();
+        let send = async {
+            context.limiter.evictions_done().await;
+            let Some(address) = command.address else { return Ok(Err(AttemptOutcome::ConnectFailed)) };
+            let attempt = Attempt {
+                address,
+                deadline: command.deadline,
+                connect_timeout: context.connect_timeout,
+                metrics: &context.metrics,
+            };
+            Ok(attempt.send(&mut line, may_connect, may_send).await)
+        };
+        let expired = async { Ok(Err(permit.expired(&self.commands).await)) };
+        let client_left = watch_client(stream, buffer, open_line.established);
+        let result = expired.or(client_left).or(send).or(context.shutdown.last_answer_due()).await;
+        let never_ran = matches!(&result, Ok(Err(outcome)) if outcome.never_ran());
+        self.may_have_run |= permit.is_used() && !never_ran;
+        match result {
+            Ok(Err(AttemptOutcome::NotSent)) if !is_client_waiting() => {
+                let Err(reason) = watch_client::<Infallible>(stream, buffer, open_line.established).await;
+                Err(reason)
+            }
+            result => result,
+        }
+    }
+
+    async fn report_attempt(&self, attempt: AttemptNumber, outcome: AttemptOutcome) {
+        let ended = DecisionEvent::AttemptEnded {
+            session: self.request.session,
+            attempt,
+            outcome,
+            session_over: false,
+        };
+        self.context.queue.send(ended).await;
+    }
+
+    /// Relays the session after an endpoint has accepted it.
+    async fn establish(self, command: &ConnectCommand, connection: Connection) -> EndReason {
+        let Self { context, client, request, commands, .. } = self;
+        context.metrics.record_answer(request.listener, FinalAnswer::Accepted);
+        let (session, attempt) = (request.session, command.attempt);
+        context.queue.send(DecisionEvent::Established { session, attempt }).await;
+        let established = EstablishedAt::new(session, attempt, command.endpoint, request.line);
+        relay::run(context, established, client, connection, &commands).await
+    }
+
+    async fn reject(&mut self, retry_after: TickDuration) -> EndReason {
+        let reason = EndReason::Rejected;
+        self.record_rejection(reason);
+        match retry_after.div_ceil(TICKS_PER_MILLISECOND) {
+            0 => self.client.answer(BUSY).await,
+            milliseconds => self.client.answer(&format!("BUSY {milliseconds}\r\n")).await,
+        }
+        reason
+    }
+
+    async fn fail(&mut self) -> EndReason {
+        self.context.metrics.record_answer(self.request.listener, FinalAnswer::Failed);
+        self.client.answer(ERR).await;
+        EndReason::Failed
+    }
+
+    /// Ends the session before the decisions have answered it.
+    async fn abandon(&mut self, reason: EndReason) -> EndReason {
+        self.context.queue.send(DecisionEvent::ClientLeft { session: self.request.session }).await;
+        match reason {
+            EndReason::NoDescriptors | EndReason::Shutdown if !self.may_have_run => {
+                self.record_rejection(reason);
+                self.client.answer(BUSY).await;
+            }
+            EndReason::ProtocolError | EndReason::NoDescriptors | EndReason::Shutdown => {
+                self.fail().await;
+            }
+            _ => {}
+        }
+        reason
+    }
+
+    fn record_rejection(&self, reason: EndReason) {
+        let metrics = &self.context.metrics;
+        metrics.record_answer(self.request.listener, FinalAnswer::Rejected);
+        if !self.has_connected.get() {
+            metrics.record_rejection_without_attempt(reason, Instant::now());
+        }
+    }
+}
--- /dev/null
+++ b/crates/larklink-proxy/src/session/request.rs
@@ -0,0 +1,35 @@
+//! A session's first line, validated.
+use larklink_balancer::{SessionRequest, TickDuration};
+use larklink_engine::engine::SessionId;
+
+use crate::protocol::OpenLine;
+
+/// Ticks of the decisions' clock in a millisecond.
+const TICKS_PER_MILLISECOND: TickDuration = 10;
+
+/// A session that a client has requested.
+pub(super) struct Request<'a> {
+    /// Its number in this process.
+    pub(super) session: SessionId,
+    /// Its first line, with the CRLF.
+    pub(super) line: &'a [u8],
+    /// What that says.
+    pub(super) open_line: OpenLine<'a>,
+    /// The index of its listener.
+    pub(super) listener: usize,
+}
+
+impl Request<'_> {
+    /// The request in the decisions' terms.
+    pub(super) fn to_session_request(&self) -> SessionRequest {
+        SessionRequest {
+            listener: self.listener,
+            group_key: self.open_line.group_key,
+            client_key: self.open_line.client_key,
+            dial_timeout: self.open_line.dial_timeout_ms.saturating_mul(TICKS_PER_MILLISECOND),
+            established: self.open_line.established,
+            reconnecting: self.open_line.reconnecting,
+            client_retry: self.open_line.client_retry,
+        }
+    }
+}
--- /dev/null
+++ b/crates/larklink-proxy/src/session/send_permit.rs
@@ -0,0 +1,68 @@
+//! The permission to send an attempt's first byte, which may be withdrawn while its connection comes up.
+use std::cell::Cell;
+use std::time::Instant;
+
+use async_channel::Receiver;
+use async_io::Timer;
+use futures_lite::{FutureExt, future};
+use larklink_balancer::AttemptOutcome;
+use larklink_engine::engine::AttemptNumber;
+
+use crate::events::SessionCommand;
+
+/// Until when the first byte of an attempt may be sent. A watch event about its endpoint may bring that forward.
+pub(super) struct SendPermit {
+    attempt: AttemptNumber,
+    send_deadline: Cell<Instant>,
+    /// When the attempt times out.
+    attempt_deadline: Instant,
+    used: Cell<bool>,
+}
+
+impl SendPermit {
+    /// A permit for an attempt.
+    pub(super) fn new(attempt: AttemptNumber, send_deadline: Instant, attempt_deadline: Instant) -> Self {
+        Self { attempt, send_deadline: Cell::new(send_deadline), attempt_deadline, used: Cell::new(false) }
+    }
+
+    /// Uses the permit; whether the first byte may be sent now.
+    pub(super) fn try_use(&self) -> bool {
+        self.used.set(Instant::now() <= self.send_deadline.get());
+        self.used.get()
+    }
+
+    /// Whether the first byte was allowed to be sent.
+    pub(super) fn is_used(&self) -> bool {
+        self.used.get()
+    }
+
+    /// Follows the commands about the attempt; resolves when the permit expires unused, so that the session is retried at
+    /// once and not when the connection comes up.
+    pub(super) async fn expired(&self, commands: &Receiver<SessionCommand>) -> AttemptOutcome {
+        loop {
+            let command = async {
+                match commands.recv().await {
+                    Ok(command) => Some(command),
+                    Err(_) => future::pending().await,
+                }
+            };
+            let expiry = async {
+                if self.send_deadline.get() >= self.attempt_deadline {
+                    return future::pending().await;
+                }
+                Timer::at(self.send_deadline.get()).await;
+                None
+            };
+            match command.or(expiry).await {
+                Some(SessionCommand::LimitSendDeadline { attempt, send_deadline })
+                    if attempt == self.attempt =>
+                {
+                    self.send_deadline.set(send_deadline.min(self.send_deadline.get()));
+                }
+                Some(_) => {}
+                None if self.used.get() => return future::pending().await,
+                None => return AttemptOutcome::NotSent,
+            }
+        }
+    }
+}
