--- a/crates/larklink-proxy/src/discovery/http.rs
+++ b/crates/larklink-proxy/src/discovery/http.rs
@@ -1,109 +1,173 @@
-//! Reads the HTTP responses of the discovery service.
-use std::io::{Error, ErrorKind, Result};
+//! Reads the HTTP responses of discovery: one response with an endpoint list in JSON, with or without chunks. Pure.
+use std::num::ParseIntError;
+use std::ops::Range;
+
+use httparse::Status;
+use thiserror::Error;
 
 use crate::endpoint_list::EndpointList;
 
-const LONGEST_HEAD: usize = 16 << 10;
-/// Some 4,000 servers, or 2,000 where each stands on lines of its own.
-const LONGEST_BODY: usize = 1 << 20;
+const MAX_HEAD_BYTES: usize = 16 << 10;
+const MAX_HEADERS: usize = 32;
+/// A list of some 4,000 endpoints, or of 2,000 in indented JSON.
+const MAX_BODY_BYTES: usize = 1 << 20;
+const CRLF_BYTES: usize = 2;
+
+/// Why a response cannot be used.
+#[derive(Debug, Error)]
+pub enum ResponseError {
+    /// The head is not HTTP.
+    #[error("{0}")]
+    Head(httparse::Error),
+    /// The head is not complete within the limit.
+    #[error("the head is too long")]
+    HeadTooLong,
+    /// The status is not 200.
+    #[error("status {0}")]
+    Status(u16),
+    /// There is neither a length nor chunks.
+    #[error("no length")]
+    NoLength,
+    /// The length is not a number.
+    #[error("{0}")]
+    BadLength(ParseIntError),
+    /// The body is over the limit.
+    #[error("the body is too long")]
+    BodyTooLong,
+    /// A chunk does not begin with its size.
+    #[error("a chunk without a size")]
+    BadChunkSize,
+    /// The body is not an endpoint list.
+    #[error("{0}")]
+    Body(serde_json::Error),
+}
 
-fn bad(text: impl ToString) -> Error {
-    Error::new(ErrorKind::InvalidData, text.to_string())
+/// A complete response.
+#[derive(Debug)]
+pub struct Response {
+    /// What it says.
+    pub list: EndpointList,
+    /// Whether the server keeps the connection open.
+    pub keep_alive: bool,
+    /// Its length in bytes, head included.
+    pub length: usize,
 }
 
-/// An answer as it comes, piece by piece: what was read of it is not gone over again, but for an unfinished head.
+/// Reads a response from a growing buffer. Only an incomplete head is read again when more has arrived.
 #[derive(Default)]
 pub struct ResponseReader {
-    keep: bool,
-    body: Option<Body>,
+    head: Option<Head>,
+}
+
+struct Head {
+    keep_alive: bool,
+    body: Body,
 }
 
-/// How the body comes, and how far it was read.
+/// How the body is delimited, and how far it was read.
 enum Body {
-    /// From the first of these bytes to the other.
-    Plain(usize, usize),
-    /// What the chunks before this byte held.
-    Chunked(usize, Vec<u8>),
+    /// It fills these bytes.
+    Plain(Range<usize>),
+    Chunked(ChunkedBody),
+}
+
+struct ChunkedBody {
+    /// Where the next chunk begins.
+    next_chunk: usize,
+    /// The content of the chunks before it.
+    content: Vec<u8>,
 }
 
 impl ResponseReader {
-    /// From all bytes that have come so far: the list, whether the connection may be kept, and how many bytes it took;
-    /// nothing if more must come.
+    /// Reads from all bytes that have arrived so far; returns none while the response is incomplete.
     ///
     /// # Errors
-    /// It is no answer with a list, or longer than one may be.
-    pub fn read(&mut self, bytes: &[u8]) -> Result<Option<(EndpointList, bool, usize)>> {
-        if self.body.is_none() && !self.head(bytes)? {
-            return Ok(None);
+    /// The response cannot be used.
+    pub fn read(&mut self, bytes: &[u8]) -> Result<Option<Response>, ResponseError> {
+        if self.head.is_none() {
+            self.head = Head::parse(bytes)?;
         }
-        let (list, used) = match &mut self.body {
-            Some(Body::Plain(start, end)) => match bytes.get(*start..*end) {
-                Some(body) => (serde_json::from_slice(body)?, *end),
+        let Some(head) = &mut self.head else { return Ok(None) };
+        let (content, length) = match &mut head.body {
+            Body::Plain(range) => match bytes.get(range.clone()) {
+                Some(content) => (content, range.end),
                 None => return Ok(None),
             },
-            Some(Body::Chunked(at, body)) => {
-                if !chunks(bytes, at, body)? {
+            Body::Chunked(body) => {
+                if !body.read(bytes)? {
                     return Ok(None);
                 }
-                (serde_json::from_slice(body)?, *at)
+                (&*body.content, body.next_chunk)
             }
-            None => return Ok(None),
         };
-        Ok(Some((list, self.keep, used)))
+        let list = serde_json::from_slice(content).map_err(ResponseError::Body)?;
+        Ok(Some(Response { list, keep_alive: head.keep_alive, length }))
     }
+}
 
-    /// Reads the head: whether it is whole.
-    fn head(&mut self, bytes: &[u8]) -> Result<bool> {
-        let mut headers = [httparse::EMPTY_HEADER; 32];
-        let mut head = httparse::Response::new(&mut headers);
-        let start = match head.parse(bytes).map_err(bad)? {
-            httparse::Status::Complete(start) => start,
-            httparse::Status::Partial if bytes.len() > LONGEST_HEAD => {
-                return Err(bad("the head is too long"));
-            }
-            httparse::Status::Partial => return Ok(false),
+impl Head {
+    /// Parses a head; none while it is incomplete.
+    fn parse(bytes: &[u8]) -> Result<Option<Self>, ResponseError> {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let mut response = httparse::Response::new(&mut headers);
+        let length = match response.parse(bytes).map_err(ResponseError::Head)? {
+            Status::Complete(length) => length,
+            Status::Partial if bytes.len() > MAX_HEAD_BYTES => return Err(ResponseError::HeadTooLong),
+            Status::Partial => return Ok(None),
         };
-        if head.code != Some(200) {
-            return Err(bad(format!("status {}", head.code.unwrap_or(0))));
+        if response.code != Some(200) {
+            return Err(ResponseError::Status(response.code.unwrap_or(0)));
         }
-        let header = |name: &str| {
-            let found = head.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
-            found.and_then(|h| std::str::from_utf8(h.value).ok()).map(str::trim)
-        };
-        self.keep = header("connection").is_none_or(|v| !v.eq_ignore_ascii_case("close"));
-        let chunked = header("transfer-encoding").is_some_and(|v| v.eq_ignore_ascii_case("chunked"));
-        self.body = Some(if chunked {
-            Body::Chunked(start, Vec::new())
-        } else {
-            let length = header("content-length").ok_or_else(|| bad("no length"))?;
-            let length: usize = length.parse().map_err(bad)?;
-            if length > LONGEST_BODY {
-                return Err(bad("the body is too long"));
-            }
-            Body::Plain(start, start + length)
-        });
-        Ok(true)
+        let connection = header(&response, "connection");
+        Ok(Some(Self {
+            keep_alive: connection.is_none_or(|value| !value.eq_ignore_ascii_case("close")),
+            body: Body::new(&response, length)?,
+        }))
     }
 }
 
-/// Reads whole chunks from a byte on: whether the last one is among them.
-fn chunks(bytes: &[u8], at: &mut usize, body: &mut Vec<u8>) -> Result<bool> {
-    loop {
-        let (digits, size) = match httparse::parse_chunk_size(&bytes[*at..]) {
-            Ok(httparse::Status::Complete(found)) => found,
-            Ok(httparse::Status::Partial) => return Ok(false),
-            Err(_) => return Err(bad("a chunk without a size")),
-        };
-        let size = usize::try_from(size).unwrap_or(usize::MAX);
-        if size > LONGEST_BODY - body.len().min(LONGEST_BODY) {
-            return Err(bad("the body is too long"));
+impl Body {
+    /// The body that a head announces, which begins at `start`.
+    fn new(head: &httparse::Response<'_, '_>, start: usize) -> Result<Self, ResponseError> {
+        let encoding = header(head, "transfer-encoding");
+        if encoding.is_some_and(|value| value.eq_ignore_ascii_case("chunked")) {
+            return Ok(Self::Chunked(ChunkedBody { next_chunk: start, content: Vec::new() }));
+        }
+        let length = header(head, "content-length").ok_or(ResponseError::NoLength)?;
+        let length: usize = length.parse().map_err(ResponseError::BadLength)?;
+        if length > MAX_BODY_BYTES {
+            return Err(ResponseError::BodyTooLong);
         }
-        let from = *at + digits;
-        let Some(chunk) = bytes.get(from..from + size + 2) else { return Ok(false) };
-        body.extend_from_slice(&chunk[..size]);
-        *at = from + size + 2;
-        if size == 0 {
-            return Ok(true);
+        Ok(Self::Plain(start..start + length))
+    }
+}
+
+impl ChunkedBody {
+    /// Reads all complete chunks; returns whether the last one is among them.
+    fn read(&mut self, bytes: &[u8]) -> Result<bool, ResponseError> {
+        loop {
+            let (size_line_length, size) = match httparse::parse_chunk_size(&bytes[self.next_chunk..]) {
+                Ok(Status::Complete(found)) => found,
+                Ok(Status::Partial) => return Ok(false),
+                Err(_) => return Err(ResponseError::BadChunkSize),
+            };
+            let size = usize::try_from(size).unwrap_or(usize::MAX);
+            if size > MAX_BODY_BYTES.saturating_sub(self.content.len()) {
+                return Err(ResponseError::BodyTooLong);
+            }
+            let start = self.next_chunk + size_line_length;
+            let end = start + size + CRLF_BYTES;
+            let Some(chunk) = bytes.get(start..end) else { return Ok(false) };
+            self.content.extend_from_slice(&chunk[..size]);
+            self.next_chunk = end;
+            if size == 0 {
+                return Ok(true);
+            }
         }
     }
 }
+
+fn header<'a>(head: &httparse::Response<'_, 'a>, name: &str) -> Option<&'a str> {
+    let found = head.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name))?;
+    std::str::from_utf8(found.value).ok().map(str::trim)
+}
--- a/crates/larklink-proxy/src/discovery/mod.rs
+++ b/crates/larklink-proxy/src/discovery/mod.rs
@@ -1,6 +1,8 @@
 //! Follows the endpoint list at the discovery service.
 mod client;
 pub mod http;
+mod poll;
 pub mod schedule;
+mod watch_state;
 
 pub use client::follow;
--- a/crates/larklink-proxy/src/discovery/schedule.rs
+++ b/crates/larklink-proxy/src/discovery/schedule.rs
@@ -1,4 +1,7 @@
-//! When the endpoint list is polled, and how long a poll may take.
+//! When the endpoint list is polled again, and how long a poll may take. Pure.
+//!
+//! Polls are long polls: discovery holds its response until the list changes or a wait that the request names has
+//! passed. A poll is called a *call* here where it asks for no such wait.
 use std::time::Duration;
 
 use larklink_balancer::TickDuration;
@@ -7,125 +10,151 @@
 
 use crate::clock::to_duration;
 
-/// What discovery has counts as told so long after it had it and could be reached, whatever became of our calls: the
-/// operators' term (STANDING, T1). [`PollSchedule::max_notification_delay`] stays under it.
+/// A proxy counts as notified of a change this long after discovery has the change and can be reached, whatever became
+/// of earlier polls. [`PollSchedule::max_notification_delay`] stays below it.
 pub const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
-/// What a busy machine may take of that: the sums of our own waits leave it free.
+/// The part of [`NOTIFICATION_DEADLINE`] that the schedule leaves to a busy machine.
 pub const SCHEDULING_MARGIN: Duration = Duration::from_millis(500);
-/// A watch waits for this share of the time after which who has not asked counts as told, within these bounds.
-const WAIT: u32 = 4;
-const LEAST_WAIT: Duration = Duration::from_millis(100);
-const LONGEST_WAIT: Duration = Duration::from_millis(1900);
-/// How long the answer to a watch may take beyond its wait.
-const SLACK: Duration = Duration::from_millis(400);
-/// How long a call may take beyond its wait once another has failed, and on any call the connection, and the rest of an
-/// answer that has begun. Twice as long for each failure in a row beyond so many, where a machine or a service is too
-/// busy for that; only those count to which a connection came up. One that does not come up shows that nobody is there,
-/// as while discovery is down, and what is had at its return is to be heard within the grace of a drain.
-const LEAST_CALL: Duration = Duration::from_millis(100);
-const CALL: Duration = Duration::from_millis(400);
-const LONGEST_CALL: Duration = Duration::from_secs(2);
-const QUICK: u32 = 3;
-/// After a first refusal the wait is drawn from up to so much, and after each further one from up to twice as much.
-const FIRST_PAUSE: Duration = Duration::from_millis(400);
-const LEAST_PAUSE: Duration = Duration::from_millis(50);
-/// No pause takes more than this share of a drain's grace: what the agent has counts as told at once, whatever comes of
-/// the call that should have brought it. It may hurt where an agent refuses for long: each proxy then asks it some ten
-/// times a second. Only where lists are asked for of a service that all proxies share do refusals lead to longer pauses.
-const OF_GRACE: u32 = 4;
-/// No shorter share of a grace is gone by: the agent would be asked without end.
-const LEAST_SOON: Duration = Duration::from_millis(10);
-/// A watch that brings nothing new sooner than this is answered too early; it goes on for 200 ms.
-pub(crate) const EARLY: Duration = Duration::from_millis(100);
-
-/// The spans by which the list is followed, derived so that [`PollSchedule::max_notification_delay`] stays under [`NOTIFICATION_DEADLINE`] whatever the
-/// settings say.
+
+/// A long poll waits for the discovery deadline divided by this, within the two bounds below, so that several polls may
+/// fail before the deadline passes.
+const LONG_POLLS_PER_DEADLINE: u32 = 4;
+const MIN_LONG_POLL_WAIT: Duration = Duration::from_millis(100);
+const MAX_LONG_POLL_WAIT: Duration = Duration::from_millis(1900);
+/// How long the response to a long poll may take beyond its wait.
+const LONG_POLL_MARGIN: Duration = Duration::from_millis(400);
+
+/// How long a call may take: at least, where nothing else is said, and at most.
+const MIN_CALL_TIMEOUT: Duration = Duration::from_millis(100);
+const DEFAULT_CALL_TIMEOUT: Duration = Duration::from_millis(400);
+const MAX_CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// After so many polls in a row that connected and timed out, the call timeout doubles with each further one: the
+/// service or this machine is too busy. Polls that did not connect are not counted, since nothing listens there, and
+/// the service's return has to be noticed early.
+const CALL_TIMEOUTS_BEFORE_DOUBLING: u32 = 3;
+/// Further doublings would overflow or exceed [`MAX_CALL_TIMEOUT`].
+const MAX_CALL_TIMEOUT_DOUBLINGS: u32 = 8;
+
+/// Upper bound of the random backoff after a first failure; it doubles with each further one.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(400);
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+/// Further doublings would exceed every maximum.
+const MAX_BACKOFF_DOUBLINGS: u32 = 16;
+/// The maximum backoff is the grace of a draining endpoint divided by this, as a proxy counts as notified at once of
+/// what a local agent has. A local agent that rejects polls for long is polled some ten times a second for that.
+const BACKOFFS_PER_DRAIN_GRACE: u32 = 4;
+/// The maximum backoff is at least this, or a failing agent would be polled in a tight loop.
+const MIN_MAX_BACKOFF: Duration = Duration::from_millis(10);
+
+/// The least time from one poll to the next while polls succeed and bring nothing new.
+pub(crate) const MIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
+
+/// How long polls wait and how long to back off, derived from the settings so that
+/// [`max_notification_delay`](Self::max_notification_delay) stays below [`NOTIFICATION_DEADLINE`] whatever they are.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PollSchedule {
-    /// How long a watch waits while nothing has failed.
+    /// How long discovery may hold its response to a long poll while no poll has failed.
     pub long_poll_wait: Duration,
-    /// How long a call without a wait may take as long as few have failed, and an answer that has begun.
+    /// How long a call may take, and the rest of any response that has begun, while few polls have timed out.
     pub call_timeout: Duration,
-    /// The longest pause after a call that brought nothing.
+    /// The maximum backoff after a poll that got no response.
     pub max_backoff: Duration,
-    /// The longest pause after one that was refused, or brought what cannot be read.
+    /// The maximum backoff after a poll that was rejected, or whose response cannot be used.
     pub max_rejection_backoff: Duration,
 }
 
 impl PollSchedule {
-    /// From the settings: after how long who has not asked counts as told and how long a server that drains may still
-    /// be sent something, both in tenths of a millisecond, and whether lists are asked for of a shared service.
-    pub fn new(must_ask_in: TickDuration, drain_grace: TickDuration, on_request: bool) -> Self {
-        let wait = (to_duration(must_ask_in) / WAIT).clamp(LEAST_WAIT, LONGEST_WAIT);
-        let grace = if drain_grace == 0 { FIRST_PAUSE * OF_GRACE } else { to_duration(drain_grace) };
-        let soon = (grace / OF_GRACE).min(wait / 2).clamp(LEAST_SOON, FIRST_PAUSE);
-        // Pushed lists lie on this machine, and one that is silent is to be heard within the grace of its return.
-        let call = if on_request { CALL } else { (soon * 2).clamp(LEAST_CALL, CALL) };
-        Self {
-            long_poll_wait: wait,
-            call_timeout: call,
-            max_backoff: soon,
-            max_rejection_backoff: if on_request { wait / 2 } else { soon },
-        }
+    /// Derives a schedule from the settings.
+    ///
+    /// - `discovery_deadline`: how long a proxy may go without a poll before discovery counts it as notified.
+    /// - `drain_grace`: how long a draining endpoint may still be sent sessions; 0 if nothing is said.
+    /// - `polled_discovery`: whether all proxies poll one shared service. If not, each has an agent on its own machine
+    ///   to which lists are pushed; an agent that returns has to be noticed within the drain grace.
+    pub fn new(discovery_deadline: TickDuration, drain_grace: TickDuration, polled_discovery: bool) -> Self {
+        let long_poll_wait = (to_duration(discovery_deadline) / LONG_POLLS_PER_DEADLINE)
+            .clamp(MIN_LONG_POLL_WAIT, MAX_LONG_POLL_WAIT);
+        let drain_grace = match drain_grace {
+            0 => INITIAL_BACKOFF * BACKOFFS_PER_DRAIN_GRACE,
+            ticks => to_duration(ticks),
+        };
+        let max_backoff = (drain_grace / BACKOFFS_PER_DRAIN_GRACE)
+            .min(long_poll_wait / 2)
+            .clamp(MIN_MAX_BACKOFF, INITIAL_BACKOFF);
+        let call_timeout = if polled_discovery {
+            DEFAULT_CALL_TIMEOUT
+        } else {
+            (max_backoff * 2).clamp(MIN_CALL_TIMEOUT, DEFAULT_CALL_TIMEOUT)
+        };
+        let max_rejection_backoff = if polled_discovery { long_poll_wait / 2 } else { max_backoff };
+        Self { long_poll_wait, call_timeout, max_backoff, max_rejection_backoff }
     }
 
-    /// How long the agent may wait with its answer after so many failures in a row. While any has failed, hardly: the
-    /// answer shows whether it is there, and a call that hangs is given up before long.
-    pub fn long_poll_wait_after(&self, failed: u32) -> Duration {
-        if failed == 0 { self.long_poll_wait } else { LEAST_WAIT }
+    /// How long discovery may hold its response after so many failures in a row. It is short after any failure: the
+    /// response shows whether discovery is there, and a poll that hangs is given up early.
+    pub fn long_poll_wait_after(&self, failures: u32) -> Duration {
+        if failures == 0 { self.long_poll_wait } else { MIN_LONG_POLL_WAIT }
     }
 
-    /// How long a call without a wait may take, and on any the rest of an answer, after so many in a row that had been
-    /// connected and took too long.
-    pub fn call_timeout_after(&self, unanswered: u32) -> Duration {
-        (self.call_timeout * 2u32.pow(unanswered.saturating_sub(QUICK).min(8))).min(LONGEST_CALL)
+    /// How long a call may take, and the rest of any response that has begun, after so many polls in a row that
+    /// connected and timed out.
+    pub fn call_timeout_after(&self, timeouts: u32) -> Duration {
+        let doublings =
+            timeouts.saturating_sub(CALL_TIMEOUTS_BEFORE_DOUBLING).min(MAX_CALL_TIMEOUT_DOUBLINGS);
+        (self.call_timeout * 2_u32.pow(doublings)).min(MAX_CALL_TIMEOUT)
     }
 
-    /// When a call is given up, after so many failures in a row, and so many of these connected and too long.
-    pub fn total_timeout(&self, failed: u32, unanswered: u32) -> Duration {
-        self.long_poll_wait_after(failed)
-            + if failed == 0 { SLACK } else { self.call_timeout_after(unanswered) }
+    /// How long a whole poll may take after so many failures in a row, of which `timeouts` connected and timed out.
+    pub fn total_timeout(&self, failures: u32, timeouts: u32) -> Duration {
+        let beyond_wait = match failures {
+            0 => LONG_POLL_MARGIN,
+            _ => self.call_timeout_after(timeouts),
+        };
+        self.long_poll_wait_after(failures) + beyond_wait
     }
 
-    /// The longest time from the moment in which discovery has a change and can be reached to the one in which it is
-    /// heard, when `before` calls in a row had failed by then and the call that is under way and each of the next fail,
-    /// `more` in all. The sum is made of
+    /// The longest time from when discovery has a change and can be reached to when the proxy has it, if
+    /// `failures_before` polls in a row had failed by then, and the poll in flight and the next ones fail, `more` in
+    /// all. It is the sum of
     ///
-    /// - a rest after an answer that came early, and a kept connection that is found closed, each up to 0.1 s, where
+    /// - two rests of [`MIN_POLL_INTERVAL`], after an early response and a kept connection that turned out closed, if
     ///   nothing had failed before;
-    /// - for each that fails all its time, the worst first one being a watch that has just begun and falls silent,
-    ///   and the longest pause, the worst being one after refusal upon refusal;
-    /// - all the time that the one may take that is answered.
+    /// - for each failed poll its total timeout and the longest backoff; at worst the first is a long poll that has
+    ///   just begun and hangs, and the others are rejections;
+    /// - the call timeout of the poll that succeeds.
     ///
-    /// For any `n`, `max_notification_delay(n, 1)` is what a call under way at that moment can cost, and `max_notification_delay(0, 3)` what three
-    /// failures in a row after it can, in any order.
-    pub fn max_notification_delay(&self, before: u32, more: u32) -> Duration {
-        let failure = |n: u32| {
-            let pause = match (before, n) {
-                // A watch that hangs for long was not refused.
-                (0, 0) => self.max_backoff,
-                (0, n) => self.longest_pause(n),
-                (_, n) => self.longest_pause(n + 1),
-            };
-            self.total_timeout(n, n) + pause
-        };
-        let first = if before == 0 { EARLY * 2 } else { Duration::ZERO };
-        let last = before + more;
-        first + (before..last).map(failure).sum::<Duration>() + self.call_timeout_after(last)
+    /// For any `n`, `max_notification_delay(n, 1)` is what a poll in flight at that moment can cost, and
+    /// `max_notification_delay(0, 3)` what three failures in a row can, in any order.
+    pub fn max_notification_delay(&self, failures_before: u32, more: u32) -> Duration {
+        let rests = if failures_before == 0 { MIN_POLL_INTERVAL * 2 } else { Duration::ZERO };
+        let failures = failures_before + more;
+        let failed_polls: Duration = (failures_before..failures)
+            .map(|earlier| {
+                self.total_timeout(earlier, earlier) + self.longest_backoff(failures_before, earlier)
+            })
+            .sum();
+        rests + failed_polls + self.call_timeout_after(failures)
     }
 
-    /// The longest pause after the `n`th refusal in a row.
-    fn longest_pause(&self, n: u32) -> Duration {
-        grown(n).min(self.max_rejection_backoff).max(self.max_backoff)
+    /// The longest backoff after a poll that fails after `earlier` others in a row, `failures_before` of them before
+    /// the change. A long poll that hangs is no rejection, so without earlier failures rejections count from the
+    /// second on.
+    fn longest_backoff(&self, failures_before: u32, earlier: u32) -> Duration {
+        let rejections = if failures_before == 0 { earlier } else { earlier + 1 };
+        if rejections == 0 {
+            return self.max_backoff;
+        }
+        backoff_bound(rejections).min(self.max_rejection_backoff).max(self.max_backoff)
     }
 }
 
-/// How long to wait after so many failures in a row, drawn by chance: proxies that lost discovery together must
-/// not come back together, nor ask as often as ever of a service that has more to do than it can. No more than `most`.
-pub fn backoff(failed: u32, most: Duration, chance: &mut ChaCha8Rng) -> Duration {
-    LEAST_PAUSE.min(most / 2).max(grown(failed).min(most).mul_f64(chance.random()))
+/// A random backoff after so many failures in a row, at most `max`. Proxies that lost discovery together must not return
+/// together, nor poll a service at full rate that is overloaded.
+pub fn backoff(failures: u32, max: Duration, rng: &mut ChaCha8Rng) -> Duration {
+    let min = MIN_BACKOFF.min(max / 2);
+    min.max(backoff_bound(failures).min(max).mul_f64(rng.random()))
 }
 
-fn grown(failed: u32) -> Duration {
-    FIRST_PAUSE * 2u32.pow(failed.saturating_sub(1).min(16))
+/// Exponential backoff before its maximum and its random factor.
+fn backoff_bound(failures: u32) -> Duration {
+    INITIAL_BACKOFF * 2_u32.pow(failures.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS))
 }
--- a/crates/larklink-proxy/tests/protocol.rs
+++ b/crates/larklink-proxy/tests/protocol.rs
@@ -128,11 +128,15 @@
         let mut by_pieces = ResponseReader::default();
         let cut = |n| by_pieces.read(&text.as_bytes()[..n]).unwrap();
         assert_eq!(
-            (1..=text.len()).filter_map(cut).map(|(list, _, used)| (list.index, used)).last(),
+            (1..=text.len()).filter_map(cut).map(|r| (r.list.index, r.length)).last(),
             Some((43, text.len()))
         );
-        let (list, keep, used) = ResponseReader::default().read(text.as_bytes()).unwrap().unwrap();
-        assert_eq!((list.index, list.endpoints.len(), keep, used), (43, 1, kept, text.len()));
+        let response = ResponseReader::default().read(text.as_bytes()).unwrap().unwrap();
+        let list = response.list;
+        assert_eq!(
+            (list.index, list.endpoints.len(), response.keep_alive, response.length),
+            (43, 1, kept, text.len())
+        );
     }
 }
 
