--- a/crates/larklink-proxy/src/clients.rs
+++ b/crates/larklink-proxy/src/clients.rs
@@ -18,8 +18,9 @@
 
 use crate::connection::Connection;
 use crate::events::{DecisionEvent, DecisionQueue};
-use crate::handover::wire::EstablishedSession;
-use crate::handover::{HandedOver, Successor};
+use crate::handover::messages::EstablishedSession;
+use crate::handover::predecessor::HandedOverSession;
+use crate::handover::successor::Successor;
 use crate::limiter::{ConnectionLimiter, ConnectionPermit};
 use crate::log::EndReason;
 use crate::metrics::{FinalAnswer, InProgress, Metrics};
@@ -103,8 +104,9 @@
 }
 
 /// Goes on with a session that stands, given by the process before this one.
-pub async fn inherit(front: Rc<SessionContext>, (mut was, client, server): HandedOver) {
+pub async fn inherit(front: Rc<SessionContext>, handed_over: HandedOverSession) {
     let started = Instant::now();
+    let HandedOverSession { session: mut was, client, server } = handed_over;
     let link = |stream, bytes: &mut Vec<u8>| {
         let inbox = LineBuffer::with_bytes(std::mem::take(bytes))?;
         Some(Connection { buffer: inbox, stream: Async::new(stream).ok()? })
@@ -121,7 +123,7 @@
 /// Refuses a connection for which there is no descriptor. Nobody's dial has run: trying again is harmless.
 pub fn turn_away(stream: &Async<TcpStream>) {
     busy_at_once(stream);
-    log_end(None, EndReason::NoRoom, Instant::now());
+    log_end(None, EndReason::NoDescriptors, Instant::now());
 }
 
 fn busy_at_once(stream: &Async<TcpStream>) {
@@ -137,7 +139,8 @@
 
 fn log_end(session: Option<u32>, reason: EndReason, started: Instant) {
     let session = session.map(|s| s.to_string()).unwrap_or_default();
-    tracing::info!(session, reason = %reason, ms = started.elapsed().as_millis() as u64, "end");
+    let duration_ms = started.elapsed().as_millis() as u64;
+    tracing::info!(session, %reason, duration_ms, "connection ended");
 }
 
 impl SessionContext {
@@ -153,24 +156,27 @@
             let must_go = place.evicted();
             async move {
                 must_go.await;
-                Err(EndReason::NoRoom)
+                Err(EndReason::NoDescriptors)
             }
         };
         let way = give_way(&client.place);
         let closed = async {
             let _ = self.closed.recv().await;
             Timer::after(LAST).await;
-            Err(EndReason::Stopped)
+            Err(EndReason::Shutdown)
         };
         let mut line = first_line(client).or(way).or(closed).await;
         // A line that has come by now is answered like any other: nobody is there to send it again. So is one of which a
         // stop finds a part, as long as it may still come.
         let late = matches!(
             line,
-            Err(EndReason::Stopped | EndReason::Pinged | EndReason::HeadStalled | EndReason::NoRoom)
+            Err(EndReason::Shutdown
+                | EndReason::HealthCheck
+                | EndReason::OpenLineTimeout
+                | EndReason::NoDescriptors)
         );
         let said =
-            client.link.has_complete_line() || line == Err(EndReason::Stopped) && client.link.has_input();
+            client.link.has_complete_line() || line == Err(EndReason::Shutdown) && client.link.has_input();
         if late && said && client.place.keep_if_not_evicted() {
             let way = give_way(&client.place);
             line = first_line(client).or(way).or(self.last_call()).await;
@@ -179,10 +185,10 @@
             Ok(line) => line,
             Err(reason) => {
                 match reason {
-                    EndReason::NoRoom => busy_at_once(&client.link.stream),
+                    EndReason::NoDescriptors => busy_at_once(&client.link.stream),
                     // The rest of its line may be on its way.
-                    EndReason::Stopped if client.link.has_input() => answer(client, "BUSY\r\n").await,
-                    EndReason::BadLine | EndReason::HeadStalled => answer(client, "ERR\r\n").await,
+                    EndReason::Shutdown if client.link.has_input() => answer(client, "BUSY\r\n").await,
+                    EndReason::ProtocolError | EndReason::OpenLineTimeout => answer(client, "ERR\r\n").await,
                     // In good order: what comes in this instant must not be met by a reset.
                     _ => close(&client.link).or(client.place.evicted()).await,
                 }
@@ -200,9 +206,9 @@
         match head {
             Ok((_, listener)) if !client.place.keep_if_not_evicted() || !client.place.start_session() => {
                 self.figures.record_answer(listener, FinalAnswer::Rejected);
-                self.figures.record_rejection_without_attempt(EndReason::NoRoom, Instant::now());
+                self.figures.record_rejection_without_attempt(EndReason::NoDescriptors, Instant::now());
                 busy_at_once(&client.link.stream);
-                (None, EndReason::NoRoom)
+                (None, EndReason::NoDescriptors)
             }
             Ok((head, listener)) => {
                 let (session, _open) = self.enter(&head);
@@ -211,7 +217,7 @@
             Err(wrong) => {
                 tracing::warn!("a first line with {wrong}");
                 answer(client, "ERR\r\n").await;
-                (None, EndReason::BadLine)
+                (None, EndReason::ProtocolError)
             }
         }
     }
@@ -222,17 +228,17 @@
         client: &mut Client,
         link: Connection,
     ) -> (Option<u32>, EndReason) {
-        let line = was.head.as_bytes();
+        let line = was.open_line.as_bytes();
         let Some((head, listener)) =
             parse_open_line(line).ok().and_then(|h| self.listener(&h).map(|l| (h, l)))
         else {
             tracing::warn!("a session without a first line was given");
-            return (None, EndReason::BadLine);
+            return (None, EndReason::ProtocolError);
         };
         let ask = asks(&head, listener);
         let (session, _open) = self.enter(&head);
         let (sender, orders) = async_channel::bounded(4);
-        let server = was.server;
+        let server = was.endpoint;
         self.queue.send(DecisionEvent::FindEndpoint { session, endpoint: server, commands: sender }).await;
         self.queue.send(DecisionEvent::AdoptEstablished { session, request: ask, endpoint: server }).await;
         if let Some(load) = was.load {
@@ -240,7 +246,14 @@
                 .send(DecisionEvent::Observed { session, attempt: 0, observation: Observation::Load(load) })
                 .await;
         }
-        let at = Stands { session, dial: 0, server, head: line, unanswered: was.unanswered, load: was.load };
+        let at = Stands {
+            session,
+            dial: 0,
+            server,
+            head: line,
+            unanswered: was.unanswered_messages,
+            load: was.load,
+        };
         (Some(session), self.standing(at, client, link, &orders).await)
     }
 
@@ -255,7 +268,7 @@
     pub(crate) async fn last_call<T>(&self) -> Result<T, EndReason> {
         let _ = self.stop.recv().await;
         Timer::at(self.until() - LAST).await;
-        Err(EndReason::Stopped)
+        Err(EndReason::Shutdown)
     }
 
     fn listener(&self, head: &OpenLine<'_>) -> Option<usize> {
@@ -288,10 +301,10 @@
             }
             Err(e) => {
                 return Err(match e.kind() {
-                    ErrorKind::InvalidData => EndReason::BadLine,
-                    _ if pinged && client.link.buffer.bytes().is_empty() => EndReason::Pinged,
-                    ErrorKind::TimedOut => EndReason::HeadStalled,
-                    _ => EndReason::ClientLeft,
+                    ErrorKind::InvalidData => EndReason::ProtocolError,
+                    _ if pinged && client.link.buffer.bytes().is_empty() => EndReason::HealthCheck,
+                    ErrorKind::TimedOut => EndReason::OpenLineTimeout,
+                    _ => EndReason::ClientClosed,
                 });
             }
         }
--- a/crates/larklink-proxy/src/relay.rs
+++ b/crates/larklink-proxy/src/relay.rs
@@ -15,7 +15,7 @@
 use crate::clock::to_ticks;
 use crate::connection::{Connection, read};
 use crate::events::{DecisionEvent, SessionCommand};
-use crate::handover::wire::EstablishedSession;
+use crate::handover::messages::EstablishedSession;
 use crate::log::EndReason;
 use crate::protocol::{LineBuffer, ServerMessage, parse_server_message};
 use crate::timeout::with_timeout;
@@ -107,14 +107,14 @@
                 break end;
             }
             let session = EstablishedSession {
-                head: String::from_utf8_lossy(at.head).into_owned(),
-                server: at.server,
+                open_line: String::from_utf8_lossy(at.head).into_owned(),
+                endpoint: at.server,
                 to_server: client.link.buffer.bytes().to_vec(),
                 to_client: link.buffer.bytes()[pipe.passed.get()..].to_vec(),
-                unanswered: pipe.sent.borrow().len(),
+                unanswered_messages: pipe.sent.borrow().len(),
                 load: pipe.load.get(),
             };
-            if self.successor.give(session, pipe.to_client.get_ref(), pipe.to_server.get_ref()).await {
+            if self.successor.hand_over(session, pipe.to_client.get_ref(), pipe.to_server.get_ref()).await {
                 break end;
             }
             // The new process is gone: this one ends the session as if there had been none.
@@ -130,7 +130,7 @@
         // One side is ended in the way that the other ended.
         match reason {
             EndReason::ClientReset => reset(&link.stream),
-            EndReason::ClientLeft => close(&link).await,
+            EndReason::ClientClosed => close(&link).await,
             EndReason::ServerReset => reset(&client.link.stream),
             // Both connections go on in the new process.
             EndReason::HandedOver => {}
@@ -169,7 +169,7 @@
             let more =
                 async { Ok(read(self.to_client, inbox).await) }.or(async { Err(self.overdue().await) });
             match more.await {
-                Ok(Ok(0)) => return (EndReason::ClientLeft, None),
+                Ok(Ok(0)) => return (EndReason::ClientClosed, None),
                 Ok(Ok(_)) => {}
                 Ok(Err(_)) => return (EndReason::ClientReset, None),
                 Err(end) => return end,
@@ -199,7 +199,7 @@
                 self.passed.set(0);
             }
             if inbox.is_full() {
-                return (EndReason::BadLine, Some(AttemptOutcome::Failed));
+                return (EndReason::ProtocolError, Some(AttemptOutcome::Failed));
             }
             // A server that has said its last may hold its connection open: its client need not wait for
             // that.
@@ -214,9 +214,9 @@
                 return (reason, None);
             }
             let reason = match (ended, last) {
-                (_, Some(AttemptOutcome::Succeeded)) => EndReason::ServerEnded,
-                (_, Some(_)) => EndReason::ServerMoved,
-                (Ok(_), None) => EndReason::ServerCut,
+                (_, Some(AttemptOutcome::Succeeded)) => EndReason::Completed,
+                (_, Some(_)) => EndReason::ServerMigrated,
+                (Ok(_), None) => EndReason::ServerClosed,
                 (Err(_), None) => EndReason::ServerReset,
             };
             return (reason, last.or(Some(AttemptOutcome::Reset)));
@@ -243,7 +243,7 @@
         while !bytes.is_empty() {
             self.writing.set(Some(Instant::now()));
             let n = with_timeout(UNREAD, to_client.write(bytes)).await.map_err(|e| match e.kind() {
-                ErrorKind::TimedOut => EndReason::ClientStuck,
+                ErrorKind::TimedOut => EndReason::ClientWriteTimeout,
                 _ => EndReason::ClientReset,
             })?;
             bytes = &bytes[n..];
@@ -297,7 +297,7 @@
         let order = async {
             while let Ok(order) = orders.recv().await {
                 if order == SessionCommand::Migrate {
-                    return EndReason::Moved;
+                    return EndReason::Migrated;
                 }
             }
             future::pending().await
@@ -309,12 +309,12 @@
             let at = Instant::now() + left.mul_f64(share);
             // A new process may come to be the successor only now.
             while self.front.passes || Instant::now() < at {
-                if self.front.successor.is_there() && !self.alone.get() && !self.ending.get() {
+                if self.front.successor.is_present() && !self.alone.get() && !self.ending.get() {
                     return EndReason::HandedOver;
                 }
                 Timer::after(LOOK).await;
             }
-            EndReason::Stopped
+            EndReason::Shutdown
         };
         match order.or(stop).await {
             EndReason::HandedOver => (EndReason::HandedOver, None),
@@ -330,7 +330,7 @@
         while let Some(at) = oldest() {
             if let Some(since) = self.writing.get() {
                 if since.elapsed() >= SILENCE {
-                    return (EndReason::ClientStuck, None);
+                    return (EndReason::ClientWriteTimeout, None);
                 }
                 Timer::at((since + SILENCE).min(Instant::now() + doubt)).await;
                 continue;
@@ -350,8 +350,8 @@
             } else if from.elapsed() < SILENCE {
                 Timer::at(from + SILENCE).await;
             } else {
-                let reason = self.send_away(EndReason::Silent).await;
-                return (reason, (reason == EndReason::Silent).then_some(AttemptOutcome::Reset));
+                let reason = self.send_away(EndReason::Unresponsive).await;
+                return (reason, (reason == EndReason::Unresponsive).then_some(AttemptOutcome::Reset));
             }
         }
         // Nothing is out: it is asked again with the next line.
@@ -362,7 +362,7 @@
         let started = Instant::now();
         while self.writing.get().is_some() {
             if started.elapsed() >= STUCK {
-                return EndReason::ClientStuck;
+                return EndReason::ClientWriteTimeout;
             }
             Timer::after(STUCK / 100).await;
         }
@@ -374,7 +374,7 @@
         let mut to_client = self.to_client;
         match with_timeout(STUCK, to_client.write_all(b"MOVE\r\n")).await {
             Ok(()) => reason,
-            Err(_) => EndReason::ClientStuck,
+            Err(_) => EndReason::ClientWriteTimeout,
         }
     }
 }
