--- a/crates/larklink-proxy/src/clock.rs
+++ b/crates/larklink-proxy/src/clock.rs
@@ -1,36 +1,43 @@
-//! The time that the decisions see: whole tenths of a millisecond that never step back, counted so that the
-//! moment of the start is the wall clock's. A server's start, told as wall time, then lies on the same scale.
+//! The time that the decisions see: ticks of a tenth of a millisecond since 1970, which never step back. Start times of
+//! endpoints, given as wall clock time, are on the same scale.
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use larklink_balancer::{TickDuration, Timestamp};
 
+const MICROSECONDS_PER_TICK: u64 = 100;
+
+/// A monotonic clock that shows the wall clock time of its start.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    started: Instant,
-    wall: TickDuration,
+    started_at: Instant,
+    start: Timestamp,
 }
 
 impl Clock {
+    /// Starts a clock.
     pub fn start() -> Self {
-        // A wall clock before 1970 tells nothing; any other origin does as well then.
-        let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { started: Instant::now(), wall: to_ticks(wall) }
+        // A wall clock before 1970 is wrong, and any other origin is as good then.
+        let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Self { started_at: Instant::now(), start: to_ticks(since_1970) }
     }
 
+    /// The time now.
     pub fn now(&self) -> Timestamp {
-        self.wall + to_ticks(self.started.elapsed())
+        self.start + to_ticks(self.started_at.elapsed())
     }
 
-    /// When the decisions' time will be `at`.
-    pub fn to_instant(&self, at: Timestamp) -> Instant {
-        self.started + to_duration(at.saturating_sub(self.wall))
+    /// The instant at which the clock shows a time, at the earliest that of its start.
+    pub fn to_instant(&self, time: Timestamp) -> Instant {
+        self.started_at + to_duration(time.saturating_sub(self.start))
     }
 }
 
-pub fn to_ticks(d: Duration) -> TickDuration {
-    (d.as_micros() / 100) as TickDuration
+/// A duration in whole ticks, rounded down.
+pub fn to_ticks(duration: Duration) -> TickDuration {
+    (duration.as_micros() / u128::from(MICROSECONDS_PER_TICK)) as TickDuration
 }
 
-pub fn to_duration(t: TickDuration) -> Duration {
-    Duration::from_micros(t.saturating_mul(100))
+/// The duration of so many ticks.
+pub fn to_duration(ticks: TickDuration) -> Duration {
+    Duration::from_micros(ticks.saturating_mul(MICROSECONDS_PER_TICK))
 }
--- a/crates/larklink-proxy/src/connection.rs
+++ b/crates/larklink-proxy/src/connection.rs
@@ -1,4 +1,4 @@
-//! A TCP connection and the bytes that were read from it.
+//! A TCP connection of lines and the bytes that were read from it.
 use std::io::{ErrorKind, IoSlice, Read, Result, Write};
 use std::net::TcpStream;
 
@@ -8,22 +8,29 @@
 
 /// A connection and what was read from it.
 pub struct Connection {
+    /// The socket.
     pub stream: Async<TcpStream>,
+    /// What was read and not yet processed.
     pub buffer: LineBuffer,
 }
 
 impl Connection {
+    /// A connection from which nothing was read yet.
     pub fn new(stream: Async<TcpStream>) -> Self {
-        // A line that waits for another's receipt is a line late.
+        // Lines are not to wait for the acknowledgement of earlier ones. Without the option they only arrive later.
         let _ = stream.get_ref().set_nodelay(true);
         Self { stream, buffer: LineBuffer::default() }
     }
 
-    /// Reads until a whole line stands first: its length.
+    /// Reads until the buffer begins with a complete line, and returns its length.
+    ///
+    /// # Errors
+    /// [`ErrorKind::InvalidData`] if the line is too long, [`ErrorKind::UnexpectedEof`] if the connection ends before,
+    /// or the socket's error.
     pub async fn read_line(&mut self) -> Result<usize> {
         loop {
-            if let Some(n) = self.buffer.first_line_len() {
-                return Ok(n);
+            if let Some(length) = self.buffer.first_line_len() {
+                return Ok(length);
             }
             if self.buffer.is_full() {
                 return Err(ErrorKind::InvalidData.into());
@@ -33,42 +40,47 @@
             }
         }
     }
-}
 
-impl Connection {
-    /// Whether a whole line stands first, with all that the kernel has by now.
+    /// Reads what the kernel has received by now, and returns whether the buffer begins with a complete line then.
     pub fn has_complete_line(&mut self) -> bool {
         while self.buffer.first_line_len().is_none() && !self.buffer.is_full() {
-            if !matches!(self.buffer.fill(|buf| self.stream.get_ref().read(buf)), Ok(n) if n > 0) {
+            let received = self.buffer.fill(|space| self.stream.get_ref().read(space));
+            if !matches!(received, Ok(length) if length > 0) {
                 break;
             }
         }
         self.buffer.first_line_len().is_some()
     }
 
-    /// Whether anything has been said that nobody has taken yet.
+    /// Whether anything was read that is not processed yet.
     pub fn has_input(&self) -> bool {
         !self.buffer.bytes().is_empty()
     }
 }
 
-/// Reads once, when there is something; 0 at the end.
+/// Waits for data and reads once; returns the number of bytes, 0 at the end of the stream.
+///
+/// # Errors
+/// The socket's.
 pub async fn read(stream: &Async<TcpStream>, buffer: &mut LineBuffer) -> Result<usize> {
     loop {
         stream.readable().await?;
-        match buffer.fill(|buf| stream.get_ref().read(buf)) {
+        match buffer.fill(|space| stream.get_ref().read(space)) {
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {}
-            done => return done,
+            result => return result,
         }
     }
 }
 
-/// Writes all slices, in one go where the socket takes them.
+/// Writes all slices, with one system call where the socket takes them.
+///
+/// # Errors
+/// The socket's; a part may have been written then.
 pub async fn write_gathered(stream: &Async<TcpStream>, mut slices: &mut [IoSlice<'_>]) -> Result<()> {
-    while slices.iter().any(|s| !s.is_empty()) {
-        match stream.write_with(|mut s| s.write_vectored(slices)).await? {
+    while slices.iter().any(|slice| !slice.is_empty()) {
+        match stream.write_with(|mut socket| socket.write_vectored(slices)).await? {
             0 => return Err(ErrorKind::WriteZero.into()),
-            n => IoSlice::advance_slices(&mut slices, n),
+            written => IoSlice::advance_slices(&mut slices, written),
         }
     }
     Ok(())
--- a/crates/larklink-proxy/src/timeout.rs
+++ b/crates/larklink-proxy/src/timeout.rs
@@ -1,15 +1,18 @@
-//! A time limit on any asynchronous operation.
+//! A time limit on asynchronous operations.
 use std::io::{ErrorKind, Result};
 use std::time::Duration;
 
 use async_io::Timer;
 use futures_lite::FutureExt;
 
-/// The result in time, or `TimedOut`.
-pub async fn with_timeout<T>(limit: Duration, work: impl Future<Output = Result<T>>) -> Result<T> {
-    work.or(async {
-        Timer::after(limit).await;
+/// Runs an operation for at most `timeout`, and drops it then.
+///
+/// # Errors
+/// The operation's own, or [`ErrorKind::TimedOut`].
+pub async fn with_timeout<T>(timeout: Duration, operation: impl Future<Output = Result<T>>) -> Result<T> {
+    let timed_out = async {
+        Timer::after(timeout).await;
         Err(ErrorKind::TimedOut.into())
-    })
-    .await
+    };
+    operation.or(timed_out).await
 }
--- a/crates/larklink-proxy/src/upstream/health_check.rs
+++ b/crates/larklink-proxy/src/upstream/health_check.rs
@@ -1,13 +1,14 @@
-//! Probes: one kept connection to each server that was asked, for a line there and a line back; fewer where the
-//! descriptors that are set aside for them are fewer than the servers.
+//! Health checks: one request line and one answer, on a connection that is kept from check to check. Fewer connections
+//! are kept than there are endpoints if fewer descriptors are reserved for them.
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, HashSet};
-use std::io::{ErrorKind, IoSlice, Result};
+use std::io::{ErrorKind, IoSlice};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
 use larklink_balancer::AttemptOutcome;
+use larklink_engine::engine::EndpointId;
 use larklink_engine::settings::ProxySettings;
 
 use crate::clock::{to_duration, to_ticks};
@@ -19,135 +20,160 @@
 use crate::timeout::with_timeout;
 use crate::upstream::attempt::connect;
 
+/// Checks the health of endpoints.
 pub struct HealthChecker {
-    /// The names of a report's values; empty where probes tell no load.
-    names: Vec<String>,
-    probing: bool,
-    connect_timeout: Duration,
-    kept: RefCell<HashMap<u32, Kept>>,
-    /// Servers that are being asked, and have not gone from the list since: one connection to each is kept.
-    asked: RefCell<HashSet<u32>>,
-    /// Probes that wait for a descriptor: none rests at a connection meanwhile.
+    /// Whether the settings ask for health checks.
+    enabled: bool,
+    /// The names of a load report's values; empty if the settings ask for no reports.
+    report_names: Vec<String>,
+    /// How long a connection may take, and an answer after it.
+    timeout: Duration,
+    idle: RefCell<HashMap<EndpointId, IdleConnection>>,
+    /// Endpoints with a check in flight that have not left the list since: the connection of each may be kept.
+    in_flight: RefCell<HashSet<EndpointId>>,
+    /// How many checks wait for a permit; no connection is kept meanwhile.
     waiting: Cell<usize>,
     queue: DecisionQueue,
     limiter: Rc<ConnectionLimiter>,
 }
 
-struct Kept {
+/// A connection that is kept for the next check.
+struct IdleConnection {
     address: SocketAddr,
-    link: Connection,
-    descriptor: HealthCheckPermit,
-    since: Instant,
+    connection: Connection,
+    permit: HealthCheckPermit,
+    last_checked_at: Instant,
+}
+
+/// An answer, and the connection on which it came.
+struct Exchange {
+    connection: Connection,
+    answer: Answer,
+}
+
+/// What an endpoint answered to a health check.
+struct Answer {
+    outcome: AttemptOutcome,
+    /// The values of its load report; empty if there are none.
+    load_report: Vec<f64>,
 }
 
 impl HealthChecker {
-    pub fn new(facts: &ProxySettings, queue: DecisionQueue, limiter: Rc<ConnectionLimiter>) -> Self {
-        let names = if facts.load_position.is_some() { facts.report.clone() } else { Vec::new() };
-        let (probing, connect_timeout) =
-            (facts.settings.health_checks, to_duration(facts.settings.connect_timeout));
-        let (kept, asked, waiting) = Default::default();
-        Self { names, probing, connect_timeout, kept, asked, waiting, queue, limiter }
+    /// A checker that sends the results to a queue.
+    pub fn new(settings: &ProxySettings, queue: DecisionQueue, limiter: Rc<ConnectionLimiter>) -> Self {
+        let has_reports = settings.load_position.is_some();
+        Self {
+            enabled: settings.settings.health_checks,
+            report_names: if has_reports { settings.report.clone() } else { Vec::new() },
+            timeout: to_duration(settings.settings.connect_timeout),
+            idle: RefCell::default(),
+            in_flight: RefCell::default(),
+            waiting: Cell::default(),
+            queue,
+            limiter,
+        }
     }
 
-    /// Asks a server; the answer goes to the queue. Its time counts from when there is a descriptor for it.
-    pub async fn check(&self, server: u32, address: SocketAddr) {
-        self.asked.borrow_mut().insert(server);
-        let kept = self.kept.borrow_mut().remove(&server);
-        let (link, descriptor) = match kept {
-            Some(Kept { address: at, link, descriptor, .. }) => {
-                (Some(link).filter(|_| at == address), descriptor)
-            }
-            None => (None, self.descriptor().await),
-        };
-        let started = Instant::now();
-        let mut answer = match link {
-            Some(link) => self.exchange(link).await,
-            None => Err(AttemptOutcome::Reset),
+    /// Checks an endpoint and sends the result to the queue. The time it took counts from when it had a permit.
+    pub async fn check(&self, endpoint: EndpointId, address: SocketAddr) {
+        self.in_flight.borrow_mut().insert(endpoint);
+        let idle = self.idle.borrow_mut().remove(&endpoint);
+        let (kept, permit) = match idle {
+            Some(idle) => (Some(idle.connection).filter(|_| idle.address == address), idle.permit),
+            None => (None, self.acquire_permit().await),
         };
-        // A kept connection may have gone idle, or its server may have started anew: that tells nothing yet.
-        if matches!(answer, Err(AttemptOutcome::Reset)) {
-            answer = match connect(address, self.connect_timeout).await {
-                Ok(link) => self.exchange(link).await,
-                Err(how) => Err(how),
-            };
-        }
-        let (how, report) = match answer {
-            Ok((how, report, link)) => {
-                if self.asked.borrow_mut().remove(&server) && self.waiting.get() == 0 {
-                    let kept = Kept { address, link, descriptor, since: started };
-                    self.kept.borrow_mut().insert(server, kept);
+        let started_at = Instant::now();
+        let result = self.run(kept, address).await;
+        let may_keep = self.in_flight.borrow_mut().remove(&endpoint) && self.waiting.get() == 0;
+        let answer = match result {
+            Ok(Exchange { connection, answer }) => {
+                if may_keep {
+                    let idle = IdleConnection { address, connection, permit, last_checked_at: started_at };
+                    self.idle.borrow_mut().insert(endpoint, idle);
                 }
-                (how, report)
-            }
-            Err(how) => {
-                self.asked.borrow_mut().remove(&server);
-                (how, Vec::new())
+                answer
             }
+            Err(outcome) => Answer { outcome, load_report: Vec::new() },
         };
         self.queue
             .send(DecisionEvent::HealthChecked {
-                endpoint: server,
-                outcome: how,
-                took: to_ticks(started.elapsed()),
-                load_report: report,
+                endpoint,
+                outcome: answer.outcome,
+                took: to_ticks(started_at.elapsed()),
+                load_report: answer.load_report,
             })
             .await;
     }
 
-    /// Goes by the list as it stands: a descriptor is set aside for each server that may be asked, and connections to
-    /// those that are gone are closed, those under way once they have brought their answer. A whole list says nothing
-    /// of servers that are gone, and connections to them stayed for good.
-    pub fn update_endpoints(&self, servers: &BTreeMap<u32, Endpoint>) {
-        self.limiter.reserve_for_health_checks(if self.probing { servers.len() } else { 0 });
-        self.kept.borrow_mut().retain(|server, _| servers.contains_key(server));
-        self.asked.borrow_mut().retain(|server| servers.contains_key(server));
+    /// Takes over a new endpoint list: reserves a descriptor for the check of each endpoint, and closes connections to
+    /// endpoints that have left, those with a check in flight when it ends.
+    pub fn update_endpoints(&self, endpoints: &BTreeMap<EndpointId, Endpoint>) {
+        self.limiter.reserve_for_health_checks(if self.enabled { endpoints.len() } else { 0 });
+        self.idle.borrow_mut().retain(|endpoint, _| endpoints.contains_key(endpoint));
+        self.in_flight.borrow_mut().retain(|endpoint| endpoints.contains_key(endpoint));
     }
 
-    /// One that is free, or that of the connection that has rested longest, or the next that another probe gives back.
-    async fn descriptor(&self) -> HealthCheckPermit {
+    /// A permit that is free, or else that of the connection that has been idle longest, or else the next that another
+    /// check gives back.
+    async fn acquire_permit(&self) -> HealthCheckPermit {
         if let Some(free) = self.limiter.try_acquire_health_check() {
             return free;
         }
-        match self.oldest() {
-            Some(kept) => kept.descriptor,
-            None => {
-                self.waiting.set(self.waiting.get() + 1);
-                let next = self.limiter.acquire_health_check().await;
-                self.waiting.set(self.waiting.get() - 1);
-                next
-            }
+        if let Some(idle) = self.take_longest_idle() {
+            return idle.permit;
         }
+        self.waiting.set(self.waiting.get() + 1);
+        let next = self.limiter.acquire_health_check().await;
+        self.waiting.set(self.waiting.get() - 1);
+        next
+    }
+
+    fn take_longest_idle(&self) -> Option<IdleConnection> {
+        let mut idle = self.idle.borrow_mut();
+        let longest = idle.iter().min_by_key(|(endpoint, idle)| (idle.last_checked_at, **endpoint));
+        let endpoint = longest.map(|(&endpoint, _)| endpoint)?;
+        idle.remove(&endpoint)
     }
 
-    fn oldest(&self) -> Option<Kept> {
-        let mut kept = self.kept.borrow_mut();
-        let oldest = kept.iter().min_by_key(|(server, kept)| (kept.since, **server));
-        let server = oldest.map(|(&server, _)| server)?;
-        kept.remove(&server)
+    /// Exchanges lines with an endpoint, on a kept connection if it still works, or else on a new one.
+    async fn run(&self, kept: Option<Connection>, address: SocketAddr) -> Result<Exchange, AttemptOutcome> {
+        if let Some(connection) = kept {
+            let result = self.exchange(connection).await;
+            // The endpoint may have closed it as idle, or restarted, which tells nothing of its health now.
+            if !matches!(result, Err(AttemptOutcome::Reset)) {
+                return result;
+            }
+        }
+        let connection = connect(address, self.timeout).await?;
+        self.exchange(connection).await
     }
 
-    async fn exchange(
-        &self,
-        mut link: Connection,
-    ) -> std::result::Result<(AttemptOutcome, Vec<f64>, Connection), AttemptOutcome> {
-        match with_timeout(self.connect_timeout, self.lines(&mut link)).await {
-            Ok((how, report)) => Ok((how, report, link)),
+    async fn exchange(&self, mut connection: Connection) -> Result<Exchange, AttemptOutcome> {
+        match with_timeout(self.timeout, self.exchange_lines(&mut connection)).await {
+            Ok(answer) => Ok(Exchange { connection, answer }),
             Err(e) if e.kind() == ErrorKind::TimedOut => Err(AttemptOutcome::TimedOut),
             Err(_) => Err(AttemptOutcome::Reset),
         }
     }
 
-    async fn lines(&self, link: &mut Connection) -> Result<(AttemptOutcome, Vec<f64>)> {
-        let ask: &[u8] = if self.names.is_empty() { b"PING\r\n" } else { b"STATS\r\n" };
-        write_gathered(&link.stream, &mut [IoSlice::new(ask)]).await?;
-        let n = link.read_line().await?;
-        let (word, rest) = parse_server_message(&link.buffer.bytes()[..n]);
-        let answer = match word {
-            ServerMessage::Pong => (AttemptOutcome::Succeeded, parse_load_report(rest, &self.names)),
-            ServerMessage::Busy => (AttemptOutcome::AtCapacity, Vec::new()),
-            _ => (AttemptOutcome::Failed, Vec::new()),
-        };
-        link.buffer.consume(n);
+    async fn exchange_lines(&self, connection: &mut Connection) -> std::io::Result<Answer> {
+        let request: &[u8] = if self.report_names.is_empty() { b"PING\r\n" } else { b"STATS\r\n" };
+        write_gathered(&connection.stream, &mut [IoSlice::new(request)]).await?;
+        let length = connection.read_line().await?;
+        let answer = self.parse_answer(&connection.buffer.bytes()[..length]);
+        connection.buffer.consume(length);
         Ok(answer)
     }
+
+    fn parse_answer(&self, line: &[u8]) -> Answer {
+        let (message, report) = parse_server_message(line);
+        match message {
+            ServerMessage::Pong => Answer {
+                outcome: AttemptOutcome::Succeeded,
+                load_report: parse_load_report(report, &self.report_names),
+            },
+            ServerMessage::Busy => Answer { outcome: AttemptOutcome::AtCapacity, load_report: Vec::new() },
+            _ => Answer { outcome: AttemptOutcome::Failed, load_report: Vec::new() },
+        }
+    }
 }
