--- a/crates/larklink-proxy/src/admin/mod.rs
+++ b/crates/larklink-proxy/src/admin/mod.rs
@@ -1,5 +1,5 @@
-//! The operators' door: HTTP/1.1 on an address of its own, one call to a connection. It has a thread of its own, so
-//! that no crowd of clients stands before its callers, and reads nothing but the figures.
+//! The admin endpoint: HTTP/1.1 on an address of its own, one request to a connection. It runs in a thread of its own,
+//! so that load from clients does not delay it, and reads nothing but the metrics.
 pub mod response;
 
 use std::collections::VecDeque;
@@ -9,93 +9,117 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use async_channel::Receiver;
+use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 
-use self::response::respond;
 use crate::metrics::Metrics;
 use crate::timeout::with_timeout;
+use response::respond;
 
-/// Callers that are heard at once. One more pushes out the oldest, which has had the longest to say something;
-/// so callers that connect and finish no call keep nobody out, as long as fewer come within the time of a call.
+/// Connections that are served at once. A further one evicts the oldest, so that callers that connect and send no
+/// complete request keep nobody out, as long as fewer come within [`REQUEST_TIMEOUT`].
 pub const MAX_CONNECTIONS: usize = 16;
-/// Descriptors that the door needs: its callers, itself, and one that is taken while the oldest still closes.
+/// Descriptors that the endpoint needs: its connections, its listener, and one that is accepted while the oldest closes.
 pub const DESCRIPTORS: usize = MAX_CONNECTIONS + 2;
-/// A call that is not whole by then is given up.
-const CALL: Duration = Duration::from_secs(3);
-/// How long a caller may take to close after its answer; what it has still on its way would reset the connection.
+
+/// How long a connection may take from accept to close.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long a caller may take to close after its response: closing with unread data would reset the connection.
 const LINGER: Duration = Duration::from_millis(500);
-const BREATHE: Duration = Duration::from_millis(20);
+/// The rest after a failure to accept, as without free descriptors.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
+const READ_BYTES: usize = 1024;
 
-/// Answers callers until the process ends.
+/// Starts the endpoint in a thread that runs until the process ends, and returns its address.
 ///
 /// # Errors
-/// The address is bad or taken, or there is no thread to be had.
-pub fn start(at: SocketAddr, figures: Arc<Metrics>) -> Result<SocketAddr> {
-    let listener = Async::<TcpListener>::bind(at)?;
-    let address = listener.get_ref().local_addr()?;
-    let thread = std::thread::Builder::new().name("console".into());
-    thread.spawn(move || {
+/// The address cannot be bound, or there is no thread to be had.
+pub fn start(address: SocketAddr, metrics: Arc<Metrics>) -> Result<SocketAddr> {
+    let listener = Async::<TcpListener>::bind(address)?;
+    let bound = listener.get_ref().local_addr()?;
+    std::thread::Builder::new().name("admin".into()).spawn(move || {
         let executor = Rc::new(LocalExecutor::new());
-        async_io::block_on(executor.run(listen(&listener, &figures, &executor)));
+        async_io::block_on(executor.run(accept(&listener, &metrics, &executor)));
     })?;
-    Ok(address)
+    Ok(bound)
 }
 
-async fn listen(
+async fn accept(
     listener: &Async<TcpListener>,
-    figures: &Arc<Metrics>,
+    metrics: &Arc<Metrics>,
     executor: &Rc<LocalExecutor<'static>>,
 ) {
-    // The ends of channels whose other ends the callers hold: those that are closed have gone by themselves.
-    let mut callers = VecDeque::new();
+    let mut slots = ConnectionSlots::default();
     loop {
-        let stream = match listener.accept().await {
-            Ok((stream, _)) => stream,
-            Err(e) => {
-                tracing::warn!("console: accept: {e}");
-                Timer::after(BREATHE).await;
-                continue;
+        match listener.accept().await {
+            Ok((stream, _)) => {
+                // The task ends with its connection, or when the slot is needed for another.
+                let evicted = slots.take();
+                executor.spawn(serve(stream, evicted, Arc::clone(metrics))).detach();
+            }
+            Err(error) => {
+                tracing::warn!(%error, "admin endpoint cannot accept");
+                Timer::after(ACCEPT_BACKOFF).await;
             }
-        };
-        callers.retain(|c: &async_channel::Sender<()>| !c.is_closed());
-        if callers.len() == MAX_CONNECTIONS {
-            callers.pop_front();
         }
-        let (stays, pushed) = async_channel::bounded(1);
-        callers.push_back(stays);
-        executor.spawn(serve(stream, pushed, Arc::clone(figures))).detach();
     }
 }
 
-/// One call; it ends early when `pushed` closes, to make room for another.
-async fn serve(stream: Async<TcpStream>, pushed: Receiver<()>, figures: Arc<Metrics>) {
-    let call = async {
-        let mut from = &stream;
-        let (mut bytes, mut chunk) = (Vec::new(), [0; 1024]);
-        let reply = loop {
-            if let Some(reply) = respond(&bytes, &figures) {
-                break reply;
-            }
-            match from.read(&mut chunk).await? {
-                0 => return Err(ErrorKind::UnexpectedEof.into()),
-                n => bytes.extend_from_slice(&chunk[..n]),
-            }
-        };
-        from.write_all(reply.as_bytes()).await?;
-        stream.get_ref().shutdown(Shutdown::Write)?;
-        let rest = async {
-            while from.read(&mut chunk).await? > 0 {}
-            Ok(())
-        };
-        with_timeout(LINGER, rest).await
+/// The connections that are served, the oldest first. Each has the receiver of a channel: dropping the sender evicts
+/// it, and the sender is closed once the connection has ended.
+#[derive(Default)]
+struct ConnectionSlots(VecDeque<Sender<()>>);
+
+impl ConnectionSlots {
+    /// Takes a slot, that of the oldest connection if none is free.
+    fn take(&mut self) -> Receiver<()> {
+        self.0.retain(|connection| !connection.is_closed());
+        if self.0.len() == MAX_CONNECTIONS {
+            self.0.pop_front();
+        }
+        let (connection, evicted) = async_channel::bounded(1);
+        self.0.push_back(connection);
+        evicted
+    }
+}
+
+/// Serves one connection until it ends, its time is over, or it is evicted.
+async fn serve(stream: Async<TcpStream>, evicted: Receiver<()>, metrics: Arc<Metrics>) {
+    let eviction = async {
+        // Nothing is ever sent: this fails when the sender is dropped.
+        let _ = evicted.recv().await;
+        Ok(())
     };
-    let _ = with_timeout(CALL, call)
-        .or(async {
-            let _ = pushed.recv().await;
-            Ok(())
-        })
-        .await;
+    // A caller that breaks off is of no interest.
+    let _ = with_timeout(REQUEST_TIMEOUT, exchange(&stream, &metrics)).or(eviction).await;
+}
+
+/// Reads one request, sends its response, and waits for the caller to close.
+async fn exchange(mut stream: &Async<TcpStream>, metrics: &Metrics) -> Result<()> {
+    let response = read_request(stream, metrics).await?;
+    stream.write_all(response.as_bytes()).await?;
+    stream.get_ref().shutdown(Shutdown::Write)?;
+    let closed = async {
+        let mut ignored = [0; READ_BYTES];
+        while stream.read(&mut ignored).await? > 0 {}
+        Ok(())
+    };
+    with_timeout(LINGER, closed).await
+}
+
+/// Reads until there is a response.
+async fn read_request(mut stream: &Async<TcpStream>, metrics: &Metrics) -> Result<String> {
+    let mut bytes = Vec::new();
+    let mut chunk = [0; READ_BYTES];
+    loop {
+        if let Some(response) = respond(&bytes, metrics) {
+            return Ok(response);
+        }
+        match stream.read(&mut chunk).await? {
+            0 => return Err(ErrorKind::UnexpectedEof.into()),
+            length => bytes.extend_from_slice(&chunk[..length]),
+        }
+    }
 }
--- a/crates/larklink-proxy/tests/admin.rs
+++ b/crates/larklink-proxy/tests/admin.rs
@@ -160,26 +160,27 @@
         dial(42_000);
     });
     assert_eq!(refusals(&figures), (86, 1));
-    let why = "the servers that may be dialled are full or cold, or dials are held back";
+    let cause = "the available endpoints are full or warming up, or attempts are limited";
     assert_eq!(
         lines,
         [
             format!(
-                r#"WARN larklink_proxy::metrics: refuses all that comes reason=rejected why="{why}" sessions=11 ms=4000"#
+                r#"WARN larklink_proxy::metrics: rejecting all sessions reason=rejected cause="{cause}" sessions=11 duration_ms=4000"#
             ),
-            "INFO larklink_proxy::metrics: no longer refuses all that comes sessions=22 ms=23000".to_owned(),
+            "INFO larklink_proxy::metrics: no longer rejecting all sessions sessions=22 duration_ms=23000"
+                .to_owned(),
         ]
     );
     // The reason goes by what is seen then.
-    for (known, skipped, reason, why) in [
-        (0, 0, EndReason::Rejected, "the list has no servers"),
-        (9, 9, EndReason::Rejected, "each server drains, is silent or fails"),
+    for (listed, avoided, reason, cause) in [
+        (0, 0, EndReason::Rejected, "the endpoint list is empty"),
+        (9, 9, EndReason::Rejected, "every endpoint is draining, unresponsive or failing"),
         (9, 9, EndReason::NoDescriptors, "no descriptors are left"),
-        (9, 9, EndReason::Shutdown, "the proxy stops"),
+        (9, 9, EndReason::Shutdown, "the proxy is shutting down"),
     ] {
-        figures.set_endpoints(known, skipped);
+        figures.set_endpoints(listed, avoided);
         let lines = logged(|| (0..20).for_each(|n| refuse(50_000 + n * 400, reason)));
-        assert!(lines.len() == 1 && lines[0].contains(why), "{lines:?}");
+        assert!(lines.len() == 1 && lines[0].contains(cause), "{lines:?}");
         dial(60_000);
     }
     assert_eq!(refusals(&figures), (166, 5));
