--- a/crates/larklink-proxy/src/config.rs
+++ b/crates/larklink-proxy/src/config.rs
@@ -1,4 +1,5 @@
-//! What a proxy is told at its start: one JSON file.
+//! The configuration that a proxy starts with: one JSON file, and one environment variable that goes before it. This is
+//! where the names in the file are mapped.
 use std::net::{AddrParseError, SocketAddr};
 use std::path::{Path, PathBuf};
 
@@ -8,73 +9,103 @@
 use thiserror::Error;
 
 use crate::endpoint_list::Endpoint;
-use crate::protocol;
+use crate::protocol::parse_hex;
 
 /// The environment variable with the address of the admin endpoint.
 pub const ADMIN_ADDRESS_VARIABLE: &str = "ROUTER_CONSOLE";
 
+const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
+
+/// The configuration of a proxy.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Config {
+    /// The proxy's name, for its log.
     #[serde(default)]
     pub name: String,
+    /// Where clients connect to.
     pub listen: SocketAddr,
+    /// Where the endpoint list is polled.
     pub discovery: SocketAddr,
-    /// Where the operators' door listens; without it there is none. `$ROUTER_CONSOLE` goes before it.
+    /// Where the admin endpoint listens; there is none without it.
     #[serde(default, rename = "console")]
     pub admin_address: Option<SocketAddr>,
-    #[serde(deserialize_with = "hex")]
+    /// The seed of all random choices; hexadecimal in the file.
+    #[serde(deserialize_with = "deserialize_hex")]
     pub seed: u64,
+    /// Limits of the process.
     #[serde(default)]
     pub limits: Limits,
+    /// The endpoint list that the proxy starts with.
     #[serde(default, rename = "known")]
     pub cached_endpoints: CachedEndpoints,
+    /// The settings of the decisions.
     pub settings: ProxySettings,
 }
 
+/// Limits of a process.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Limits {
-    /// File descriptors that the process may hold.
+    /// File descriptors that the process may have open.
     #[serde(rename = "sockets")]
     pub max_descriptors: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { max_descriptors: 1024 }
+        Self { max_descriptors: DEFAULT_MAX_DESCRIPTORS }
     }
 }
 
-/// The list of servers as this proxy last had it; it may be old. What of it cannot be read is left out: discovery has the
-/// list, and a process that did not start for it would serve nobody.
+/// The endpoint list as this proxy last had it, which may be outdated. Unreadable entries are left out: discovery has
+/// the list, and a process that did not start for them would serve nobody.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(from = "Value")]
 pub struct CachedEndpoints {
+    /// The endpoints that could be read.
     pub endpoints: Vec<Endpoint>,
-    /// What was left out, each with its place and reason.
-    pub unreadable: Vec<String>,
+    /// What was left out.
+    pub unreadable: Vec<UnreadableEndpoints>,
+}
+
+/// Why a part of the cached endpoint list was left out.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
+pub enum UnreadableEndpoints {
+    /// There is no list of endpoints.
+    #[error("known.endpoints: no list of servers")]
+    NoList,
+    /// An entry is no endpoint.
+    #[error("known.endpoints[{index}]: {reason}")]
+    Entry {
+        /// Its place in the list.
+        index: usize,
+        /// What is wrong with it.
+        reason: String,
+    },
 }
 
 impl From<Value> for CachedEndpoints {
     fn from(mut list: Value) -> Self {
-        let mut known = Self::default();
-        match list.get_mut("endpoints").map(Value::take) {
-            Some(Value::Array(all)) => {
-                for (at, one) in all.into_iter().enumerate() {
-                    match Endpoint::deserialize(one) {
-                        Ok(one) => known.endpoints.push(one),
-                        Err(e) => known.unreadable.push(format!("known.endpoints[{at}]: {e}")),
-                    }
+        let mut cached = Self::default();
+        let Some(Value::Array(entries)) = list.get_mut("endpoints").map(Value::take) else {
+            cached.unreadable.push(UnreadableEndpoints::NoList);
+            return cached;
+        };
+        for (index, entry) in entries.into_iter().enumerate() {
+            match Endpoint::deserialize(entry) {
+                Ok(endpoint) => cached.endpoints.push(endpoint),
+                Err(error) => {
+                    let reason = error.to_string();
+                    cached.unreadable.push(UnreadableEndpoints::Entry { index, reason });
                 }
             }
-            _ => known.unreadable.push("known.endpoints: no list of servers".into()),
         }
-        known
+        cached
     }
 }
 
-fn hex<'de, D: Deserializer<'de>>(d: D) -> Result<u64, D::Error> {
-    let text = String::deserialize(d)?;
-    protocol::parse_hex(&text).ok_or_else(|| de::Error::custom(format!("seed {text:?} is not a hex number")))
+fn deserialize_hex<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
+    let text = String::deserialize(deserializer)?;
+    parse_hex(&text).ok_or_else(|| de::Error::custom(format!("seed {text:?} is not a hex number")))
 }
 
 /// Why a configuration cannot be used.
--- a/crates/larklink-proxy/tests/wire_fixtures.rs
+++ b/crates/larklink-proxy/tests/wire_fixtures.rs
@@ -162,7 +162,7 @@
     assert_eq!(config.limits.max_descriptors, 4096);
     assert_eq!(config.cached_endpoints.endpoints, endpoints());
     assert_eq!(
-        config.cached_endpoints.unreadable,
+        config.cached_endpoints.unreadable.iter().map(ToString::to_string).collect::<Vec<_>>(),
         [
             "known.endpoints[5]: missing field `address`",
             "known.endpoints[6]: invalid type: integer `5`, expected a string",
