--- a/crates/larklink-proxy/src/admin/response.rs
+++ b/crates/larklink-proxy/src/admin/response.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// A whole response; `header` is one further header line with its CRLF, or empty.
+/// A complete response; `header` is one further header line with its CRLF, or empty.
 fn response(status: &str, header: &str, body: &str) -> String {
     let length = body.len();
     format!(
--- a/crates/larklink-proxy/src/config.rs
+++ b/crates/larklink-proxy/src/config.rs
@@ -57,7 +57,7 @@
 }
 
 /// The endpoint list as this proxy last had it, which may be outdated. Unreadable entries are left out: discovery has
-/// the list, and a process that did not start for them would serve nobody.
+/// the list, and a process that refused to start would serve no client.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(from = "Value")]
 pub struct CachedEndpoints {
@@ -116,7 +116,7 @@
     Unreadable {
         /// The file.
         file: PathBuf,
-        /// What the system says.
+        /// The error of the system.
         reason: std::io::Error,
     },
     /// A field has no valid value.
--- a/crates/larklink-proxy/src/discovery/client.rs
+++ b/crates/larklink-proxy/src/discovery/client.rs
@@ -37,7 +37,7 @@
             queue: &queue,
             rng: &mut rng,
             state: WatchState::new(failures),
-            kept: None,
+            idle_connection: None,
         };
         let new_address = async {
             match new_addresses.recv().await {
@@ -58,8 +58,8 @@
     queue: &'a DecisionQueue,
     rng: &'a mut ChaCha8Rng,
     state: WatchState,
-    /// The connection of the last poll, if it can be used again.
-    kept: Option<DiscoveryConnection>,
+    /// The connection of the last poll, if the next can use it.
+    idle_connection: Option<DiscoveryConnection>,
 }
 
 impl Watch<'_> {
@@ -74,7 +74,7 @@
         let polled_at = Instant::now();
         let progress = PollProgress::default();
         match self.poll(&progress).await {
-            PollOutcome::KeptConnectionClosed => self.state.record_closed_connection(polled_at),
+            PollOutcome::ReusedConnectionClosed => self.state.record_closed_connection(polled_at),
             PollOutcome::OutdatedList(list) => self.ignore_outdated(&list, polled_at).await,
             PollOutcome::List(list) => self.accept(list, polled_at).await,
             PollOutcome::UnknownChanges(list) => self.reject_changes(&list).await,
@@ -82,25 +82,25 @@
         }
     }
 
-    /// Polls, and keeps the connection where it can be used again.
+    /// Polls, and keeps the connection open where the next poll can use it.
     async fn poll(&mut self, progress: &PollProgress) -> PollOutcome {
-        let kept = self.kept.take();
-        let was_kept = kept.is_some();
+        let reused = self.idle_connection.take();
+        let is_reused = reused.is_some();
         let path = self.state.request_path(self.schedule);
         let timeouts = self.state.part_timeouts(self.schedule);
         let total_timeout = self.state.total_timeout(self.schedule);
-        let polled = async { Ok(poll(self.address, kept, &path, &timeouts, progress).await) };
+        let polled = async { Ok(poll(self.address, reused, &path, &timeouts, progress).await) };
         let response = with_timeout(total_timeout, polled).await.unwrap_or_else(|e| Err(PollError::Io(e)));
         match response {
             Ok((list, connection)) => {
-                let outcome = self.state.classify(list, was_kept);
+                let outcome = self.state.classify(list, is_reused);
                 // What else a connection with an outdated list brings would be outdated, too.
                 let outdated = matches!(outcome, PollOutcome::OutdatedList(_));
-                self.kept = connection.filter(|_| !outdated);
+                self.idle_connection = connection.filter(|_| !outdated);
                 outcome
             }
-            Err(error) if was_kept && !progress.response_begun.get() && !error.is_timeout() => {
-                PollOutcome::KeptConnectionClosed
+            Err(error) if is_reused && !progress.response_begun.get() && !error.is_timeout() => {
+                PollOutcome::ReusedConnectionClosed
             }
             Err(error) => PollOutcome::Failed(error),
         }
--- a/crates/larklink-proxy/src/discovery/http.rs
+++ b/crates/larklink-proxy/src/discovery/http.rs
@@ -45,7 +45,7 @@
 /// A complete response.
 #[derive(Debug)]
 pub struct Response {
-    /// What it says.
+    /// The list in its body.
     pub list: EndpointList,
     /// Whether the server keeps the connection open.
     pub keep_alive: bool,
--- a/crates/larklink-proxy/src/discovery/poll.rs
+++ b/crates/larklink-proxy/src/discovery/poll.rs
@@ -1,4 +1,4 @@
-//! One poll of discovery: an HTTP request on a connection that is kept from poll to poll.
+//! One poll of discovery: an HTTP request on a connection that is reused from poll to poll.
 use std::cell::Cell;
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpStream};
@@ -52,26 +52,26 @@
     pub(crate) response: Duration,
 }
 
-/// How far a poll has come; it tells when the poll is given up, too.
+/// How far a poll has come, for the caller also if it gives the poll up.
 #[derive(Default)]
 pub(crate) struct PollProgress {
     pub(crate) connected: Cell<bool>,
     pub(crate) response_begun: Cell<bool>,
 }
 
-/// Polls once. Returns the list, and the connection if it can be kept.
+/// Polls once. Returns the list, and the connection if it can be reused.
 ///
 /// # Errors
 /// No usable response within the timeouts. There is none for the wait before a response begins: the caller has it.
 pub(crate) async fn poll(
     discovery: SocketAddr,
-    kept: Option<DiscoveryConnection>,
+    reused: Option<DiscoveryConnection>,
     path: &str,
     timeouts: &PartTimeouts,
     progress: &PollProgress,
 ) -> Result<(EndpointList, Option<DiscoveryConnection>), PollError> {
-    let mut stream = match kept {
-        Some(kept) => kept,
+    let mut stream = match reused {
+        Some(connection) => connection,
         None => with_timeout(timeouts.connect, DiscoveryConnection::connect(discovery)).await?,
     };
     progress.connected.set(true);
--- a/crates/larklink-proxy/src/discovery/schedule.rs
+++ b/crates/larklink-proxy/src/discovery/schedule.rs
@@ -24,7 +24,7 @@
 /// How long the response to a long poll may take beyond its wait.
 const LONG_POLL_MARGIN: Duration = Duration::from_millis(400);
 
-/// How long a call may take: at least, where nothing else is said, and at most.
+/// How long a call may take: the least, the default, and the most.
 const MIN_CALL_TIMEOUT: Duration = Duration::from_millis(100);
 const DEFAULT_CALL_TIMEOUT: Duration = Duration::from_millis(400);
 const MAX_CALL_TIMEOUT: Duration = Duration::from_secs(2);
@@ -67,7 +67,7 @@
     /// Derives a schedule from the settings.
     ///
     /// - `discovery_deadline`: how long a proxy may go without a poll before discovery counts it as notified.
-    /// - `drain_grace`: how long a draining endpoint may still be sent sessions; 0 if nothing is said.
+    /// - `drain_grace`: how long a draining endpoint may still be sent sessions; 0 if unknown.
     /// - `polled_discovery`: whether all proxies poll one shared service. If not, each has an agent on its own machine
     ///   to which lists are pushed; an agent that returns has to be noticed within the drain grace.
     pub fn new(discovery_deadline: TickDuration, drain_grace: TickDuration, polled_discovery: bool) -> Self {
@@ -103,7 +103,7 @@
         (self.call_timeout * 2_u32.pow(doublings)).min(MAX_CALL_TIMEOUT)
     }
 
-    /// How long a whole poll may take after so many failures in a row, of which `timeouts` connected and timed out.
+    /// How long a poll may take in all after so many failures in a row, of which `timeouts` connected and timed out.
     pub fn total_timeout(&self, failures: u32, timeouts: u32) -> Duration {
         let beyond_wait = match failures {
             0 => LONG_POLL_MARGIN,
@@ -116,7 +116,7 @@
     /// `failures_before` polls in a row had failed by then, and the poll in flight and the next ones fail, `more` in
     /// all. It is the sum of
     ///
-    /// - two rests of [`MIN_POLL_INTERVAL`], after an early response and a kept connection that turned out closed, if
+    /// - two rests of [`MIN_POLL_INTERVAL`], after an early response and a reused connection that turned out closed, if
     ///   nothing had failed before;
     /// - for each failed poll its total timeout and the longest backoff; at worst the first is a long poll that has
     ///   just begun and hangs, and the others are rejections;
--- a/crates/larklink-proxy/src/discovery/watch_state.rs
+++ b/crates/larklink-proxy/src/discovery/watch_state.rs
@@ -7,10 +7,10 @@
 
 /// What a poll brought, as far as the state decides it.
 pub(crate) enum PollOutcome {
-    /// The connection that was kept from an earlier poll had been closed; this tells nothing of discovery.
-    KeptConnectionClosed,
+    /// The connection reused from an earlier poll had been closed; this says nothing about discovery.
+    ReusedConnectionClosed,
     /// A complete list older than the one that is known: the late response to an earlier poll, in which endpoints that
-    /// drain now are ready still.
+    /// are draining now are still ready.
     OutdatedList(EndpointList),
     /// Changes to a list that is not known: the complete list has to be polled.
     UnknownChanges(EndpointList),
@@ -87,9 +87,9 @@
     }
 
     /// What a list means that a poll brought.
-    pub(crate) fn classify(&self, list: EndpointList, on_kept_connection: bool) -> PollOutcome {
+    pub(crate) fn classify(&self, list: EndpointList, on_reused_connection: bool) -> PollOutcome {
         let outdated = self.index.is_some_and(|known| list.index < known);
-        if list.snapshot && outdated && on_kept_connection {
+        if list.snapshot && outdated && on_reused_connection {
             PollOutcome::OutdatedList(list)
         } else if list.snapshot || self.index.is_some() && !outdated {
             PollOutcome::List(list)
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Records a kept connection that was closed, found by a poll that began at `polled_at`. If that took long, the
+    /// Records that a reused connection was closed, found by a poll that began at `polled_at`. If that took long, the
     /// next poll must not wait long again.
     pub(crate) fn record_closed_connection(&mut self, polled_at: Instant) {
         self.counts.failures += u32::from(polled_at.elapsed() >= MIN_POLL_INTERVAL);
--- a/crates/larklink-proxy/src/limiter/eviction.rs
+++ b/crates/larklink-proxy/src/limiter/eviction.rs
@@ -13,11 +13,11 @@
     pub(super) connection: u64,
 }
 
-/// Tells one connection that it is evicted.
+/// Signals one connection that it is evicted.
 #[derive(Clone)]
 pub(super) struct EvictionSignal {
     sender: Sender<()>,
-    /// Kept so that the channel closes by [`EvictionSignal::send`] only.
+    /// Held so that the channel closes by [`EvictionSignal::send`] only.
     receiver: Receiver<()>,
 }
 
--- a/crates/larklink-proxy/src/metrics/mod.rs
+++ b/crates/larklink-proxy/src/metrics/mod.rs
@@ -80,7 +80,7 @@
         counter.fetch_add(1, Relaxed);
     }
 
-    /// A session was rejected without an attempt. A further counter and the log tell once if all sessions are.
+    /// A session was rejected without an attempt. If all sessions are, a further counter and the log record that once.
     pub fn record_rejection_without_attempt(&self, reason: EndReason, now: Instant) {
         self.rejections_without_attempt.fetch_add(1, Relaxed);
         let mut streak = self.rejection_streak();
@@ -104,7 +104,7 @@
         }
     }
 
-    /// The whole open line of an attempt was sent.
+    /// The complete open line of an attempt was sent.
     pub fn record_attempt_sent(&self) {
         self.attempts_sent.fetch_add(1, Relaxed);
     }
@@ -126,7 +126,7 @@
         self.is_ready.store(is_ready, Relaxed);
     }
 
-    /// Whether connections are accepted, with a list as fresh as can be had, and no stop was asked for.
+    /// Whether connections are accepted, with the latest endpoint list that could be had, and no stop was asked for.
     pub fn is_ready(&self) -> bool {
         self.is_ready.load(Relaxed)
     }
--- a/crates/larklink-proxy/src/upstream/attempt.rs
+++ b/crates/larklink-proxy/src/upstream/attempt.rs
@@ -68,7 +68,7 @@
         if !may_send() {
             return Err(AttemptOutcome::NotSent);
         }
-        // The endpoint cannot have run the session before it has the whole line.
+        // The endpoint cannot have run the session before it has the complete line.
         with_timeout(self.remaining(), write_gathered(&connection.stream, open_line))
             .await
             .map_err(|_| AttemptOutcome::ConnectFailed)?;
--- a/crates/larklink-proxy/src/upstream/health_check.rs
+++ b/crates/larklink-proxy/src/upstream/health_check.rs
@@ -1,5 +1,5 @@
-//! Health checks: one request line and one answer, on a connection that is kept from check to check. Fewer connections
-//! are kept than there are endpoints if fewer descriptors are reserved for them.
+//! Health checks: one request line and one answer, on a connection that is reused from check to check. If fewer
+//! descriptors are reserved for health checks than there are endpoints, fewer connections are held open.
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::io::{ErrorKind, IoSlice};
@@ -29,15 +29,15 @@
     /// How long a connection may take, and an answer after it.
     timeout: Duration,
     idle: RefCell<HashMap<EndpointId, IdleConnection>>,
-    /// Endpoints with a check in flight that have not left the list since: the connection of each may be kept.
+    /// Endpoints with a check in flight that have not left the list since: the connection of each may be held open.
     in_flight: RefCell<HashSet<EndpointId>>,
-    /// How many checks wait for a permit; no connection is kept meanwhile.
+    /// How many checks wait for a permit; no connection is held open meanwhile.
     waiting: Cell<usize>,
     queue: DecisionQueue,
     limiter: Rc<ConnectionLimiter>,
 }
 
-/// A connection that is kept for the next check.
+/// A connection that is held open for the next check.
 struct IdleConnection {
     address: SocketAddr,
     connection: Connection,
@@ -78,16 +78,16 @@
     pub async fn check(&self, endpoint: EndpointId, address: SocketAddr) {
         self.in_flight.borrow_mut().insert(endpoint);
         let idle = self.idle.borrow_mut().remove(&endpoint);
-        let (kept, permit) = match idle {
+        let (reused, permit) = match idle {
             Some(idle) => (Some(idle.connection).filter(|_| idle.address == address), idle.permit),
             None => (None, self.acquire_permit().await),
         };
         let started_at = Instant::now();
-        let result = self.run(kept, address).await;
-        let may_keep = self.in_flight.borrow_mut().remove(&endpoint) && self.waiting.get() == 0;
+        let result = self.run(reused, address).await;
+        let may_hold = self.in_flight.borrow_mut().remove(&endpoint) && self.waiting.get() == 0;
         let answer = match result {
             Ok(Exchange { connection, answer }) => {
-                if may_keep {
+                if may_hold {
                     let idle = IdleConnection { address, connection, permit, last_checked_at: started_at };
                     self.idle.borrow_mut().insert(endpoint, idle);
                 }
@@ -135,11 +135,11 @@
         idle.remove(&endpoint)
     }
 
-    /// Exchanges lines with an endpoint, on a kept connection if it still works, or else on a new one.
-    async fn run(&self, kept: Option<Connection>, address: SocketAddr) -> Result<Exchange, AttemptOutcome> {
-        if let Some(connection) = kept {
+    /// Exchanges lines with an endpoint, on an idle connection if it still works, or else on a new one.
+    async fn run(&self, reused: Option<Connection>, address: SocketAddr) -> Result<Exchange, AttemptOutcome> {
+        if let Some(connection) = reused {
             let result = self.exchange(connection).await;
-            // The endpoint may have closed it as idle, or restarted, which tells nothing of its health now.
+            // The endpoint may have closed it as idle, or restarted, which says nothing about its health now.
             if !matches!(result, Err(AttemptOutcome::Reset)) {
                 return result;
             }
