--- a/crates/larklink-proxy/src/decision_task.rs
+++ b/crates/larklink-proxy/src/decision_task.rs
@@ -1,4 +1,5 @@
-//! The task that owns the decisions. Socket code reaches them through a [`Queue`] and hears back by orders.
+//! The task that owns the decisions. All other tasks reach them through the [`DecisionQueue`](crate::events::DecisionQueue)
+//! and get commands back.
 use std::collections::{BTreeMap, HashMap};
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -10,8 +11,10 @@
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use futures_lite::{FutureExt, future};
-use larklink_balancer::{AttemptOutcome, ListScope, LogEvent, Observation, Timestamp};
-use larklink_engine::engine::{Engine, ProxyAction};
+use larklink_balancer::{
+    AttemptOutcome, ListScope, LogEvent, Observation, SessionRequest, TickDuration, Timestamp,
+};
+use larklink_engine::engine::{AttemptNumber, EndpointId, Engine, ProxyAction, SessionId};
 use larklink_engine::settings::ProxySettings;
 
 use crate::clock::{Clock, to_ticks};
@@ -21,221 +24,277 @@
 use crate::upstream::health_check::HealthChecker;
 use crate::upstream::message_latency::LatencyEstimator;
 
-/// Events that are heard before the others have their turn: a whole queue of sessions and a list of 1,024 servers
-/// take longer than a client that has left may go unnoticed, while its connection comes up.
-const TURN: usize = 64;
+/// Events that are handled before other tasks run. A full queue and a list of 1,024 endpoints take longer than it may take
+/// to notice that a client has left while its connection comes up.
+const MAX_EVENTS_AT_ONCE: usize = 64;
 
+/// Owns the engine: feeds it the events of the queue and carries out its actions.
 pub struct DecisionTask {
     engine: Engine,
     clock: Clock,
+    /// The names of the zones; an endpoint's zone is an index into them.
     zones: Vec<String>,
-    delays: Option<LatencyEstimator>,
-    addresses: HashMap<u32, SocketAddr>,
-    /// The list as it stands.
-    listed: BTreeMap<u32, Endpoint>,
-    /// Where the orders of each session go.
-    orders: HashMap<u32, Sender<SessionCommand>>,
-    probes: Rc<HealthChecker>,
+    /// None where message latency is not reported.
+    message_latency: Option<LatencyEstimator>,
+    /// The last address of each endpoint that was ever listed.
+    addresses: HashMap<EndpointId, SocketAddr>,
+    /// The endpoint list as it is now.
+    endpoints: BTreeMap<EndpointId, Endpoint>,
+    /// Where the commands of each session go.
+    commands: HashMap<SessionId, Sender<SessionCommand>>,
+    health_checker: Rc<HealthChecker>,
     executor: Rc<LocalExecutor<'static>>,
-    figures: Arc<Metrics>,
+    metrics: Arc<Metrics>,
     /// Closes with the first list that discovery sends.
-    fresh: Option<Sender<Infallible>>,
+    first_list: Option<Sender<Infallible>>,
 }
 
 impl DecisionTask {
+    /// A task that starts with the cached endpoint list. `first_list` is closed with the first list that discovery sends.
     pub fn new(
-        facts: &ProxySettings,
+        settings: &ProxySettings,
         seed: u64,
-        known: Vec<Endpoint>,
-        probes: Rc<HealthChecker>,
+        cached_endpoints: Vec<Endpoint>,
+        health_checker: Rc<HealthChecker>,
         executor: Rc<LocalExecutor<'static>>,
-        figures: Arc<Metrics>,
-        fresh: Sender<Infallible>,
+        metrics: Arc<Metrics>,
+        first_list: Sender<Infallible>,
     ) -> Self {
         let clock = Clock::start();
-        let mut owner = Self {
-            engine: Engine::new(facts, seed, clock.now()),
+        let message_objective = settings.settings.message_objective;
+        let mut task = Self {
+            engine: Engine::new(settings, seed, clock.now()),
             clock,
-            zones: facts.zones.clone(),
-            delays: facts.tells_delay.then(|| LatencyEstimator::new(facts.settings.message_objective)),
+            zones: settings.zones.clone(),
+            message_latency: settings.tells_delay.then(|| LatencyEstimator::new(message_objective)),
             addresses: HashMap::new(),
-            listed: BTreeMap::new(),
-            orders: HashMap::new(),
-            probes,
+            endpoints: BTreeMap::new(),
+            commands: HashMap::new(),
+            health_checker,
             executor,
-            figures,
-            fresh: Some(fresh),
+            metrics,
+            first_list: Some(first_list),
         };
-        owner.heard_list(clock.now(), ListScope::Cached, known);
-        owner
+        task.update_endpoints(clock.now(), ListScope::Cached, &cached_endpoints);
+        task
     }
 
+    /// Runs for as long as the process.
     pub async fn run(mut self, events: Receiver<DecisionEvent>) {
         loop {
-            let due = self.clock.to_instant(self.engine.next_wakeup());
-            let first = async { events.recv().await.ok() }
-                .or(async {
-                    Timer::at(due).await;
-                    None
-                })
-                .await;
+            let wakeup = self.clock.to_instant(self.engine.next_wakeup());
+            let event = async { events.recv().await.ok() };
+            let due = async {
+                Timer::at(wakeup).await;
+                None
+            };
+            let first = event.or(due).await;
             let now = self.clock.now();
-            // What has come by now, up to a turn of it, then polls once.
             let more = std::iter::from_fn(|| events.try_recv().ok());
-            first.into_iter().chain(more).take(TURN).for_each(|event| self.hear(now, event));
+            for event in first.into_iter().chain(more).take(MAX_EVENTS_AT_ONCE) {
+                self.handle(now, event);
+            }
             for action in self.engine.poll(now) {
-                self.act(now, action);
+                self.perform(now, action);
             }
             let health = self.engine.health_summary();
-            self.figures.set_endpoints(health.listed, health.avoided);
+            self.metrics.set_endpoints(health.listed, health.avoided);
             if !events.is_empty() {
                 future::yield_now().await;
             }
         }
     }
 
-    fn hear(&mut self, now: Timestamp, event: DecisionEvent) {
+    fn handle(&mut self, now: Timestamp, event: DecisionEvent) {
         tracing::debug!(?event);
         match event {
-            DecisionEvent::OpenSession { session, received_at: came, request: mut ask, commands: orders } => {
-                ask.dial_timeout = ask.dial_timeout.saturating_sub(to_ticks(came.elapsed()));
-                self.orders.insert(session, orders);
-                if let Some(action) = self.engine.open_session(now, session, ask) {
-                    self.act(now, action);
-                }
-            }
-            DecisionEvent::FindEndpoint { session, endpoint: server, commands: orders } => {
-                let address = self.addresses.get(&server).copied();
-                let now = Instant::now();
-                let _ = orders.try_send(SessionCommand::Connect {
-                    attempt: 0,
-                    endpoint: server,
-                    address,
-                    deadline: now,
-                    send_deadline: now,
-                });
-                self.orders.insert(session, orders);
-            }
-            DecisionEvent::AdoptEstablished { session, request: ask, endpoint: server } => {
-                self.engine.adopt_established(now, session, ask, server)
-            }
-            DecisionEvent::Established { session, attempt: dial } => {
-                self.engine.established(now, session, dial)
-            }
-            DecisionEvent::AttemptEnded { session, attempt: dial, outcome: how, session_over: over } => {
-                if over {
-                    self.orders.remove(&session);
-                }
-                if let Some(action) = self.engine.attempt_ended(now, session, dial, how, over) {
-                    self.act(now, action);
-                }
+            DecisionEvent::OpenSession { session, received_at, request, commands } => {
+                self.commands.insert(session, commands);
+                self.open_session(now, session, received_at, request);
+            }
+            DecisionEvent::FindEndpoint { session, endpoint, commands } => {
+                self.send_address(endpoint, &commands);
+                self.commands.insert(session, commands);
+            }
+            DecisionEvent::AdoptEstablished { session, request, endpoint } => {
+                self.engine.adopt_established(now, session, request, endpoint);
+            }
+            DecisionEvent::Established { session, attempt } => {
+                self.engine.established(now, session, attempt);
+            }
+            DecisionEvent::AttemptEnded { session, attempt, outcome, session_over } => {
+                self.end_attempt(now, session, attempt, outcome, session_over);
             }
             DecisionEvent::ClientLeft { session } => {
-                self.orders.remove(&session);
+                self.commands.remove(&session);
                 self.engine.client_left(session);
             }
-            DecisionEvent::Observed { session, attempt: dial, observation: note } => {
-                self.engine.observe(now, session, dial, note)
+            DecisionEvent::Observed { session, attempt, observation } => {
+                self.engine.observe(now, session, attempt, observation);
             }
-            DecisionEvent::MessageAnswered { session, attempt: dial, endpoint: server, took } => {
-                if let Some(delay) = self.delays.as_mut().and_then(|d| d.record_answer(now, server, took)) {
-                    self.engine.observe(now, session, dial, Observation::MessageLatency(delay));
-                }
+            DecisionEvent::MessageAnswered { session, attempt, endpoint, took } => {
+                self.record_message(now, session, attempt, endpoint, took);
             }
-            DecisionEvent::HealthChecked { endpoint: server, outcome: how, took, load_report: report } => {
-                self.engine.health_checked(now, server, how, took, &report)
+            DecisionEvent::HealthChecked { endpoint, outcome, took, load_report } => {
+                self.engine.health_checked(now, endpoint, outcome, took, &load_report);
             }
             DecisionEvent::EndpointList(scope, endpoints) => {
-                self.heard_list(now, scope, endpoints);
-                self.fresh = None;
+                self.update_endpoints(now, scope, &endpoints);
+                self.first_list = None;
             }
             DecisionEvent::TakeOver => self.engine.take_over(now),
-            DecisionEvent::CurrentEndpoints(to) => _ = to.try_send(self.listed.values().cloned().collect()),
+            DecisionEvent::CurrentEndpoints(reply) => {
+                // It only fails when the asking task has ended.
+                let _ = reply.try_send(self.endpoints.values().cloned().collect());
+            }
             DecisionEvent::DiscoveryFailed => self.engine.discovery_failed(now),
         }
     }
 
-    fn heard_list(&mut self, now: Timestamp, scope: ListScope, endpoints: Vec<Endpoint>) {
+    fn open_session(
+        &mut self,
+        now: Timestamp,
+        session: SessionId,
+        received_at: Instant,
+        mut request: SessionRequest,
+    ) {
+        let waited = to_ticks(received_at.elapsed());
+        request.dial_timeout = request.dial_timeout.saturating_sub(waited);
+        if let Some(action) = self.engine.open_session(now, session, request) {
+            self.perform(now, action);
+        }
+    }
+
+    /// Tells a session that is established already where its endpoint is.
+    fn send_address(&self, endpoint: EndpointId, commands: &Sender<SessionCommand>) {
+        let now = Instant::now();
+        let connect = SessionCommand::Connect {
+            attempt: 0,
+            endpoint,
+            address: self.addresses.get(&endpoint).copied(),
+            deadline: now,
+            send_deadline: now,
+        };
+        // It only fails when the session has ended.
+        let _ = commands.try_send(connect);
+    }
+
+    fn end_attempt(
+        &mut self,
+        now: Timestamp,
+        session: SessionId,
+        attempt: AttemptNumber,
+        outcome: AttemptOutcome,
+        session_over: bool,
+    ) {
+        if session_over {
+            self.commands.remove(&session);
+        }
+        if let Some(action) = self.engine.attempt_ended(now, session, attempt, outcome, session_over) {
+            self.perform(now, action);
+        }
+    }
+
+    fn record_message(
+        &mut self,
+        now: Timestamp,
+        session: SessionId,
+        attempt: AttemptNumber,
+        endpoint: EndpointId,
+        took: TickDuration,
+    ) {
+        let Some(estimator) = &mut self.message_latency else { return };
+        if let Some(latency) = estimator.record_answer(now, endpoint, took) {
+            self.engine.observe(now, session, attempt, Observation::MessageLatency(latency));
+        }
+    }
+
+    fn update_endpoints(&mut self, now: Timestamp, scope: ListScope, endpoints: &[Endpoint]) {
         if scope != ListScope::Changes {
-            self.listed.clear();
+            self.endpoints.clear();
         }
-        for e in &endpoints {
-            let id = endpoint_id(&e.name);
-            match e.address.parse() {
-                Ok(address) => {
-                    self.addresses.insert(id, address);
-                }
-                Err(_) if e.status == "up" => tracing::warn!("server {} has no address we can read", e.name),
-                Err(_) => {}
-            }
-            if e.status == "removed" {
-                self.listed.remove(&id);
-            } else {
-                self.listed.insert(id, e.clone());
-            }
-            tracing::info!("server {} {} is {:08x}, since {}", e.name, e.status, id, e.started_at_ms);
+        for endpoint in endpoints {
+            self.update_endpoint(endpoint);
         }
-        self.probes.update_endpoints(&self.listed);
-        self.engine.update_endpoints(now, scope, endpoints.iter().map(|e| e.to_entry(&self.zones)).collect());
+        self.health_checker.update_endpoints(&self.endpoints);
+        let entries = endpoints.iter().map(|endpoint| endpoint.to_entry(&self.zones)).collect();
+        self.engine.update_endpoints(now, scope, entries);
     }
 
-    fn act(&mut self, now: Timestamp, action: ProxyAction) {
+    fn update_endpoint(&mut self, endpoint: &Endpoint) {
+        let Endpoint { name, status, address, .. } = endpoint;
+        let id = endpoint_id(name);
+        match address.parse() {
+            Ok(address) => {
+                self.addresses.insert(id, address);
+            }
+            Err(_) if status == "up" => tracing::warn!(name, address, "endpoint has no valid address"),
+            Err(_) => {}
+        }
+        if status == "removed" {
+            self.endpoints.remove(&id);
+        } else {
+            self.endpoints.insert(id, endpoint.clone());
+        }
+        let started_at_ms = endpoint.started_at_ms;
+        tracing::info!(endpoint = format!("{id:08x}"), name, status, started_at_ms, "endpoint listed");
+    }
+
+    fn perform(&mut self, now: Timestamp, action: ProxyAction) {
         tracing::debug!(?action);
-        let (session, order) = match action {
-            ProxyAction::Connect {
-                session,
-                attempt: dial,
-                endpoint: server,
-                timeout: limit,
-                send_deadline: by,
-            } => {
-                let address = self.addresses.get(&server).copied();
-                let (until, by) = (self.clock.to_instant(now + limit), self.clock.to_instant(by));
-                (
-                    session,
-                    SessionCommand::Connect {
-                        attempt: dial,
-                        endpoint: server,
-                        address,
-                        deadline: until,
-                        send_deadline: by,
-                    },
-                )
-            }
-            ProxyAction::LimitSendDeadline { session, attempt: dial, send_deadline: by } => (
-                session,
-                SessionCommand::LimitSendDeadline { attempt: dial, send_deadline: self.clock.to_instant(by) },
-            ),
-            ProxyAction::Reject { session, retry_after } => (session, SessionCommand::Reject { retry_after }),
-            ProxyAction::Fail { session } => (session, SessionCommand::Fail),
-            ProxyAction::Migrate { session } => (session, SessionCommand::Migrate),
-            ProxyAction::CheckHealth { endpoint: server } => {
-                match self.addresses.get(&server) {
-                    Some(&address) => {
-                        let probes = Rc::clone(&self.probes);
-                        self.executor.spawn(async move { probes.check(server, address).await }).detach();
-                    }
-                    None => self.engine.health_checked(now, server, AttemptOutcome::ConnectFailed, 0, &[]),
-                }
-                return;
+        match action {
+            ProxyAction::Connect { session, attempt, endpoint, timeout, send_deadline } => {
+                let command = SessionCommand::Connect {
+                    attempt,
+                    endpoint,
+                    address: self.addresses.get(&endpoint).copied(),
+                    deadline: self.clock.to_instant(now + timeout),
+                    send_deadline: self.clock.to_instant(send_deadline),
+                };
+                self.command(session, command);
+            }
+            ProxyAction::LimitSendDeadline { session, attempt, send_deadline } => {
+                let send_deadline = self.clock.to_instant(send_deadline);
+                self.command(session, SessionCommand::LimitSendDeadline { attempt, send_deadline });
+            }
+            ProxyAction::Reject { session, retry_after } => {
+                self.last_command(session, SessionCommand::Reject { retry_after });
             }
+            ProxyAction::Fail { session } => self.last_command(session, SessionCommand::Fail),
+            ProxyAction::Migrate { session } => self.last_command(session, SessionCommand::Migrate),
+            ProxyAction::CheckHealth { endpoint } => self.check_health(now, endpoint),
             // The list is followed all the time.
-            ProxyAction::PollEndpointList => return,
-            ProxyAction::Log(event) => return log_event(event),
-        };
-        let last =
-            !matches!(order, SessionCommand::Connect { .. } | SessionCommand::LimitSendDeadline { .. });
-        if let Some(orders) = self.orders.get(&session) {
-            // A session has at most a dial, word on it and a move waiting for it; one that has ended hears no more.
-            let _ = orders.try_send(order);
+            ProxyAction::PollEndpointList => {}
+            ProxyAction::Log(event) => log(event),
         }
-        if last {
-            self.orders.remove(&session);
+    }
+
+    /// Sends a command to a session.
+    fn command(&self, session: SessionId, command: SessionCommand) {
+        if let Some(commands) = self.commands.get(&session) {
+            // The channel has room for all commands that can wait at once; a session that has ended reads none.
+            let _ = commands.try_send(command);
         }
     }
+
+    /// Sends a command after which a session gets no other.
+    fn last_command(&mut self, session: SessionId, command: SessionCommand) {
+        self.command(session, command);
+        self.commands.remove(&session);
+    }
+
+    fn check_health(&mut self, now: Timestamp, endpoint: EndpointId) {
+        let Some(&address) = self.addresses.get(&endpoint) else {
+            self.engine.health_checked(now, endpoint, AttemptOutcome::ConnectFailed, 0, &[]);
+            return;
+        };
+        let checker = Rc::clone(&self.health_checker);
+        // Ends by the check's own timeout.
+        self.executor.spawn(async move { checker.check(endpoint, address).await }).detach();
+    }
 }
 
-fn log_event(event: LogEvent) {
+fn log(event: LogEvent) {
     match event {
         LogEvent::EndpointEjected { endpoint_id, sessions } => {
             let endpoint = format!("{endpoint_id:08x}");
