--- a/crates/larklink-proxy/src/lib.rs
+++ b/crates/larklink-proxy/src/lib.rs
@@ -1,5 +1,6 @@
 //! A proxy for long-lived connections on sockets, round the larklink decisions. One thread runs it all; one
 //! task owns the decisions (`decisions`), and every other reaches them through its queue only.
+mod accept;
 pub mod admin;
 pub mod clock;
 pub mod config;
--- a/crates/larklink-proxy/tests/stage/mod.rs
+++ b/crates/larklink-proxy/tests/stage/mod.rs
@@ -15,7 +15,7 @@
 use futures_lite::future;
 use larklink_proxy::config::Config;
 use larklink_proxy::metrics::Metrics;
-use larklink_proxy::proxy::{self, Start};
+use larklink_proxy::proxy::{self, ProxyOptions};
 
 #[path = "../peer/mod.rs"]
 pub mod peer;
@@ -157,10 +157,17 @@
     let (hold, holding) = Hold::new();
     let thread = thread::spawn(move || {
         let executor = Rc::new(LocalExecutor::new());
-        let start =
-            Start { config, listener, stop: stopping, moved, figures: counted, place: None, old: None };
+        let options = ProxyOptions {
+            config,
+            listener,
+            shutdown: stopping,
+            discovery_addresses: moved,
+            metrics: counted,
+            socket_path: None,
+            predecessor: None,
+        };
         executor.spawn(holding).detach();
-        let run = proxy::run(start, Rc::clone(&executor));
+        let run = proxy::run(options, Rc::clone(&executor));
         async_io::block_on(executor.run(run)).unwrap();
     });
     Proxy { address, stop, thread, figures, hold }
