--- a/crates/larklink-proxy/tests/discovery.rs
+++ b/crates/larklink-proxy/tests/discovery.rs
@@ -1,5 +1,6 @@
-//! When a change of the list is heard at the latest, whatever becomes of the calls before: the sum for all settings, and
-//! a stand-in agent that fails in every order and then has a drain to tell.
+//! When a change of the endpoint list arrives at the latest, whatever becomes of the polls before: the bound for all
+//! settings, and a stand-in for discovery that fails in every order and then sends a drain.
+#![allow(clippy::unwrap_used, reason = "a test stops where its setup fails")]
 use std::net::TcpListener;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -18,57 +19,62 @@
     std::iter::once(0).chain((0..120).map(|n| 1.19_f64.powi(n) as u64)).chain([u64::MAX / 100])
 }
 
-/// A list was asked for again only a quarter of `must_ask_in` later, whatever that was, and an answer that never ended
-/// was waited for sixteen times as long after four failures.
 #[test]
-fn what_can_be_had_is_heard_within_six_seconds_whatever_the_settings() {
-    let (most, mut chance) = (NOTIFICATION_DEADLINE - SCHEDULING_MARGIN, ChaCha8Rng::seed_from_u64(7));
-    for (must_ask_in, grace) in spans().flat_map(|must| spans().map(move |grace| (must, grace))) {
-        for on_request in [false, true] {
-            let schedule = PollSchedule::new(must_ask_in, grace, on_request);
-            let of = format!("must_ask_in {must_ask_in}, drain_grace {grace}, {on_request}: {schedule:?}");
-            assert!((0..40).all(|failed| schedule.max_notification_delay(failed, 1) <= most), "{of}");
-            assert!(schedule.max_notification_delay(0, 3) <= most, "{of}");
-            // After SIGHUP, as if one had failed before.
+fn a_change_arrives_within_six_seconds_whatever_the_settings() {
+    let bound = NOTIFICATION_DEADLINE - SCHEDULING_MARGIN;
+    let mut rng = ChaCha8Rng::seed_from_u64(7);
+    for (discovery_deadline, grace) in
+        spans().flat_map(|deadline| spans().map(move |grace| (deadline, grace)))
+    {
+        for polled_discovery in [false, true] {
+            let schedule = PollSchedule::new(discovery_deadline, grace, polled_discovery);
+            let of = format!(
+                "discovery_deadline {discovery_deadline}, drain_grace {grace}, {polled_discovery}: {schedule:?}"
+            );
+            assert!((0..40).all(|failed| schedule.max_notification_delay(failed, 1) <= bound), "{of}");
+            assert!(schedule.max_notification_delay(0, 3) <= bound, "{of}");
+            // After SIGHUP, as if one poll had failed before.
             assert!(
                 schedule.max_notification_delay(1, 2) <= Duration::from_secs(4) - SCHEDULING_MARGIN,
                 "{of}"
             );
-            // Each order of three that hang or are refused, as it goes: never over the sum.
+            // Each order of three polls that hang or are rejected: never over the bound.
             for order in 0..8 {
-                let (mut all, mut refusals) = (Duration::ZERO, 0);
+                let mut all = Duration::ZERO;
+                let mut rejections = 0;
                 for failed in 0..3 {
-                    let refused = order >> failed & 1 == 1;
-                    refusals += u32::from(refused);
-                    let longest = if refused { schedule.max_rejection_backoff } else { schedule.max_backoff };
-                    let call = if refused {
+                    let rejected = order >> failed & 1 == 1;
+                    rejections += u32::from(rejected);
+                    let longest =
+                        if rejected { schedule.max_rejection_backoff } else { schedule.max_backoff };
+                    let call = if rejected {
                         schedule.call_timeout_after(failed)
                     } else {
                         schedule.total_timeout(failed, failed)
                     };
-                    all += call + backoff(refusals.max(1), longest, &mut chance);
+                    all += call + backoff(rejections.max(1), longest, &mut rng);
                 }
                 assert!(
                     all + schedule.call_timeout_after(3) <= schedule.max_notification_delay(0, 3),
                     "{of}, order {order:03b}"
                 );
             }
-            // While no connection comes up, however long, the agent's return falls into three quarters of a grace.
+            // While no connection comes up, however long, an agent's return is noticed within three quarters of a grace.
             assert!(
-                on_request
+                polled_discovery
                     || grace < 2_000
                     || schedule.call_timeout + schedule.max_backoff <= to_duration(grace) * 3 / 4,
                 "{of}"
             );
-            // Never without end, and never so short that no answer could be read.
+            // Never in a tight loop, and never so short that no response could be read.
             assert!(
                 schedule.call_timeout >= Duration::from_millis(100)
                     && schedule.max_backoff >= Duration::from_millis(10),
                 "{of}"
             );
-            // Pushed lists are asked for again within the grace, but for graces of under 40 ms.
+            // Pushed lists are polled again within the grace, but for graces under 40 ms.
             let quarter = to_duration(grace).max(Duration::from_millis(40)) / 4;
-            assert!(on_request || grace == 0 || schedule.max_rejection_backoff <= quarter, "{of}");
+            assert!(polled_discovery || grace == 0 || schedule.max_rejection_backoff <= quarter, "{of}");
         }
     }
 }
@@ -77,15 +83,15 @@
 enum Failure {
     /// Accepted, and nothing more.
     Hangs,
-    Refuses,
-    /// An answer that begins and never ends, a byte now and then.
+    Rejects,
+    /// A response that begins and never ends, a byte now and then.
     Drips,
     Resets,
 }
 
-const FAILURES: [Failure; 4] = [Failure::Hangs, Failure::Refuses, Failure::Drips, Failure::Resets];
+const FAILURES: [Failure; 4] = [Failure::Hangs, Failure::Rejects, Failure::Drips, Failure::Resets];
 
-/// Lets the call that comes next fail: when it came. The connection is kept as long as `held` lives.
+/// Fails the next poll, and returns when it arrived. Its connection stays open as long as `held` lives.
 fn fail(agent: &TcpListener, how: Failure, call: Option<Peer>, held: &mut Vec<Peer>) -> Instant {
     let mut call = call.unwrap_or_else(|| {
         let mut call = Peer::accept(agent);
@@ -95,7 +101,7 @@
     let came = Instant::now();
     match how {
         Failure::Hangs => held.push(call),
-        Failure::Refuses => {
+        Failure::Rejects => {
             call.say("HTTP/1.1 503 Overbooked\r\ncontent-length: 0\r\n\r\n");
             held.push(call);
         }
@@ -114,30 +120,31 @@
     came
 }
 
-/// Every order of three failures, then a drain that the next call brings, side by side: heard by the decisions within the
-/// sum from the first failure and from the last, in both modes. A watch waits for half a second here; a few orders are
-/// played with the longest waits that there are.
+/// Every order of three failures, then a drain that the next poll brings, all in parallel: it arrives within the bound
+/// from the first failure and from the last, in both modes. A long poll waits for half a second here; a few orders are
+/// run with the longest waits that there are.
 #[test]
-fn a_drain_is_heard_in_time_after_three_failures_in_every_order() {
+fn a_drain_arrives_in_time_after_three_failures_in_every_order() {
     let orders = (0..64).map(|n| [n, n / 4, n / 16].map(|at| FAILURES[at % 4]));
-    let longest = [Failure::Hangs, Failure::Refuses].map(|how| [Failure::Hangs, how, how]);
+    let longest = [Failure::Hangs, Failure::Rejects].map(|how| [Failure::Hangs, how, how]);
     let all = orders.map(|order| (order, 20_000, 5_000)).chain(longest.map(|order| (order, 600_000, 50_000)));
-    let plays = all.flat_map(|(order, must_ask_in, grace)| {
-        [false, true].map(|asks| thread::spawn(move || is_heard_in_time(order, must_ask_in, grace, asks)))
+    let runs = all.flat_map(|(order, discovery_deadline, grace)| {
+        [false, true]
+            .map(|polled| thread::spawn(move || arrives_in_time(order, discovery_deadline, grace, polled)))
     });
-    for play in plays.collect::<Vec<_>>() {
-        play.join().unwrap();
+    for run in runs.collect::<Vec<_>>() {
+        run.join().unwrap();
     }
 }
 
-fn is_heard_in_time(order: [Failure; 3], must_ask_in: u64, grace: u64, on_request: bool) {
-    let schedule = PollSchedule::new(must_ask_in, grace, on_request);
+fn arrives_in_time(order: [Failure; 3], discovery_deadline: u64, grace: u64, polled_discovery: bool) {
+    let schedule = PollSchedule::new(discovery_deadline, grace, polled_discovery);
     let ((_listener, at), (agent, discovery)) = (server(), server());
     let config = config(&[], discovery, "proxy", 1024)
         .replace(r#""drain_grace_ns":500000000"#, &format!(r#""drain_grace_ns":{grace}00000"#))
-        .replace(r#""safety":{"#, &format!(r#""safety":{{"must_ask_in_ns":{must_ask_in}00000,"#));
-    let asks = if on_request { r#""discovery":"on_request","safety""# } else { r#""safety""# };
-    let proxy = start_by(&config.replace(r#""safety""#, asks));
+        .replace(r#""safety":{"#, &format!(r#""safety":{{"must_ask_in_ns":{discovery_deadline}00000,"#));
+    let mode = if polled_discovery { r#""discovery":"on_request","safety""# } else { r#""safety""# };
+    let proxy = start_by(&config.replace(r#""safety""#, mode));
     let mut watch = Peer::accept(&agent);
     asked(&mut watch);
     told(&mut watch, &list(41, true, &[endpoint("s-0", at, "up"), endpoint("s-1", at, "up")]));
@@ -153,7 +160,7 @@
     told(&mut call, &list(42, false, &[endpoint("s-0", at, "removed")]));
     figures_end(&proxy, [0, 0, 1]);
     let (first, last) = (first.elapsed(), last.elapsed());
-    // So much more for a machine on which all of them run at once.
+    // The margin is for a machine on which all runs are in parallel.
     let what = format!("{order:?} {schedule:?}: {first:?} from the first failure, {last:?} from the last");
     assert!(
         first <= schedule.max_notification_delay(0, 3) + SCHEDULING_MARGIN
@@ -162,8 +169,8 @@
     );
 }
 
-/// A proxy with two servers that it has just been told of, watched at an agent; a watch waits for half a second.
-fn watched(a: std::net::SocketAddr, b: std::net::SocketAddr) -> (Proxy, TcpListener, Peer) {
+/// A proxy with a list of two endpoints, its discovery, and its long poll in flight, which waits for half a second.
+fn start_with_two(a: std::net::SocketAddr, b: std::net::SocketAddr) -> (Proxy, TcpListener, Peer) {
     let (agent, discovery) = server();
     let config = config(&[], discovery, "proxy", 1024);
     let proxy = start_by(&config.replace(r#""safety":{"#, r#""safety":{"must_ask_in_ns":2000000000,"#));
@@ -174,44 +181,44 @@
     (proxy, agent, watch)
 }
 
-/// Sessions with any key go to this server, and none to the other.
-fn only(proxy: &Proxy, to: &TcpListener, other: &TcpListener) {
+/// Sessions with any key go to one endpoint, and none to the other.
+fn only_to(proxy: &Proxy, to: &TcpListener, other: &TcpListener) {
     for key in 0..8 {
         standing_by(&open(&format!("c=chat,t=acme,d=2000,g={key}")), proxy.address, to);
     }
     assert_eq!(heads(other), [""; 0]);
 }
 
-/// Who is missing from it is gone, who drains in it drains, and the watch goes on from there.
+/// Endpoints that it lacks are removed, those that drain in it drain, and polls go on from its index.
 #[test]
-fn a_whole_list_may_answer_a_watch() {
+fn a_complete_list_may_answer_a_long_poll() {
     let ((first, a), (second, b)) = (server(), server());
     for body in [
         list(43, true, &[endpoint("s-1", b, "up")]),
         list(43, true, &[endpoint("s-0", a, "draining"), endpoint("s-1", b, "up")]),
     ] {
-        let (proxy, _agent, mut watch) = watched(a, b);
+        let (proxy, _agent, mut watch) = start_with_two(a, b);
         told(&mut watch, &body);
         assert!(asked(&mut watch).starts_with("/api/targets?after=43&wait_ms=500"));
-        only(&proxy, &second, &first);
-        // An equal one may come again, and changes to it.
+        only_to(&proxy, &second, &first);
+        // An equal list may arrive again, and changes to it.
         told(&mut watch, &body);
         assert!(asked(&mut watch).starts_with("/api/targets?after=43&"));
         told(&mut watch, &list(44, false, &[endpoint("s-2", a, "up"), endpoint("s-1", b, "draining")]));
         assert!(asked(&mut watch).starts_with("/api/targets?after=44&"));
-        only(&proxy, &first, &second);
+        only_to(&proxy, &first, &second);
     }
 }
 
-/// The watch falls silent, and what it missed comes as a whole list to the one that is opened anew; word on the old one
+/// A long poll hangs, and a new one brings what it missed as a complete list; a late response on the old connection
 /// changes nothing.
 #[test]
-fn a_list_that_comes_whole_after_a_silence_is_heard_in_time() {
+fn a_complete_list_after_a_hung_poll_arrives_in_time() {
     let ((first, a), (second, b)) = (server(), server());
-    let (proxy, agent, mut silent) = watched(a, b);
+    let (proxy, agent, mut hung) = start_with_two(a, b);
     let begun = Instant::now();
     let mut watch = Peer::accept(&agent);
-    // It hardly waits: whether the agent is there is to be known soon.
+    // Its wait is short: whether discovery is there has to show early.
     assert_eq!(asked(&mut watch), "/api/targets?after=41&wait_ms=100");
     told(&mut watch, &list(43, true, &[endpoint("s-1", b, "up")]));
     assert!(asked(&mut watch).starts_with("/api/targets?after=43&wait_ms=500"));
@@ -221,25 +228,24 @@
         "{:?}",
         begun.elapsed()
     );
-    let _ = std::io::Write::write_all(silent.0.get_mut(), b"HTTP/1.1 200 OK\r\n\r\n");
-    only(&proxy, &second, &first);
+    let _ = std::io::Write::write_all(hung.0.get_mut(), b"HTTP/1.1 200 OK\r\n\r\n");
+    only_to(&proxy, &second, &first);
 }
 
-/// A connection that does not come up is asked for anew, before the kernel knocks a second time, and as often as ever
-/// however long that goes on: what discovery has at its return counts as told at once. With a time that had grown
-/// meanwhile it was up to two seconds, four graces.
+/// A connection that does not come up is tried again before the kernel retransmits, and as often as ever however long
+/// that goes on: the proxy counts as notified at once of what an agent has at its return.
 #[test]
-fn an_agent_to_which_no_connection_came_up_is_heard_within_the_grace_of_its_return() {
-    let plays: Vec<_> = (0..20)
+fn a_list_arrives_within_the_drain_grace_of_the_return_of_an_unreachable_agent() {
+    let runs: Vec<_> = (0..20)
         .map(|n| {
             thread::spawn(move || {
                 let (deaf, discovery) = Deaf::new();
                 let proxy = start(&[], discovery, "proxy", 1024);
                 deaf.is_knocked_at();
-                // Ten calls that hang, and up to one more.
+                // Ten polls that hang, and up to one more.
                 thread::sleep(Duration::from_millis(3_500 + 20 * n));
                 let (agent, begun) = (deaf.listen(), Instant::now());
-                // The kernel may bring up one that was given up meanwhile.
+                // The kernel may bring up a connection that was given up meanwhile.
                 let calls = std::iter::repeat_with(|| Peer::accept(&agent));
                 let mut call = calls.map(|mut c| (c.hear(), c)).find(|(line, _)| !line.is_empty()).unwrap().1;
                 while call.hear() != "\r\n" {}
@@ -249,6 +255,6 @@
             })
         })
         .collect();
-    let took: Vec<_> = plays.into_iter().map(|play| play.join().unwrap()).collect();
+    let took: Vec<_> = runs.into_iter().map(|run| run.join().unwrap()).collect();
     assert!(took.iter().all(|took| *took < Duration::from_millis(500)), "{took:?}");
 }
--- /dev/null
+++ b/crates/larklink-proxy/tests/discovery_responses.rs
@@ -0,0 +1,94 @@
+//! What discovery sends: its responses, its entries, and the backoff after its failures.
+#![allow(clippy::unwrap_used, reason = "a test stops where its setup fails")]
+use std::time::Duration;
+
+use larklink_balancer::EndpointState;
+use larklink_proxy::discovery::http::ResponseReader;
+use larklink_proxy::discovery::schedule::backoff;
+use larklink_proxy::endpoint_list::{Endpoint, endpoint_id};
+use rand::SeedableRng;
+
+#[test]
+fn an_endpoint_id_is_made_from_the_name_alone() {
+    let one = Endpoint {
+        name: "s-1".into(),
+        address: "10.0.0.1:1".into(),
+        status: "up".into(),
+        ..Endpoint::default()
+    };
+    let other = Endpoint { address: "10.9.9.9:9".into(), status: "elsewhere".into(), ..one.clone() };
+    assert_eq!(one.to_entry(&[]).id, other.to_entry(&[]).id);
+    assert_ne!(endpoint_id("s-1"), endpoint_id("s-2"));
+    assert_eq!(
+        (one.to_entry(&[]).state, other.to_entry(&[]).state),
+        (EndpointState::Ready, EndpointState::Draining)
+    );
+    let started = Endpoint { started_at_ms: 1_796_122_544_461.0, ..one };
+    assert_eq!(started.to_entry(&[]).started_at, 17_961_225_444_610);
+}
+
+const LIST: &str =
+    r#"{"index":43,"snapshot":false,"endpoints":[{"name":"s-1","address":"127.0.0.1:9","status":"up"}]}"#;
+
+#[test]
+fn discovery_responses_are_read_when_they_are_complete() {
+    let plain = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{LIST}", LIST.len());
+    let (a, b) = LIST.split_at(20);
+    let chunked = format!(
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n{:x}\r\n{a}\r\n{:X}\r\n{b}\r\n0\r\n\r\n",
+        a.len(),
+        b.len()
+    );
+    for (text, kept) in [(plain, true), (chunked, false)] {
+        for n in 0..text.len() {
+            assert!(
+                ResponseReader::default().read(&text.as_bytes()[..n]).unwrap().is_none(),
+                "{n} of {} bytes",
+                text.len()
+            );
+        }
+        let mut by_pieces = ResponseReader::default();
+        let cut = |n| by_pieces.read(&text.as_bytes()[..n]).unwrap();
+        assert_eq!(
+            (1..=text.len()).filter_map(cut).map(|r| (r.list.index, r.length)).last(),
+            Some((43, text.len()))
+        );
+        let response = ResponseReader::default().read(text.as_bytes()).unwrap().unwrap();
+        let list = response.list;
+        assert_eq!(
+            (list.index, list.endpoints.len(), response.keep_alive, response.length),
+            (43, 1, kept, text.len())
+        );
+    }
+}
+
+#[test]
+fn unusable_discovery_responses_are_errors() {
+    for text in [
+        "HTTP/1.1 500 Oh\r\ncontent-length: 2\r\n\r\n{}",
+        "HTTP/1.1 200 OK\r\n\r\n{}",
+        "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n[]",
+        "HTTP/1.1 200 OK\r\ncontent-length: 99999999\r\n\r\n",
+        "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nzz\r\n",
+        "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nffffffffffffffff\r\n",
+        "not http at all\r\n\r\n",
+    ] {
+        assert!(ResponseReader::default().read(text.as_bytes()).is_err(), "{text}");
+    }
+}
+
+/// A hundred proxies that lose discovery together return spread out, and less often with each failure.
+#[test]
+fn backoffs_are_spread_and_grow_with_each_failure() {
+    let most = Duration::from_millis(1250);
+    let mean = |failed| {
+        let pauses: Vec<_> = (0..100)
+            .map(|seed| backoff(failed, most, &mut rand_chacha::ChaCha8Rng::seed_from_u64(seed)))
+            .collect();
+        assert!(pauses.iter().all(|p| *p >= Duration::from_millis(50) && *p <= most));
+        let tenths: std::collections::BTreeSet<_> = pauses.iter().map(|p| p.as_millis() / 20).collect();
+        assert!(tenths.len() > 10, "in step: {pauses:?}");
+        pauses.iter().sum::<Duration>() / 100
+    };
+    assert!(mean(1) < Duration::from_millis(250) && mean(3) > mean(1) * 2 && mean(1000) < most * 2 / 3);
+}
--- a/crates/larklink-proxy/tests/line_fixtures.rs
+++ b/crates/larklink-proxy/tests/line_fixtures.rs
@@ -1,5 +1,6 @@
 //! What the proxy says on its sockets, held byte for byte: the operators' door, the calls to discovery, and those lines
 //! to clients and servers that no other test compares whole.
+#![allow(clippy::unwrap_used, reason = "a test stops where its setup fails")]
 use std::io::{BufRead, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
