--- a/crates/larklink-proxy/tests/admin.rs
+++ b/crates/larklink-proxy/tests/admin.rs
@@ -9,7 +9,7 @@
 use larklink_proxy::admin::{self, MAX_CONNECTIONS};
 use larklink_proxy::metrics::Metrics;
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
 fn metrics() -> Arc<Metrics> {
     Metrics::new(&["chat".to_owned(), "pay".to_owned()])
@@ -17,7 +17,7 @@
 
 fn request(endpoint: SocketAddr, text: &[u8]) -> String {
     let mut stream = TcpStream::connect(endpoint).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     stream.write_all(text).unwrap();
     let mut reply = String::new();
     stream.read_to_string(&mut reply).unwrap();
@@ -69,7 +69,7 @@
     assert!(request(endpoint, b"GET /metrics HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 200"));
     // The first of them was evicted for the later ones.
     let mut first = &stalled[0];
-    first.set_read_timeout(Some(PATIENCE)).unwrap();
+    first.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     assert!(matches!(first.read(&mut [0]), Ok(0) | Err(_)));
     // So are those that close without a request.
     stalled.iter().for_each(|s| _ = s.shutdown(Shutdown::Both));
--- a/crates/larklink-proxy/tests/descriptors.rs
+++ b/crates/larklink-proxy/tests/descriptors.rs
@@ -10,8 +10,8 @@
 use std::time::{Duration, Instant};
 
 mod stage;
-use stage::peer::{PATIENCE, Peer, open};
-use stage::{asked, becomes, config, endpoint, list, server, told};
+use stage::peer::{Peer, WAIT_TIMEOUT, open_line};
+use stage::{config, endpoint, list, listen, receive_request, respond, wait_until};
 
 /// The program with few descriptors, and a thread that counts those that it has open all the time.
 struct Program {
@@ -69,7 +69,7 @@
 
 /// Endpoints at one address: health checks are answered and counted, sessions accepted.
 fn endpoints() -> (SocketAddr, Arc<AtomicUsize>) {
-    let (listener, at) = server();
+    let (listener, at) = listen();
     socket2::SockRef::from(&listener).set_read_timeout(None).unwrap();
     let health_checks = Arc::new(AtomicUsize::new(0));
     let counted = Arc::clone(&health_checks);
@@ -99,7 +99,7 @@
 /// Clients that send nothing: `size` of them at once, and another for each that is evicted, up to `all`.
 fn idle_clients(at: SocketAddr, size: usize, all: usize) -> JoinHandle<VecDeque<TcpStream>> {
     let mut held: VecDeque<_> = (0..size).map(|_| TcpStream::connect(at).unwrap()).collect();
-    assert_eq!(Peer::new(held.pop_front().unwrap()).hear(), "BUSY\r\n", "the limit is full");
+    assert_eq!(Peer::new(held.pop_front().unwrap()).receive_line(), "BUSY\r\n", "the limit is full");
     thread::spawn(move || {
         for _ in size..all {
             let mut oldest = held.pop_front().unwrap();
@@ -123,24 +123,25 @@
     let clients = idle_clients(proxy, limit + 50, limit + 1500);
     let _clients = clients.join().unwrap();
     agent.listen(8).unwrap();
-    agent.set_read_timeout(Some(PATIENCE)).unwrap();
+    agent.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     let (returned, agent) = (Instant::now(), TcpListener::from(agent));
     let mut watch = Peer::accept(&agent);
-    assert_eq!(asked(&mut watch), "/api/targets");
+    assert_eq!(receive_request(&mut watch), "/api/targets");
     assert!(returned.elapsed() < Duration::from_secs(6), "{:?}", returned.elapsed());
     let mut held = Vec::new();
     for (n, &length) in lists.iter().enumerate() {
         let names = |n: usize| endpoint(&format!("s-{n}"), at, "up");
         let index = n as u64 + 1;
-        told(&mut watch, &list(index, true, &(0..length).map(names).collect::<Vec<_>>()));
-        assert!(asked(&mut watch).contains(&format!("after={index}&")));
+        respond(&mut watch, &list(index, true, &(0..length).map(names).collect::<Vec<_>>()));
+        assert!(receive_request(&mut watch).contains(&format!("after={index}&")));
         let before = health_checks.load(Relaxed);
         for group in 0..length.min(limit / 8) {
-            let mut client = Peer::connect(proxy, &open(&format!("c=chat,t=acme,d=9000,g={group:x}{n:x}")));
-            assert_eq!(client.hear(), "UP 1\r\n", "session {group} of list {length}");
+            let mut client =
+                Peer::connect(proxy, &open_line(&format!("c=chat,t=acme,d=9000,g={group:x}{n:x}")));
+            assert_eq!(client.receive_line(), "UP 1\r\n", "session {group} of list {length}");
             held.push(client);
         }
-        becomes(|| health_checks.load(Relaxed) >= before + length.min(limit / 8) / 2);
+        wait_until(|| health_checks.load(Relaxed) >= before + length.min(limit / 8) / 2);
     }
     drop(held);
     let most = program.most();
--- a/crates/larklink-proxy/tests/discovery.rs
+++ b/crates/larklink-proxy/tests/discovery.rs
@@ -11,8 +11,11 @@
 use rand_chacha::ChaCha8Rng;
 
 mod stage;
-use stage::peer::{Peer, open};
-use stage::*;
+use stage::peer::{Peer, open_line};
+use stage::{
+    FullBacklog, Proxy, config, endpoint, establish_with, last_metrics_become, list, listen, open_lines,
+    receive_request, respond, start, start_with_config,
+};
 
 /// From a tenth of a millisecond to a day, in tenths of a millisecond; and none.
 fn spans() -> impl Iterator<Item = u64> + Clone {
@@ -95,18 +98,18 @@
 fn fail(agent: &TcpListener, how: Failure, call: Option<Peer>, held: &mut Vec<Peer>) -> Instant {
     let mut call = call.unwrap_or_else(|| {
         let mut call = Peer::accept(agent);
-        asked(&mut call);
+        receive_request(&mut call);
         call
     });
     let came = Instant::now();
     match how {
         Failure::Hangs => held.push(call),
         Failure::Rejects => {
-            call.say("HTTP/1.1 503 Overbooked\r\ncontent-length: 0\r\n\r\n");
+            call.send("HTTP/1.1 503 Overbooked\r\ncontent-length: 0\r\n\r\n");
             held.push(call);
         }
         Failure::Drips => {
-            call.say("HTTP/1.1 200 OK\r\ncontent-length: 99999\r\n\r\n{");
+            call.send("HTTP/1.1 200 OK\r\ncontent-length: 99999\r\n\r\n{");
             let stream = call.0.get_ref().try_clone().unwrap();
             thread::spawn(move || {
                 while std::io::Write::write_all(&mut &stream, b" ").is_ok() {
@@ -139,26 +142,26 @@
 
 fn arrives_in_time(order: [Failure; 3], discovery_deadline: u64, grace: u64, polled_discovery: bool) {
     let schedule = PollSchedule::new(discovery_deadline, grace, polled_discovery);
-    let ((_listener, at), (agent, discovery)) = (server(), server());
+    let ((_listener, at), (agent, discovery)) = (listen(), listen());
     let config = config(&[], discovery, "proxy", 1024)
         .replace(r#""drain_grace_ns":500000000"#, &format!(r#""drain_grace_ns":{grace}00000"#))
         .replace(r#""safety":{"#, &format!(r#""safety":{{"must_ask_in_ns":{discovery_deadline}00000,"#));
     let mode = if polled_discovery { r#""discovery":"on_request","safety""# } else { r#""safety""# };
-    let proxy = start_by(&config.replace(r#""safety""#, mode));
+    let proxy = start_with_config(&config.replace(r#""safety""#, mode));
     let mut watch = Peer::accept(&agent);
-    asked(&mut watch);
-    told(&mut watch, &list(41, true, &[endpoint("s-0", at, "up"), endpoint("s-1", at, "up")]));
-    asked(&mut watch);
-    figures_end(&proxy, [0, 0, 2]);
+    receive_request(&mut watch);
+    respond(&mut watch, &list(41, true, &[endpoint("s-0", at, "up"), endpoint("s-1", at, "up")]));
+    receive_request(&mut watch);
+    last_metrics_become(&proxy, [0, 0, 2]);
     let (first, mut held, mut call) = (Instant::now(), Vec::new(), Some(watch));
     let mut last = first;
     for how in order {
         last = fail(&agent, how, call.take(), &mut held);
     }
     let mut call = Peer::accept(&agent);
-    asked(&mut call);
-    told(&mut call, &list(42, false, &[endpoint("s-0", at, "removed")]));
-    figures_end(&proxy, [0, 0, 1]);
+    receive_request(&mut call);
+    respond(&mut call, &list(42, false, &[endpoint("s-0", at, "removed")]));
+    last_metrics_become(&proxy, [0, 0, 1]);
     let (first, last) = (first.elapsed(), last.elapsed());
     // The margin is for a machine on which all runs are in parallel.
     let what = format!("{order:?} {schedule:?}: {first:?} from the first failure, {last:?} from the last");
@@ -171,41 +174,42 @@
 
 /// A proxy with a list of two endpoints, its discovery, and its long poll in flight, which waits for half a second.
 fn start_with_two(a: std::net::SocketAddr, b: std::net::SocketAddr) -> (Proxy, TcpListener, Peer) {
-    let (agent, discovery) = server();
+    let (agent, discovery) = listen();
     let config = config(&[], discovery, "proxy", 1024);
-    let proxy = start_by(&config.replace(r#""safety":{"#, r#""safety":{"must_ask_in_ns":2000000000,"#));
+    let proxy =
+        start_with_config(&config.replace(r#""safety":{"#, r#""safety":{"must_ask_in_ns":2000000000,"#));
     let mut watch = Peer::accept(&agent);
-    asked(&mut watch);
-    told(&mut watch, &list(41, true, &[endpoint("s-0", a, "up"), endpoint("s-1", b, "up")]));
-    assert!(asked(&mut watch).starts_with("/api/targets?after=41&wait_ms=500"));
+    receive_request(&mut watch);
+    respond(&mut watch, &list(41, true, &[endpoint("s-0", a, "up"), endpoint("s-1", b, "up")]));
+    assert!(receive_request(&mut watch).starts_with("/api/targets?after=41&wait_ms=500"));
     (proxy, agent, watch)
 }
 
 /// Sessions with any key go to one endpoint, and none to the other.
 fn only_to(proxy: &Proxy, to: &TcpListener, other: &TcpListener) {
     for key in 0..8 {
-        standing_by(&open(&format!("c=chat,t=acme,d=2000,g={key}")), proxy.address, to);
+        establish_with(&open_line(&format!("c=chat,t=acme,d=2000,g={key}")), proxy.address, to);
     }
-    assert_eq!(heads(other), [""; 0]);
+    assert_eq!(open_lines(other), [""; 0]);
 }
 
 /// Endpoints that it lacks are removed, those that drain in it drain, and polls go on from its index.
 #[test]
 fn a_complete_list_may_answer_a_long_poll() {
-    let ((first, a), (second, b)) = (server(), server());
+    let ((first, a), (second, b)) = (listen(), listen());
     for body in [
         list(43, true, &[endpoint("s-1", b, "up")]),
         list(43, true, &[endpoint("s-0", a, "draining"), endpoint("s-1", b, "up")]),
     ] {
         let (proxy, _agent, mut watch) = start_with_two(a, b);
-        told(&mut watch, &body);
-        assert!(asked(&mut watch).starts_with("/api/targets?after=43&wait_ms=500"));
+        respond(&mut watch, &body);
+        assert!(receive_request(&mut watch).starts_with("/api/targets?after=43&wait_ms=500"));
         only_to(&proxy, &second, &first);
         // An equal list may arrive again, and changes to it.
-        told(&mut watch, &body);
-        assert!(asked(&mut watch).starts_with("/api/targets?after=43&"));
-        told(&mut watch, &list(44, false, &[endpoint("s-2", a, "up"), endpoint("s-1", b, "draining")]));
-        assert!(asked(&mut watch).starts_with("/api/targets?after=44&"));
+        respond(&mut watch, &body);
+        assert!(receive_request(&mut watch).starts_with("/api/targets?after=43&"));
+        respond(&mut watch, &list(44, false, &[endpoint("s-2", a, "up"), endpoint("s-1", b, "draining")]));
+        assert!(receive_request(&mut watch).starts_with("/api/targets?after=44&"));
         only_to(&proxy, &first, &second);
     }
 }
@@ -214,14 +218,14 @@
 /// changes nothing.
 #[test]
 fn a_complete_list_after_a_hung_poll_arrives_in_time() {
-    let ((first, a), (second, b)) = (server(), server());
+    let ((first, a), (second, b)) = (listen(), listen());
     let (proxy, agent, mut hung) = start_with_two(a, b);
     let begun = Instant::now();
     let mut watch = Peer::accept(&agent);
     // Its wait is short: whether discovery is there has to show early.
-    assert_eq!(asked(&mut watch), "/api/targets?after=41&wait_ms=100");
-    told(&mut watch, &list(43, true, &[endpoint("s-1", b, "up")]));
-    assert!(asked(&mut watch).starts_with("/api/targets?after=43&wait_ms=500"));
+    assert_eq!(receive_request(&mut watch), "/api/targets?after=41&wait_ms=100");
+    respond(&mut watch, &list(43, true, &[endpoint("s-1", b, "up")]));
+    assert!(receive_request(&mut watch).starts_with("/api/targets?after=43&wait_ms=500"));
     assert!(
         begun.elapsed()
             < PollSchedule::new(20_000, 5_000, false).max_notification_delay(0, 1) + SCHEDULING_MARGIN,
@@ -239,18 +243,19 @@
     let runs: Vec<_> = (0..20)
         .map(|n| {
             thread::spawn(move || {
-                let (deaf, discovery) = Deaf::new();
+                let (deaf, discovery) = FullBacklog::new();
                 let proxy = start(&[], discovery, "proxy", 1024);
-                deaf.is_knocked_at();
+                deaf.wait_for_connection_attempt();
                 // Ten polls that hang, and up to one more.
                 thread::sleep(Duration::from_millis(3_500 + 20 * n));
                 let (agent, begun) = (deaf.listen(), Instant::now());
                 // The kernel may bring up a connection that was given up meanwhile.
                 let calls = std::iter::repeat_with(|| Peer::accept(&agent));
-                let mut call = calls.map(|mut c| (c.hear(), c)).find(|(line, _)| !line.is_empty()).unwrap().1;
-                while call.hear() != "\r\n" {}
-                told(&mut call, &list(41, true, &[endpoint("s-0", discovery, "up")]));
-                figures_end(&proxy, [0, 0, 1]);
+                let mut call =
+                    calls.map(|mut c| (c.receive_line(), c)).find(|(line, _)| !line.is_empty()).unwrap().1;
+                while call.receive_line() != "\r\n" {}
+                respond(&mut call, &list(41, true, &[endpoint("s-0", discovery, "up")]));
+                last_metrics_become(&proxy, [0, 0, 1]);
                 begun.elapsed()
             })
         })
--- a/crates/larklink-proxy/tests/endpoint_list_updates.rs
+++ b/crates/larklink-proxy/tests/endpoint_list_updates.rs
@@ -3,41 +3,42 @@
 use std::time::{Duration, Instant};
 
 mod stage;
-use stage::peer::{Peer, open};
+use stage::peer::{Peer, open_line};
 use stage::{
-    asked, becomes, endpoint, figures_become, list, nobody, server, standing, standing_by, start, told,
+    endpoint, establish, establish_with, list, listen, metrics_become, receive_request, refusing_address,
+    respond, start, wait_until,
 };
 
 #[test]
 fn the_list_is_watched_and_clients_of_a_draining_server_are_moved_between_two_lines() {
-    let ((listener, at), (agent, discovery)) = (server(), server());
+    let ((listener, at), (agent, discovery)) = (listen(), listen());
     let proxy = start(&[], discovery, "proxy", 1024);
     let mut watch = Peer::accept(&agent);
-    assert_eq!(asked(&mut watch), "/api/targets");
+    assert_eq!(receive_request(&mut watch), "/api/targets");
     // A body that is none: asked again, on another connection.
-    told(&mut watch, "{]");
+    respond(&mut watch, "{]");
     let mut watch = Peer::accept(&agent);
-    assert_eq!(asked(&mut watch), "/api/targets");
-    assert!(!proxy.figures.is_ready());
-    told(&mut watch, &list(41, true, &[endpoint("s-1", at, "up")]));
-    assert!(asked(&mut watch).starts_with("/api/targets?after=41&wait_ms="));
-    figures_become(&proxy, [0, 0, 0, 0, 0, 0, 0, 0, 1]);
-    becomes(|| proxy.figures.is_ready());
-    let (mut client, mut server) = standing(proxy.address, &listener);
-    server.say("one\r\nhalf of two");
-    assert_eq!(client.hear(), "one\r\n");
-    told(&mut watch, &list(43, false, &[endpoint("s-1", at, "draining")]));
-    assert!(asked(&mut watch).starts_with("/api/targets?after=43&"));
-    assert_eq!(client.hear(), "MOVE\r\n");
-    client.ends();
-    server.ends();
+    assert_eq!(receive_request(&mut watch), "/api/targets");
+    assert!(!proxy.metrics.is_ready());
+    respond(&mut watch, &list(41, true, &[endpoint("s-1", at, "up")]));
+    assert!(receive_request(&mut watch).starts_with("/api/targets?after=41&wait_ms="));
+    metrics_become(&proxy, [0, 0, 0, 0, 0, 0, 0, 0, 1]);
+    wait_until(|| proxy.metrics.is_ready());
+    let (mut client, mut server) = establish(proxy.address, &listener);
+    server.send("one\r\nhalf of two");
+    assert_eq!(client.receive_line(), "one\r\n");
+    respond(&mut watch, &list(43, false, &[endpoint("s-1", at, "draining")]));
+    assert!(receive_request(&mut watch).starts_with("/api/targets?after=43&"));
+    assert_eq!(client.receive_line(), "MOVE\r\n");
+    client.expect_end();
+    server.expect_end();
 }
 
 /// Garbled, cut short, refused, endless, of an older index, told too early: asked again in good order, and sessions
 /// go by the list that stands.
 #[test]
 fn a_discovery_that_lies_is_asked_again_and_costs_no_session() {
-    let ((listener, at), (agent, discovery)) = (server(), server());
+    let ((listener, at), (agent, discovery)) = (listen(), listen());
     let proxy = start(&[at], discovery, "proxy", 1024);
     let whole = list(41, true, &[endpoint("s-0", at, "up")]);
     for wrong in [
@@ -48,44 +49,44 @@
         format!("HTTP/1.1 200 OK\r\nx: {}", "y".repeat(20 << 10)),
     ] {
         let mut call = Peer::accept(&agent);
-        assert_eq!(asked(&mut call), "/api/targets");
-        call.say(&wrong);
+        assert_eq!(receive_request(&mut call), "/api/targets");
+        call.send(&wrong);
         drop(call);
-        standing(proxy.address, &listener);
+        establish(proxy.address, &listener);
     }
     let mut watch = Peer::accept(&agent);
-    assert_eq!(asked(&mut watch), "/api/targets");
-    told(&mut watch, &whole);
-    assert!(asked(&mut watch).starts_with("/api/targets?after=41&"));
+    assert_eq!(receive_request(&mut watch), "/api/targets");
+    respond(&mut watch, &whole);
+    assert!(receive_request(&mut watch).starts_with("/api/targets?after=41&"));
     // Changes from before: nothing can be built on them.
-    told(&mut watch, &list(7, false, &[endpoint("s-0", at, "removed")]));
-    assert_eq!(asked(&mut watch), "/api/targets");
-    told(&mut watch, &whole);
+    respond(&mut watch, &list(7, false, &[endpoint("s-0", at, "removed")]));
+    assert_eq!(receive_request(&mut watch), "/api/targets");
+    respond(&mut watch, &whole);
     let started = Instant::now();
     for _ in 0..5 {
-        assert!(asked(&mut watch).starts_with("/api/targets?after=41&"));
-        told(&mut watch, &list(41, false, &[]));
+        assert!(receive_request(&mut watch).starts_with("/api/targets?after=41&"));
+        respond(&mut watch, &list(41, false, &[]));
     }
     assert!(
-        asked(&mut watch).contains("after=41") && started.elapsed() >= Duration::from_millis(400),
+        receive_request(&mut watch).contains("after=41") && started.elapsed() >= Duration::from_millis(400),
         "a spin"
     );
-    standing(proxy.address, &listener);
+    establish(proxy.address, &listener);
 }
 
 /// Discovery was silent for seven seconds, and an agent that had it back counted as having told of drains: proxies
 /// that paused for up to 1.2 s then sent new sessions there past the grace.
 #[test]
 fn an_agent_that_was_silent_is_heard_within_the_grace_of_its_return() {
-    let (agent, discovery) = server();
+    let (agent, discovery) = listen();
     let _proxy = start(&[], discovery, "proxy", 1024);
     let mut gaps = Vec::new();
     for _ in 0..12 {
         let mut call = Peer::accept(&agent);
-        asked(&mut call);
+        receive_request(&mut call);
         let lost = Instant::now();
         drop(call);
-        asked(&mut Peer::accept(&agent));
+        receive_request(&mut Peer::accept(&agent));
         gaps.push(lost.elapsed());
     }
     let grace = Duration::from_millis(500);
@@ -112,15 +113,15 @@
         )
     };
     for form in 0..3 {
-        let ((listener, at), (agent, discovery)) = (server(), server());
+        let ((listener, at), (agent, discovery)) = (listen(), listen());
         let proxy = start(&[], discovery, "proxy", 1024);
         let mut watch = Peer::accept(&agent);
         let mut tell = |index, whole, endpoints: &[String]| {
-            asked(&mut watch);
+            receive_request(&mut watch);
             let text = list(index, whole, endpoints);
             match form {
-                0 => told(&mut watch, &text),
-                1 => told(&mut watch, &indented(&text)),
+                0 => respond(&mut watch, &text),
+                1 => respond(&mut watch, &indented(&text)),
                 _ => chunked(&text)
                     .as_bytes()
                     .chunks(1000)
@@ -129,12 +130,12 @@
         };
         tell(41, true, &all(at, "up"));
         tell(42, false, &[]);
-        standing(proxy.address, &listener);
-        tell(43, false, &all(nobody(), "removed")[1..]);
+        establish(proxy.address, &listener);
+        tell(43, false, &all(refusing_address(), "removed")[1..]);
         tell(44, false, &[]);
         // Only the first is left, whatever a session's key.
         for key in 0..8 {
-            standing_by(&open(&format!("c=chat,t=acme,d=2000,g={key}")), proxy.address, &listener);
+            establish_with(&open_line(&format!("c=chat,t=acme,d=2000,g={key}")), proxy.address, &listener);
         }
     }
 }
--- a/crates/larklink-proxy/tests/forwarding.rs
+++ b/crates/larklink-proxy/tests/forwarding.rs
@@ -1,114 +1,115 @@
 //! Sessions through a whole proxy on loopback sockets: attempts, lines both ways, and how each side is ended. Servers and
 //! clients are scripted line by line; every wait is for a line or an end that must come.
+#![allow(clippy::unwrap_used, reason = "a test stops where its setup fails")]
 use std::io::Write;
 use std::thread;
 use std::time::{Duration, Instant};
 
 mod stage;
-use stage::peer::{Peer, open};
-use stage::{nobody, quiet, server, standing};
+use stage::peer::{Peer, open_line};
+use stage::{establish, listen, refusing_address, start_with_servers};
 
 #[test]
 fn a_session_goes_through_and_only_its_wait_is_rewritten() {
-    let (listener, at) = server();
-    let proxy = quiet(&[at]);
+    let (listener, at) = listen();
+    let proxy = start_with_servers(&[at]);
     let mut client = Peer::connect(proxy.address, "OPEN ab 12 c=chat,t=acme,d=2000,x=y z,g=1f\r\n");
     let mut server = Peer::accept(&listener);
-    let head = server.hear();
+    let head = server.receive_line();
     let wait =
         head.strip_prefix("OPEN ab 12 c=chat,t=acme,d=").and_then(|h| h.strip_suffix(",x=y z,g=1f\r\n"));
     assert!(wait.is_some_and(|w| (1900..=2000).contains(&w.parse().unwrap())), "{head}");
-    server.say("UP 1\r\nLOAD 12.5\r\nhalf a ");
-    assert_eq!((client.hear(), client.hear()), ("UP 1\r\n".into(), "LOAD 12.5\r\n".into()));
-    client.say("M 1 \u{e9}\r\n");
-    assert_eq!(server.hear(), "M 1 \u{e9}\r\n");
-    server.say("line\r\nBYE\r\n");
-    assert_eq!((client.hear(), client.hear()), ("half a line\r\n".into(), "BYE\r\n".into()));
+    server.send("UP 1\r\nLOAD 12.5\r\nhalf a ");
+    assert_eq!((client.receive_line(), client.receive_line()), ("UP 1\r\n".into(), "LOAD 12.5\r\n".into()));
+    client.send("M 1 \u{e9}\r\n");
+    assert_eq!(server.receive_line(), "M 1 \u{e9}\r\n");
+    server.send("line\r\nBYE\r\n");
+    assert_eq!((client.receive_line(), client.receive_line()), ("half a line\r\n".into(), "BYE\r\n".into()));
     // The server's end need not come for the client to be let go.
-    client.ends();
+    client.expect_end();
 }
 
 #[test]
 fn each_side_is_ended_as_the_other_ended() {
-    let (listener, at) = server();
-    let proxy = quiet(&[at]);
-    let (client, mut server) = standing(proxy.address, &listener);
+    let (listener, at) = listen();
+    let proxy = start_with_servers(&[at]);
+    let (client, mut server) = establish(proxy.address, &listener);
     drop(client);
-    server.ends();
-    let (client, mut server) = standing(proxy.address, &listener);
+    server.expect_end();
+    let (client, mut server) = establish(proxy.address, &listener);
     client.reset();
-    server.breaks();
-    let (mut client, server) = standing(proxy.address, &listener);
+    server.expect_reset();
+    let (mut client, server) = establish(proxy.address, &listener);
     server.reset();
-    client.breaks();
-    let (mut client, server) = standing(proxy.address, &listener);
+    client.expect_reset();
+    let (mut client, server) = establish(proxy.address, &listener);
     drop(server);
-    client.ends();
+    client.expect_end();
 }
 
 #[test]
 fn a_dial_that_never_ran_goes_on_to_another_server() {
-    let (listener, at) = server();
-    let proxy = quiet(&[nobody(), at]);
+    let (listener, at) = listen();
+    let proxy = start_with_servers(&[refusing_address(), at]);
     for session in ["c=chat", "c=pay"] {
         for n in 0..8 {
-            let mut client = Peer::connect(proxy.address, &open(&format!("{session},d=2000,g={n}")));
+            let mut client = Peer::connect(proxy.address, &open_line(&format!("{session},d=2000,g={n}")));
             let mut server = Peer::accept(&listener);
-            server.hear();
+            server.receive_line();
             // It ends well: a server that breaks off would be doubted in the next round, by chance.
-            server.say("UP 1\r\nBYE\r\n");
-            assert_eq!((client.hear(), client.hear()), ("UP 1\r\n".into(), "BYE\r\n".into()));
+            server.send("UP 1\r\nBYE\r\n");
+            assert_eq!((client.receive_line(), client.receive_line()), ("UP 1\r\n".into(), "BYE\r\n".into()));
             drop(server);
-            client.ends();
+            client.expect_end();
         }
     }
 }
 
 #[test]
 fn a_once_only_session_that_may_have_run_is_torn_down_not_refused() {
-    let (listener, at) = server();
-    let proxy = quiet(&[at, at]);
-    let ask = |class| Peer::connect(proxy.address, &open(&format!("c={class},d=2000")));
+    let (listener, at) = listen();
+    let proxy = start_with_servers(&[at, at]);
+    let ask = |class| Peer::connect(proxy.address, &open_line(&format!("c={class},d=2000")));
     let mut client = ask("pay");
     let mut server = Peer::accept(&listener);
-    server.hear();
+    server.receive_line();
     drop(server);
-    assert_eq!(client.hear(), "ERR\r\n");
-    client.ends();
+    assert_eq!(client.receive_line(), "ERR\r\n");
+    client.expect_end();
     let mut client = ask("pay");
     // Turned away by each server it tries, it has run nowhere.
     let turn = thread::spawn(move || {
         for stream in listener.incoming().take(2) {
             let mut server = Peer::new(stream.unwrap());
-            server.hear();
-            server.say("BUSY inflight=7\r\n");
+            server.receive_line();
+            server.send("BUSY inflight=7\r\n");
         }
         listener
     });
-    let answer = client.hear();
+    let answer = client.receive_line();
     let wait = answer.strip_prefix("BUSY ").and_then(|a| a.strip_suffix("\r\n"));
     assert!(wait.is_some_and(|ms| ms.parse::<u64>().unwrap() <= 1500), "{answer}");
-    client.ends();
+    client.expect_end();
     let listener = turn.join().unwrap();
     // And one whose time runs out is answered then.
-    let mut client = Peer::connect(proxy.address, &open("c=pay,d=50"));
+    let mut client = Peer::connect(proxy.address, &open_line("c=pay,d=50"));
     let mut server = Peer::accept(&listener);
-    server.hear();
-    assert_eq!(client.hear(), "ERR\r\n");
-    server.ends();
+    server.receive_line();
+    assert_eq!(client.receive_line(), "ERR\r\n");
+    server.expect_end();
 }
 
 /// It was held for 5.5 s from its first line without one back, over 7 s after the last that had come.
 #[test]
 fn who_hears_nothing_more_from_its_server_is_soon_moved() {
-    let (listener, at) = server();
-    let proxy = quiet(&[at]);
-    let (mut client, mut server) = standing(proxy.address, &listener);
+    let (listener, at) = listen();
+    let proxy = start_with_servers(&[at]);
+    let (mut client, mut server) = establish(proxy.address, &listener);
     let started = Instant::now();
-    client.say("one\r\n");
-    assert_eq!(server.hear(), "one\r\n");
-    assert_eq!(client.hear(), "MOVE\r\n");
-    client.ends();
+    client.send("one\r\n");
+    assert_eq!(server.receive_line(), "one\r\n");
+    assert_eq!(client.receive_line(), "MOVE\r\n");
+    client.expect_end();
     assert!(started.elapsed() < Duration::from_secs(5));
 }
 
@@ -116,14 +117,14 @@
 /// were moved off it. A client's slowness is no evidence against its server.
 #[test]
 fn a_client_that_takes_nothing_is_let_go_and_its_server_is_not_blamed() {
-    let (listener, at) = server();
-    let proxy = quiet(&[at]);
-    let (mut healthy, mut its_server) = standing(proxy.address, &listener);
+    let (listener, at) = listen();
+    let proxy = start_with_servers(&[at]);
+    let (mut healthy, mut its_server) = establish(proxy.address, &listener);
     let slow: Vec<_> = (0..8)
         .map(|_| {
-            let (mut client, mut server) = standing(proxy.address, &listener);
-            client.say("much, please\r\n");
-            assert_eq!(server.hear(), "much, please\r\n");
+            let (mut client, mut server) = establish(proxy.address, &listener);
+            client.send("much, please\r\n");
+            assert_eq!(server.receive_line(), "much, please\r\n");
             let flood = thread::spawn(move || {
                 let line = format!("{}\r\n", "y".repeat(1000)).repeat(64);
                 // Until the proxy lets go: far more than all buffers between hold.
@@ -146,26 +147,26 @@
         asking.join().unwrap();
     }
     for line in ["one\r\n", "two\r\n"] {
-        healthy.say(line);
-        assert_eq!(its_server.hear(), line);
-        its_server.say(line);
-        assert_eq!(healthy.hear(), line);
+        healthy.send(line);
+        assert_eq!(its_server.receive_line(), line);
+        its_server.send(line);
+        assert_eq!(healthy.receive_line(), line);
     }
 }
 
 #[test]
 fn a_connection_of_before_goes_to_the_server_that_held_it() {
-    let ((first, a), (second, b)) = (server(), server());
-    let proxy = quiet(&[a, b]);
+    let ((first, a), (second, b)) = (listen(), listen());
+    let proxy = start_with_servers(&[a, b]);
     // Where sessions end at the proxy, d tells how long one was to live: turned away for it, it was lost.
     let whole_life = u64::MAX.to_string();
     for (n, listener, wait) in [(0, &first, "2000"), (1, &second, "7200000"), (0, &first, &whole_life)] {
-        let head = open(&format!("c=chat,d={wait},at=s-{n}"));
+        let head = open_line(&format!("c=chat,d={wait},at=s-{n}"));
         let mut client = Peer::connect(proxy.address, &head);
         let mut server = Peer::accept(listener);
-        assert_eq!(server.hear(), head);
-        server.say("UP 5\r\n");
-        assert_eq!(client.hear(), "UP 5\r\n");
+        assert_eq!(server.receive_line(), head);
+        server.send("UP 5\r\n");
+        assert_eq!(client.receive_line(), "UP 5\r\n");
     }
 }
 
@@ -175,13 +176,13 @@
     let pushing = thread::spawn(move || {
         for n in 0..1000 {
             thread::sleep((begun + Duration::from_millis(n)).saturating_duration_since(Instant::now()));
-            server.say(&format!("{}\r\n", begun.elapsed().as_micros()));
+            server.send(&format!("{}\r\n", begun.elapsed().as_micros()));
         }
         server
     });
     let mut late: Vec<_> = (0..1000)
         .map(|_| {
-            let sent: u128 = client.hear().trim().parse().unwrap();
+            let sent: u128 = client.receive_line().trim().parse().unwrap();
             (begun.elapsed().as_micros() - sent) as f64 / 1e3
         })
         .collect();
@@ -193,13 +194,13 @@
 /// A line that waits for the receipt of the one before would be some 40 ms late.
 #[test]
 fn lines_pushed_by_a_server_do_not_wait_for_receipts() {
-    let (listener, at) = server();
+    let (listener, at) = listen();
     let client = Peer::connect(at, "");
     let server = Peer::accept(&listener);
     server.0.get_ref().set_nodelay(true).unwrap();
     let direct = pushed(server, client);
-    let proxy = quiet(&[at]);
-    let (client, server) = standing(proxy.address, &listener);
+    let proxy = start_with_servers(&[at]);
+    let (client, server) = establish(proxy.address, &listener);
     server.0.get_ref().set_nodelay(true).unwrap();
     let through = pushed(server, client);
     eprintln!("99 in 100 within {direct:.2} ms direct, {through:.2} ms through the proxy");
--- a/crates/larklink-proxy/tests/handover.rs
+++ b/crates/larklink-proxy/tests/handover.rs
@@ -1,5 +1,6 @@
 //! Processes of one proxy that take over from each other: the program itself on loopback, under clients that come
 //! without pause. Every wait is for a line, an end or an exit that must come.
+#![allow(clippy::unwrap_used, reason = "a test stops where its setup fails")]
 use std::fs;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -20,7 +21,7 @@
 use rustix::process::{Pid, Signal, kill_process};
 
 mod peer;
-use peer::{PATIENCE, Peer, open};
+use peer::{Peer, WAIT_TIMEOUT, open_line};
 
 /// A proxy's folder, address and configuration; its processes come and go.
 struct Proxy {
@@ -32,7 +33,7 @@
 
 struct Process {
     child: Child,
-    door: SocketAddr,
+    admin_address: SocketAddr,
     /// Its log, read as it comes: a full pipe would hold its exit up.
     log: Receiver<String>,
 }
@@ -49,30 +50,30 @@
     }
 
     /// Waits until its log says so.
-    fn says(&self, text: &str) {
-        let said = |log: &Receiver<String>| log.recv_timeout(PATIENCE).expect("it never says so");
+    fn wait_for_log(&self, text: &str) {
+        let said = |log: &Receiver<String>| log.recv_timeout(WAIT_TIMEOUT).expect("it never says so");
         while !said(&self.log).contains(text) {}
     }
 
-    fn ready(&self) -> bool {
-        let mut door = TcpStream::connect(self.door).unwrap();
-        door.set_read_timeout(Some(PATIENCE)).unwrap();
+    fn is_ready(&self) -> bool {
+        let mut door = TcpStream::connect(self.admin_address).unwrap();
+        door.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         door.write_all(b"GET /ready HTTP/1.1\r\n\r\n").unwrap();
         let mut reply = String::new();
         door.read_to_string(&mut reply).unwrap();
         reply.starts_with("HTTP/1.1 200 ")
     }
 
-    fn gets_ready(self) -> Self {
-        let until = Instant::now() + PATIENCE;
-        while !self.ready() {
+    fn wait_until_ready(self) -> Self {
+        let until = Instant::now() + WAIT_TIMEOUT;
+        while !self.is_ready() {
             assert!(Instant::now() < until, "it is never ready");
             thread::yield_now();
         }
         self
     }
 
-    fn ends(mut self) {
+    fn wait_for_exit(mut self) {
         assert!(self.child.wait().unwrap().success());
     }
 }
@@ -101,7 +102,7 @@
         Self { folder, listen, _port: port }
     }
 
-    fn place(&self) -> PathBuf {
+    fn socket_path(&self) -> PathBuf {
         self.folder.join(format!("larklink-{}", self.listen.to_string().replace(':', "-")))
     }
 
@@ -114,12 +115,12 @@
         let lines = BufReader::new(child.stderr.take().unwrap()).lines();
         thread::spawn(move || lines.map_while(Result::ok).for_each(|line| _ = tell.send(line)));
         let door = loop {
-            let line = log.recv_timeout(PATIENCE).expect("it ended at its start");
+            let line = log.recv_timeout(WAIT_TIMEOUT).expect("it ended at its start");
             if let Some((_, door)) = line.split_once("console=") {
                 break door.parse().unwrap();
             }
         };
-        Process { child, door, log }
+        Process { child, admin_address: door, log }
     }
 }
 
@@ -135,7 +136,7 @@
     let nobody = SocketAddr::from(([127, 0, 0, 1], 9));
     let proxy = Proxy::new("stopped-early", "proxy", nobody, nobody);
     // It is held at its start by a process that serves already and says nothing.
-    let before = UnixListener::bind(proxy.place()).unwrap();
+    let before = UnixListener::bind(proxy.socket_path()).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_larklink"));
     command.arg(proxy.folder.join("config.json")).env("TMPDIR", &proxy.folder).stderr(Stdio::null());
     let mut child = command.env("ROUTER_CONSOLE", "127.0.0.1:0").spawn().unwrap();
@@ -148,7 +149,7 @@
 
 /// A server that accepts every session, answers each line with the same line, and ends with the first that says
 /// so.
-fn echoes() -> SocketAddr {
+fn echo_server() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     thread::spawn(move || {
@@ -156,13 +157,13 @@
             thread::spawn(move || {
                 let mut peer = Peer::new(stream.unwrap());
                 peer.0.get_ref().set_read_timeout(None).unwrap();
-                peer.hear();
-                peer.say("UP 1\r\nLOAD 40\r\n");
+                peer.receive_line();
+                peer.send("UP 1\r\nLOAD 40\r\n");
                 loop {
-                    match peer.hear() {
+                    match peer.receive_line() {
                         line if line.is_empty() => return,
-                        line if line == "END\r\n" => return peer.say("BYE\r\n"),
-                        line => peer.say(&line),
+                        line if line == "END\r\n" => return peer.send("BYE\r\n"),
+                        line => peer.send(&line),
                     }
                 }
             });
@@ -172,15 +173,15 @@
 }
 
 /// An agent that never answers; it is as good as none.
-fn mute() -> (TcpListener, SocketAddr) {
+fn silent_listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     (listener, at)
 }
 
 /// An agent that tells the whole list at once, and nothing more.
-fn agent(server: SocketAddr) -> SocketAddr {
-    let (listener, at) = mute();
+fn discovery_service(server: SocketAddr) -> SocketAddr {
+    let (listener, at) = silent_listener();
     let body = format!(
         r#"{{"index":2,"snapshot":true,"endpoints":[{{"name":"s-0","address":"{server}","status":"up"}}]}}"#
     );
@@ -188,7 +189,7 @@
         let mut kept = Vec::new();
         for stream in listener.incoming() {
             let mut peer = Peer::new(stream.unwrap());
-            while !matches!(peer.hear().as_str(), "\r\n" | "") {}
+            while !matches!(peer.receive_line().as_str(), "\r\n" | "") {}
             let _ =
                 write!(peer.0.get_mut(), "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
             kept.push(peer);
@@ -197,16 +198,16 @@
     at
 }
 
-fn stands(proxy: &Proxy) -> Peer {
+fn establish(proxy: &Proxy) -> Peer {
     let mut client = Peer::new(TcpStream::connect(proxy.listen).unwrap());
-    client.say(&open("c=chat,t=acme,d=5000,g=3"));
-    assert_eq!((client.hear(), client.hear()), ("UP 1\r\n".into(), "LOAD 40\r\n".into()));
+    client.send(&open_line("c=chat,t=acme,d=5000,g=3"));
+    assert_eq!((client.receive_line(), client.receive_line()), ("UP 1\r\n".into(), "LOAD 40\r\n".into()));
     client
 }
 
-fn goes_on(client: &mut Peer) {
-    client.say("M 1\r\n");
-    assert_eq!(client.hear(), "M 1\r\n");
+fn expect_echo(client: &mut Peer) {
+    client.send("M 1\r\n");
+    assert_eq!(client.receive_line(), "M 1\r\n");
 }
 
 /// Ten replacements, while clients come without pause, each with one answer, and sessions that stand go on unbroken
@@ -214,10 +215,10 @@
 #[test]
 fn ten_replacements_lose_no_connection_and_break_no_session() {
     for mode in ["pass", "proxy"] {
-        let server = echoes();
-        let proxy = Proxy::new("ten", mode, server, agent(server));
-        let mut process = proxy.start().gets_ready();
-        let mut standing: Vec<_> = (0..20).map(|_| stands(&proxy)).collect();
+        let server = echo_server();
+        let proxy = Proxy::new("ten", mode, server, discovery_service(server));
+        let mut process = proxy.start().wait_until_ready();
+        let mut standing: Vec<_> = (0..20).map(|_| establish(&proxy)).collect();
         let over = AtomicBool::new(false);
         /// Lets the others end too where the test fails.
         struct Over<'a>(&'a AtomicBool);
@@ -230,10 +231,10 @@
             let come = || {
                 let mut served = 0;
                 while !over.load(Relaxed) {
-                    let mut client = stands(&proxy);
-                    client.say("END\r\n");
-                    assert_eq!(client.hear(), "BYE\r\n");
-                    assert_eq!(client.hear(), "");
+                    let mut client = establish(&proxy);
+                    client.send("END\r\n");
+                    assert_eq!(client.receive_line(), "BYE\r\n");
+                    assert_eq!(client.receive_line(), "");
                     served += 1;
                 }
                 served
@@ -241,14 +242,14 @@
             let comers: Vec<_> = (0..4).map(|_| scope.spawn(come)).collect();
             let ends = Over(&over);
             for _ in 0..10 {
-                standing.iter_mut().for_each(|c| c.say("half"));
-                let next = proxy.start().gets_ready();
+                standing.iter_mut().for_each(|c| c.send("half"));
+                let next = proxy.start().wait_until_ready();
                 process.signal(Signal::TERM);
-                std::mem::replace(&mut process, next).ends();
+                std::mem::replace(&mut process, next).wait_for_exit();
                 for client in &mut standing {
-                    client.say(" of it\r\n");
-                    assert_eq!(client.hear(), "half of it\r\n");
-                    goes_on(client);
+                    client.send(" of it\r\n");
+                    assert_eq!(client.receive_line(), "half of it\r\n");
+                    expect_echo(client);
                 }
             }
             drop(ends);
@@ -258,8 +259,8 @@
 }
 
 /// A server that drops each session as soon as it has come, and how many have.
-fn drops() -> (SocketAddr, Arc<AtomicUsize>) {
-    let (listener, at) = mute();
+fn dropping_server() -> (SocketAddr, Arc<AtomicUsize>) {
+    let (listener, at) = silent_listener();
     let come = Arc::new(AtomicUsize::new(0));
     let count = Arc::clone(&come);
     thread::spawn(move || {
@@ -279,20 +280,20 @@
 /// old one's still count. Of two free ones in a minute the old one makes one at once.
 #[test]
 fn a_ration_of_further_dials_holds_for_both_processes_together() {
-    let (server, come) = drops();
+    let (server, come) = dropping_server();
     let safety = r#"{"budget_free":2,"extra_per_request":0,"counted_over_ns":60000000000}"#;
-    let proxy = Proxy::with("retry_budget", "proxy", server, agent(server), safety);
+    let proxy = Proxy::with("retry_budget", "proxy", server, discovery_service(server), safety);
     let refused = || {
         let mut client = Peer::new(TcpStream::connect(proxy.listen).unwrap());
-        client.say(&open("c=chat,t=acme,d=5000,g=3"));
-        assert!(client.hear().starts_with("BUSY"));
+        client.send(&open_line("c=chat,t=acme,d=5000,g=3"));
+        assert!(client.receive_line().starts_with("BUSY"));
     };
-    let old = proxy.start().gets_ready();
+    let old = proxy.start().wait_until_ready();
     (0..3).for_each(|_| refused());
     assert_eq!(come.load(Relaxed), 3 + 1);
-    let new = proxy.start().gets_ready();
+    let new = proxy.start().wait_until_ready();
     old.signal(Signal::TERM);
-    old.ends();
+    old.wait_for_exit();
     (0..3).for_each(|_| refused());
     assert_eq!(come.load(Relaxed), 4 + 3, "the new process spent what was free once more");
     drop(new);
@@ -301,56 +302,56 @@
 /// Whoever of the two is stopped or dies, the one that is left serves on in full.
 #[test]
 fn the_process_that_is_left_serves_on() {
-    let server = echoes();
-    let (_mute, silent) = mute();
+    let server = echo_server();
+    let (_mute, silent) = silent_listener();
     let proxy = Proxy::new("left", "proxy", server, silent);
-    let old = proxy.start().gets_ready();
-    let mut client = stands(&proxy);
+    let old = proxy.start().wait_until_ready();
+    let mut client = establish(&proxy);
     // One that dies before it is ready: with a discovery that says nothing that takes it a while.
     let early = proxy.start();
-    assert!(!early.ready());
+    assert!(!early.is_ready());
     drop(early);
-    old.says("new process lost");
-    goes_on(&mut stands(&proxy));
+    old.wait_for_log("new process lost");
+    expect_echo(&mut establish(&proxy));
     // One that dies after it was ready, and before the old one was stopped.
-    drop(proxy.start().gets_ready());
-    old.says("successor lost, accepting connections again");
-    goes_on(&mut stands(&proxy));
-    goes_on(&mut client);
+    drop(proxy.start().wait_until_ready());
+    old.wait_for_log("successor lost, accepting connections again");
+    expect_echo(&mut establish(&proxy));
+    expect_echo(&mut client);
     // The old one is stopped before the new one is ready, and gives it what stands at once.
     let new = proxy.start();
-    assert!(!new.ready());
+    assert!(!new.is_ready());
     old.signal(Signal::TERM);
-    new.says("takeover complete");
-    old.ends();
-    goes_on(&mut stands(&proxy));
-    goes_on(&mut client);
+    new.wait_for_log("takeover complete");
+    old.wait_for_exit();
+    expect_echo(&mut establish(&proxy));
+    expect_echo(&mut client);
     // Two new ones at once: one takes over from the other.
     let (one, two) = (proxy.start(), proxy.start());
-    let (one, two) = (one.gets_ready(), two.gets_ready());
+    let (one, two) = (one.wait_until_ready(), two.wait_until_ready());
     new.signal(Signal::TERM);
-    new.ends();
+    new.wait_for_exit();
     one.signal(Signal::TERM);
     two.signal(Signal::TERM);
-    let mut last = proxy.start().gets_ready();
-    one.ends();
-    two.ends();
-    goes_on(&mut stands(&proxy));
+    let mut last = proxy.start().wait_until_ready();
+    one.wait_for_exit();
+    two.wait_for_exit();
+    expect_echo(&mut establish(&proxy));
     last.signal(Signal::KILL);
     let _ = last.child.wait();
     // What a killed one leaves behind in the folder keeps no other from its start.
-    let _last = proxy.start().gets_ready();
-    goes_on(&mut stands(&proxy));
+    let _last = proxy.start().wait_until_ready();
+    expect_echo(&mut establish(&proxy));
 }
 
 #[test]
 fn who_meets_nonsense_starts_without_it() {
-    let server = echoes();
+    let server = echo_server();
     let old_version = r#"{"offer":{"version":7,"list":[]}}"#;
     let long = "x".repeat(2 << 20);
     for said in ["", "hello\n", old_version, "{\"offer\":", "{\"take\":null}\n", "\"stops\"\n", &long] {
-        let proxy = Proxy::new("nonsense", "proxy", server, agent(server));
-        let place = UnixListener::bind(proxy.place()).unwrap();
+        let proxy = Proxy::new("nonsense", "proxy", server, discovery_service(server));
+        let place = UnixListener::bind(proxy.socket_path()).unwrap();
         let said = said.to_owned();
         let speaks = thread::spawn(move || {
             let (mut met, _) = place.accept().unwrap();
@@ -360,18 +361,18 @@
                 let _ = met.read(&mut [0]);
             }
         });
-        let _process = proxy.start().gets_ready();
+        let _process = proxy.start().wait_until_ready();
         speaks.join().unwrap();
-        goes_on(&mut stands(&proxy));
+        expect_echo(&mut establish(&proxy));
     }
 }
 
 /// It asked again and again, twenty times a second, for as long as the other hung.
 #[test]
 fn who_is_told_that_another_was_faster_is_ready_even_if_that_one_never_serves() {
-    let server = echoes();
-    let proxy = Proxy::new("rival", "proxy", server, agent(server));
-    let place = UnixListener::bind(proxy.place()).unwrap();
+    let server = echo_server();
+    let proxy = Proxy::new("rival", "proxy", server, discovery_service(server));
+    let place = UnixListener::bind(proxy.socket_path()).unwrap();
     let door = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     door.set_reuse_port(true).unwrap();
     door.bind(&proxy.listen.into()).unwrap();
@@ -388,23 +389,23 @@
             });
         }
     });
-    let process = proxy.start().gets_ready();
-    process.says("never serves");
-    goes_on(&mut stands(&proxy));
+    let process = proxy.start().wait_until_ready();
+    process.wait_for_log("never serves");
+    expect_echo(&mut establish(&proxy));
 }
 
 /// Somebody who comes to the meeting place and says nonsense or nothing, leaves or stays, changes nothing.
 #[test]
 fn who_is_met_by_nonsense_serves_on() {
-    let server = echoes();
-    let proxy = Proxy::new("visited", "proxy", server, agent(server));
-    let process = proxy.start().gets_ready();
-    let meet = || UnixStream::connect(proxy.place()).unwrap();
+    let server = echo_server();
+    let proxy = Proxy::new("visited", "proxy", server, discovery_service(server));
+    let process = proxy.start().wait_until_ready();
+    let meet = || UnixStream::connect(proxy.socket_path()).unwrap();
     let _silent = meet();
     for said in ["nonsense\n", "{\"session\":{}}\n", "\"stops\"\n"] {
         meet().write_all(said.as_bytes()).unwrap();
-        process.says("new process lost");
-        goes_on(&mut stands(&proxy));
+        process.wait_for_log("new process lost");
+        expect_echo(&mut establish(&proxy));
     }
 }
 
--- a/crates/larklink-proxy/tests/health_check.rs
+++ b/crates/larklink-proxy/tests/health_check.rs
@@ -13,25 +13,25 @@
 use larklink_proxy::upstream::health_check::HealthChecker;
 
 mod stage;
-use stage::peer::{PATIENCE, Peer};
-use stage::{config, nobody, server};
+use stage::peer::{Peer, WAIT_TIMEOUT};
+use stage::{config, listen, refusing_address};
 
 /// No connection is held open for the next check while another check waits for its descriptor.
 #[test]
 fn a_waiting_health_check_takes_precedence_over_an_idle_connection() {
-    let (listener, at) = server();
+    let (listener, at) = listen();
     let answers = thread::spawn(move || {
         // The first two are answered once both have come, so that the third has to wait.
         let mut both = [Peer::accept(&listener), Peer::accept(&listener)];
-        both.iter_mut().for_each(|one| assert_eq!(one.hear(), "PING\r\n"));
-        both.iter_mut().for_each(|one| one.say("PONG\r\n"));
+        both.iter_mut().for_each(|one| assert_eq!(one.receive_line(), "PING\r\n"));
+        both.iter_mut().for_each(|one| one.send("PONG\r\n"));
         let mut third = Peer::accept(&listener);
-        assert_eq!(third.hear(), "PING\r\n");
-        third.say("PONG\r\n");
+        assert_eq!(third.receive_line(), "PING\r\n");
+        third.send("PONG\r\n");
         both.into_iter().filter_map(|mut one| one.0.read(&mut [0]).ok()).filter(|&n| n == 0).count()
     });
-    let config =
-        config(&[at], nobody(), "proxy", 1024).replace(r#""send_cap""#, r#""probing":true,"send_cap""#);
+    let config = config(&[at], refusing_address(), "proxy", 1024)
+        .replace(r#""send_cap""#, r#""probing":true,"send_cap""#);
     let config: Config = serde_json::from_str(&config.replace("250000000", "5000000000")).unwrap();
     let (queue, events) = queue();
     let limiter = ConnectionLimiter::with_reserved(4, 18);
@@ -40,7 +40,7 @@
     checker.update_endpoints(&listed);
     let checks = future::zip(future::zip(checker.check(0, at), checker.check(1, at)), checker.check(2, at));
     let late = async {
-        async_io::Timer::after(PATIENCE).await;
+        async_io::Timer::after(WAIT_TIMEOUT).await;
         panic!("a health check waits without end");
     };
     async_io::block_on(future::or(async { _ = checks.await }, late));
--- a/crates/larklink-proxy/tests/kit/mod.rs
+++ b/crates/larklink-proxy/tests/kit/mod.rs
@@ -1,4 +1,5 @@
 //! What the rehearsals of the program share.
+#![allow(clippy::unwrap_used, reason = "a test stops where its setup fails")]
 use std::path::Path;
 
 use larklink_simulation::audit::Broken;
@@ -12,7 +13,7 @@
 
 /// Something of everything: a server joins cold, one drains, two drop what they take: with one, three of some 400
 /// once-only sessions were torn down, and in a run in twenty none.
-pub const TROUBLED: &str = "
+pub(crate) const TROUBLED: &str = "
 length = '10s'
 [proxies]
 count = 2
@@ -51,7 +52,7 @@
 which = [0]
 ";
 
-pub fn rehearse(text: &str, seed: u64, planted: Option<Planted>) -> Report {
+pub(crate) fn rehearse(text: &str, seed: u64, planted: Option<Planted>) -> Report {
     let scenario = Scenario::read(text).unwrap_or_else(|wrong| panic!("{wrong:?}"));
     let mut options = Options::new(Path::new(env!("CARGO_BIN_EXE_larklink")), seed);
     options.planted = planted;
@@ -71,7 +72,7 @@
     report.breaches.len() == 1 && report.breaches[0].what == Broken::ToldTooLong
 }
 
-pub fn clean(report: &Report) {
+pub(crate) fn clean(report: &Report) {
     let some: Vec<_> = report.breaches.iter().take(5).collect();
     assert!(report.kept(), "seed {}: {some:#?} {:?}", report.seed, report.unmet);
 }
--- a/crates/larklink-proxy/tests/line_fixtures.rs
+++ b/crates/larklink-proxy/tests/line_fixtures.rs
@@ -9,13 +9,13 @@
 use larklink_proxy::metrics::{FinalAnswer, Metrics};
 
 mod stage;
-use stage::peer::{PATIENCE, Peer, open};
-use stage::*;
+use stage::peer::{Peer, WAIT_TIMEOUT, open_line};
+use stage::{config, endpoint, list, listen, refusing_address, respond, start, start_with_config};
 
 /// All that the door answers to a request, and then its end.
 fn call(door: SocketAddr, request: &str) -> String {
     let mut stream = TcpStream::connect(door).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     stream.write_all(request.as_bytes()).unwrap();
     let mut reply = String::new();
     stream.read_to_string(&mut reply).unwrap();
@@ -28,31 +28,31 @@
 
 /// Metrics that all differ, as far as they can be told from here, of two listeners.
 fn counted() -> Arc<Metrics> {
-    let figures = Metrics::new(&["chat".to_owned(), "pay".to_owned()]);
+    let metrics = Metrics::new(&["chat".to_owned(), "pay".to_owned()]);
     let answers = [FinalAnswer::Accepted, FinalAnswer::Rejected, FinalAnswer::Failed];
     for (n, (listener, answer)) in (1..).zip([0, 1].into_iter().flat_map(|l| answers.map(|a| (l, a)))) {
-        (0..n).for_each(|_| figures.record_answer(listener, answer));
+        (0..n).for_each(|_| metrics.record_answer(listener, answer));
     }
-    (0..7).for_each(|_| figures.record_attempt_sent());
-    (0..8).for_each(|_| std::mem::forget(figures.session_started()));
-    figures.set_endpoints(10, 9);
+    (0..7).for_each(|_| metrics.record_attempt_sent());
+    (0..8).for_each(|_| std::mem::forget(metrics.session_started()));
+    metrics.set_endpoints(10, 9);
     let now = std::time::Instant::now();
     for n in 0..11 {
         let at = now + std::time::Duration::from_millis(n * 400);
-        figures.record_rejection_without_attempt(larklink_proxy::log::EndReason::Rejected, at);
+        metrics.record_rejection_without_attempt(larklink_proxy::log::EndReason::Rejected, at);
     }
-    figures
+    metrics
 }
 
 #[test]
 fn the_door_answers_as_in_the_files() {
-    let figures = counted();
-    let metrics = include_str!("fixtures/door_metrics.http");
-    assert_eq!(figures.text(), metrics.split_once("\r\n\r\n").unwrap().1);
-    let door = admin::start("127.0.0.1:0".parse().unwrap(), Arc::clone(&figures)).unwrap();
-    assert_eq!(get(door, "/metrics"), metrics);
+    let metrics = counted();
+    let expected = include_str!("fixtures/door_metrics.http");
+    assert_eq!(metrics.text(), expected.split_once("\r\n\r\n").unwrap().1);
+    let door = admin::start("127.0.0.1:0".parse().unwrap(), Arc::clone(&metrics)).unwrap();
+    assert_eq!(get(door, "/metrics"), expected);
     assert_eq!(get(door, "/ready"), include_str!("fixtures/door_not_ready.http"));
-    figures.set_ready(true);
+    metrics.set_ready(true);
     assert_eq!(get(door, "/ready"), include_str!("fixtures/door_ready.http"));
     assert_eq!(get(door, "/"), include_str!("fixtures/door_elsewhere.http"));
     let posted = call(door, "POST /ready HTTP/1.1\r\nHost: door\r\n\r\n");
@@ -73,22 +73,22 @@
 
 #[test]
 fn discovery_is_asked_in_these_bytes() {
-    let ((_, at), (agent, discovery)) = (server(), server());
+    let ((_, at), (agent, discovery)) = (listen(), listen());
     let _proxy = start(&[], discovery, "proxy", 1024);
     let mut watch = Peer::accept(&agent);
     let rest = format!("HTTP/1.1\r\nHost: {discovery}\r\nAccept: application/json\r\n\r\n");
     assert_eq!(request(&mut watch), format!("GET /api/targets {rest}"));
-    told(&mut watch, &list(41, true, &[endpoint("s-0", at, "up")]));
+    respond(&mut watch, &list(41, true, &[endpoint("s-0", at, "up")]));
     assert_eq!(request(&mut watch), format!("GET /api/targets?after=41&wait_ms=1900 {rest}"));
 }
 
 #[test]
 fn a_server_is_asked_for_its_report_where_reports_tell_the_load() {
-    let (listener, at) = server();
-    let config = config(&[at], nobody(), "proxy", 1024);
+    let (listener, at) = listen();
+    let config = config(&[at], refusing_address(), "proxy", 1024);
     let config = config.replace(r#""safety":{"#, r#""feedback":{"names":["inflight","x0"]},"safety":{"#);
-    let proxy = start_by(&config.replace(r#""send_cap""#, r#""probing":true,"send_cap""#));
-    let _client = Peer::connect(proxy.address, &open("c=pay,d=5000"));
+    let proxy = start_with_config(&config.replace(r#""send_cap""#, r#""probing":true,"send_cap""#));
+    let _client = Peer::connect(proxy.address, &open_line("c=pay,d=5000"));
     let mut probe = Peer::accept(&listener);
     let mut asked = [0; 7];
     probe.0.read_exact(&mut asked).unwrap();
@@ -99,13 +99,13 @@
 #[test]
 fn a_refused_client_is_told_to_wait_in_whole_milliseconds_or_nothing() {
     let refused = |config: &str| {
-        let proxy = start_by(config);
-        let mut client = Peer::connect(proxy.address, &open("c=chat,d=2000"));
+        let proxy = start_with_config(config);
+        let mut client = Peer::connect(proxy.address, &open_line("c=chat,d=2000"));
         let mut answer = String::new();
         client.0.read_to_string(&mut answer).unwrap();
         answer
     };
-    let told = config(&[], nobody(), "proxy", 1024);
+    let told = config(&[], refusing_address(), "proxy", 1024);
     let answer = refused(&told);
     let ms = answer.strip_prefix("BUSY ").and_then(|a| a.strip_suffix("\r\n")).unwrap_or_default();
     assert!(!ms.is_empty() && ms.bytes().all(|b| b.is_ascii_digit()) && !ms.starts_with('0'), "{answer:?}");
--- a/crates/larklink-proxy/tests/readiness.rs
+++ b/crates/larklink-proxy/tests/readiness.rs
@@ -1,4 +1,5 @@
 //! A process that starts is ready long before the ten seconds that nine in ten have, in the worst surroundings.
+#![allow(clippy::unwrap_used, reason = "a test stops where its setup fails")]
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
@@ -8,7 +9,10 @@
 
 mod stage;
 use stage::peer::Peer;
-use stage::*;
+use stage::{
+    FullBacklog, config, endpoint, establish, list, listen, receive_request, refusing_address, respond,
+    start_on, wait_until,
+};
 
 const READY: Duration = Duration::from_secs(5);
 
@@ -54,7 +58,7 @@
         Self { stop, before, thread }
     }
 
-    fn ends(self) {
+    fn expect_end(self) {
         self.stop.store(true, Relaxed);
         self.thread.join().unwrap();
     }
@@ -68,7 +72,7 @@
     Many,
     /// Discovery accepts and says nothing, cannot be connected to, or refuses connections.
     Silent,
-    Deaf,
+    FullBacklog,
     Nobody,
     /// In place of the list that was kept, or of its servers, stands this.
     Spoilt(&'static str),
@@ -89,8 +93,9 @@
 #[test]
 fn a_process_is_ready_within_seconds_whatever_it_meets() {
     let spoilt = GARBAGE.into_iter().map(Start::Spoilt);
-    let starts =
-        [Start::Flood, Start::Many, Start::Silent, Start::Deaf, Start::Nobody].into_iter().chain(spoilt);
+    let starts = [Start::Flood, Start::Many, Start::Silent, Start::FullBacklog, Start::Nobody]
+        .into_iter()
+        .chain(spoilt);
     let starts: Vec<_> = starts.map(|start| thread::spawn(move || is_ready_in_time(&start))).collect();
     for start in starts {
         start.join().unwrap();
@@ -98,16 +103,16 @@
 }
 
 fn is_ready_in_time(start: &Start) {
-    let ((listener, at), (agent, discovery)) = (server(), server());
-    let (_deaf, unheard) = Deaf::new();
+    let ((listener, at), (agent, discovery)) = (listen(), listen());
+    let (_deaf, unheard) = FullBacklog::new();
     let door = TcpListener::bind("127.0.0.1:0").unwrap();
     // As the program listens.
     socket2::SockRef::from(&door).listen(1024).unwrap();
     let to = door.local_addr().unwrap();
     let all: Vec<_> = (0..1024).map(|n| endpoint(&format!("s-{n:08x}"), at, "up")).collect();
     let (discovery, servers) = match start {
-        Start::Deaf => (unheard, 1),
-        Start::Nobody | Start::Spoilt(_) => (nobody(), 1),
+        Start::FullBacklog => (unheard, 1),
+        Start::Nobody | Start::Spoilt(_) => (refusing_address(), 1),
         Start::Many | Start::Flood => (discovery, 1024),
         Start::Silent => (discovery, 1),
     };
@@ -122,31 +127,31 @@
     let tells = matches!(start, Start::Many | Start::Flood).then(|| {
         thread::spawn(move || {
             let mut watch = Peer::accept(&agent);
-            asked(&mut watch);
-            told(&mut watch, &list(41, true, &all));
-            asked(&mut watch);
+            receive_request(&mut watch);
+            respond(&mut watch, &list(41, true, &all));
+            receive_request(&mut watch);
         })
     });
     let flood = matches!(start, Start::Flood).then(|| Flood::new(to));
     let begun = Instant::now();
-    let proxy = serve_at(door, &config);
+    let proxy = start_on(door, &config);
     let mut probe = Peer::connect(to, "PING\r\n");
-    assert_eq!(probe.hear(), "PONG\r\n");
+    assert_eq!(probe.receive_line(), "PONG\r\n");
     if let Some(flood) = &flood {
-        becomes(|| flood.before.get().is_some());
+        wait_until(|| flood.before.get().is_some());
         let before = flood.before.get().unwrap();
         assert!(*before < 40 * Flood::CLIENTS, "{before} answers went to others first");
     }
     if let Some(tells) = tells {
         tells.join().unwrap();
     }
-    becomes(|| proxy.figures.is_ready());
+    wait_until(|| proxy.metrics.is_ready());
     assert!(begun.elapsed() < READY, "ready after {:?}", begun.elapsed());
     if !matches!(start, Start::Spoilt(garbage) if !garbage.contains("SERVER")) {
-        standing(to, &listener);
+        establish(to, &listener);
     }
     if let Some(flood) = flood {
-        flood.ends();
+        flood.expect_end();
     }
     drop(silent);
 }
--- a/crates/larklink-proxy/tests/reload.rs
+++ b/crates/larklink-proxy/tests/reload.rs
@@ -1,4 +1,5 @@
 //! The program on SIGHUP: it reads its configuration again and follows discovery at the new address.
+#![allow(clippy::unwrap_used, reason = "a test stops where its setup fails")]
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -7,7 +8,7 @@
 
 mod stage;
 use stage::peer::Peer;
-use stage::{asked, config, endpoint, list, server, standing, told};
+use stage::{config, endpoint, establish, list, listen, receive_request, respond};
 
 /// The program; it goes with the test.
 struct Program(Child);
@@ -37,15 +38,15 @@
 /// The program itself: it ended on SIGHUP, and each session with it.
 #[test]
 fn on_sighup_the_list_is_asked_for_at_the_new_address_and_sessions_go_on() {
-    let ((first, a), (second, b), (agent, old), (other, new)) = (server(), server(), server(), server());
+    let ((first, a), (second, b), (agent, old), (other, new)) = (listen(), listen(), listen(), listen());
     let path = std::env::temp_dir().join(format!("larklink-{}.json", std::process::id()));
     std::fs::write(&path, config(&[a], old, "proxy", 1024)).unwrap();
     let (program, mut log, address) = Program::start(&path);
     let mut watch = Peer::accept(&agent);
-    asked(&mut watch);
-    told(&mut watch, &list(41, true, &[endpoint("s-0", a, "up")]));
-    assert!(asked(&mut watch).starts_with("/api/targets?after=41&"));
-    let (mut client, mut server) = standing(address, &first);
+    receive_request(&mut watch);
+    respond(&mut watch, &list(41, true, &[endpoint("s-0", a, "up")]));
+    assert!(receive_request(&mut watch).starts_with("/api/targets?after=41&"));
+    let (mut client, mut server) = establish(address, &first);
     // A file that cannot be read changes nothing, and is warned of with its place.
     let zone = |at: &str| {
         config(&[a], old, "proxy", 1024).replace(r#""settings":{"#, &format!(r#""settings":{{"zone":{at},"#))
@@ -64,23 +65,23 @@
         !refused.status.success()
             && String::from_utf8_lossy(&refused.stderr).contains("settings: zone: 1 is no")
     );
-    told(&mut watch, &list(42, false, &[]));
-    assert!(asked(&mut watch).starts_with("/api/targets?after=42&"));
+    respond(&mut watch, &list(42, false, &[]));
+    assert!(receive_request(&mut watch).starts_with("/api/targets?after=42&"));
     for index in [7, 3] {
         std::fs::write(&path, config(&[a], new, "proxy", 1024)).unwrap();
         program.hang_up();
-        watch.ends();
+        watch.expect_end();
         watch = Peer::accept(&other);
-        assert_eq!(asked(&mut watch), "/api/targets", "the old index counts for nothing");
-        told(&mut watch, &list(index, true, &[endpoint("s-0", a, "up"), endpoint("s-1", b, "up")]));
-        assert!(asked(&mut watch).starts_with(&format!("/api/targets?after={index}&")));
+        assert_eq!(receive_request(&mut watch), "/api/targets", "the old index counts for nothing");
+        respond(&mut watch, &list(index, true, &[endpoint("s-0", a, "up"), endpoint("s-1", b, "up")]));
+        assert!(receive_request(&mut watch).starts_with(&format!("/api/targets?after={index}&")));
     }
-    client.say("still here\r\n");
-    assert_eq!(server.hear(), "still here\r\n");
+    client.send("still here\r\n");
+    assert_eq!(server.receive_line(), "still here\r\n");
     // The new list counts.
-    told(&mut watch, &list(8, true, &[endpoint("s-1", b, "up")]));
-    assert!(asked(&mut watch).contains("after=8"));
-    standing(address, &second);
+    respond(&mut watch, &list(8, true, &[endpoint("s-1", b, "up")]));
+    assert!(receive_request(&mut watch).contains("after=8"));
+    establish(address, &second);
     std::fs::remove_file(&path).unwrap();
 }
 
@@ -88,26 +89,26 @@
 /// hung there was waited for for three.
 #[test]
 fn a_drain_at_the_new_address_before_its_first_answer_is_heard_in_time() {
-    let ((first, a), (agent, old), (other, new)) = (server(), server(), server());
+    let ((first, a), (agent, old), (other, new)) = (listen(), listen(), listen());
     let path = std::env::temp_dir().join(format!("larklink-hup-{}.json", std::process::id()));
     std::fs::write(&path, config(&[a], old, "proxy", 1024)).unwrap();
     let (program, _log, address) = Program::start(&path);
     let mut watch = Peer::accept(&agent);
-    asked(&mut watch);
-    told(&mut watch, &list(41, true, &[endpoint("s-0", a, "up")]));
-    asked(&mut watch);
-    let (mut client, _server) = standing(address, &first);
+    receive_request(&mut watch);
+    respond(&mut watch, &list(41, true, &[endpoint("s-0", a, "up")]));
+    receive_request(&mut watch);
+    let (mut client, _server) = establish(address, &first);
     std::fs::write(&path, config(&[a], new, "proxy", 1024)).unwrap();
     let begun = Instant::now();
     program.hang_up();
-    watch.ends();
+    watch.expect_end();
     let silent: Vec<_> = (0..2).map(|_| Peer::accept(&other)).collect();
     let mut watch = Peer::accept(&other);
-    assert_eq!(asked(&mut watch), "/api/targets");
-    told(&mut watch, &list(3, true, &[endpoint("s-0", a, "draining")]));
-    assert!(asked(&mut watch).starts_with("/api/targets?after=3&"));
+    assert_eq!(receive_request(&mut watch), "/api/targets");
+    respond(&mut watch, &list(3, true, &[endpoint("s-0", a, "draining")]));
+    assert!(receive_request(&mut watch).starts_with("/api/targets?after=3&"));
     assert!(begun.elapsed() < Duration::from_secs(4), "{:?}", begun.elapsed());
-    assert_eq!(client.hear(), "MOVE\r\n");
+    assert_eq!(client.receive_line(), "MOVE\r\n");
     drop(silent);
     std::fs::remove_file(&path).unwrap();
 }
--- a/crates/larklink-proxy/tests/shutdown.rs
+++ b/crates/larklink-proxy/tests/shutdown.rs
@@ -4,23 +4,23 @@
 use std::time::{Duration, Instant};
 
 mod stage;
-use stage::peer::{Peer, open};
-use stage::{nobody, quiet, server, standing, start};
+use stage::peer::{Peer, open_line};
+use stage::{establish, listen, refusing_address, start, start_with_servers};
 
 #[test]
 fn a_proxy_that_stops_answers_new_sessions_and_moves_what_it_holds() {
-    let (listener, at) = server();
-    let proxy = quiet(&[at]);
-    let (mut client, mut server) = standing(proxy.address, &listener);
+    let (listener, at) = listen();
+    let proxy = start_with_servers(&[at]);
+    let (mut client, mut server) = establish(proxy.address, &listener);
     drop(proxy.stop);
-    let mut late = Peer::connect(proxy.address, &open("c=chat,d=2000"));
+    let mut late = Peer::connect(proxy.address, &open_line("c=chat,d=2000"));
     let mut to = Peer::accept(&listener);
-    to.hear();
-    to.say("UP 9\r\n");
-    assert_eq!(late.hear(), "UP 9\r\n");
-    assert_eq!((client.hear(), late.hear()), ("MOVE\r\n".into(), "MOVE\r\n".into()));
-    client.ends();
-    server.ends();
+    to.receive_line();
+    to.send("UP 9\r\n");
+    assert_eq!(late.receive_line(), "UP 9\r\n");
+    assert_eq!((client.receive_line(), late.receive_line()), ("MOVE\r\n".into(), "MOVE\r\n".into()));
+    client.expect_end();
+    server.expect_end();
     drop((late, to));
     proxy.thread.join().unwrap();
     assert!(TcpStream::connect(proxy.address).is_err(), "nobody listens any more");
@@ -29,9 +29,9 @@
 /// It ended as soon as nobody waited for an answer, and broke all sessions seconds before it had to.
 #[test]
 fn where_packets_pass_through_a_proxy_that_stops_moves_nobody_and_stays_while_it_may() {
-    let (listener, at) = server();
-    let proxy = start(&[at], nobody(), "pass", 1024);
-    let (mut client, _server) = standing(proxy.address, &listener);
+    let (listener, at) = listen();
+    let proxy = start(&[at], refusing_address(), "pass", 1024);
+    let (mut client, _server) = establish(proxy.address, &listener);
     let stopped = Instant::now();
     drop(proxy.stop);
     proxy.thread.join().unwrap();
--- a/crates/larklink-proxy/tests/stage/mod.rs
+++ b/crates/larklink-proxy/tests/stage/mod.rs
@@ -1,4 +1,5 @@
-//! A whole proxy on loopback sockets, with servers, an agent and clients that a test holds in its hands, line by line.
+//! A whole proxy on loopback sockets; the test plays its clients, its servers and the discovery service, line by line.
+#![allow(clippy::unwrap_used, reason = "a test stops where its setup fails")]
 #![allow(dead_code, reason = "each file of tests uses a part")]
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -18,111 +19,115 @@
 use larklink_proxy::proxy::{self, ProxyOptions};
 
 #[path = "../peer/mod.rs"]
-pub mod peer;
-use peer::{PATIENCE, Peer, open};
-
-pub struct Proxy {
-    pub address: SocketAddr,
-    pub stop: Sender<()>,
-    pub thread: JoinHandle<()>,
-    pub figures: Arc<Metrics>,
-    pub hold: Hold,
+pub(crate) mod peer;
+use peer::{Peer, WAIT_TIMEOUT, open_line};
+
+/// A proxy that runs in a thread of its own.
+pub(crate) struct Proxy {
+    pub(crate) address: SocketAddr,
+    /// Closing it asks the proxy to stop.
+    pub(crate) stop: Sender<()>,
+    pub(crate) thread: JoinHandle<()>,
+    pub(crate) metrics: Arc<Metrics>,
+    pub(crate) hold: ThreadHold,
 }
 
-/// Holds a proxy's thread, so that what happens meanwhile happens in the order that a test wants.
-pub struct Hold {
-    bell: UnixStream,
-    held: mpsc::Receiver<()>,
+/// Pauses a proxy's thread, so that what happens meanwhile happens in the order that a test wants.
+pub(crate) struct ThreadHold {
+    orders: UnixStream,
+    paused: mpsc::Receiver<()>,
 }
 
-impl Hold {
-    /// Also a task for the thread that is to be held.
-    pub fn new() -> (Self, impl Future<Output = ()>) {
-        let ((bell, rung), (tell, held)) = (UnixStream::pair().unwrap(), mpsc::channel());
+impl ThreadHold {
+    /// Also a task for the thread that is to be paused.
+    pub(crate) fn new() -> (Self, impl Future<Output = ()>) {
+        let (orders, received) = UnixStream::pair().unwrap();
+        let (pausing, paused) = mpsc::channel();
         let task = async move {
-            let rung = Async::new(rung).unwrap();
+            let received = Async::new(received).unwrap();
             let next = async || {
                 let mut order = [0];
-                let _ = rung.readable().await;
-                rung.get_ref().read(&mut order).is_ok_and(|n| n > 0).then_some(order[0])
+                let _ = received.readable().await;
+                received.get_ref().read(&mut order).is_ok_and(|n| n > 0).then_some(order[0])
             };
             while next().await.is_some() {
-                while tell.send(()).is_ok() && async_io::block_on(next()) == Some(b's') {
+                while pausing.send(()).is_ok() && async_io::block_on(next()) == Some(b's') {
                     future::yield_now().await;
                 }
             }
         };
-        (Self { bell, held }, task)
+        (Self { orders, paused }, task)
     }
 
-    /// The thread stands from here on: the reactor hears what comes, and no task acts.
-    pub fn stop(&mut self) {
+    /// The thread is paused from here on: the reactor is notified of what comes, and no task runs.
+    pub(crate) fn stop(&mut self) {
         self.order(b'x');
-        self.held.recv_timeout(PATIENCE).unwrap();
+        self.paused.recv_timeout(WAIT_TIMEOUT).unwrap();
     }
 
-    /// Tasks that have heard something by now act, once; those whom they tell of it do not yet.
-    pub fn step(&mut self) {
+    /// Tasks that are ready by now run once; those that they wake do not yet.
+    pub(crate) fn step(&mut self) {
         self.order(b's');
-        self.held.recv_timeout(PATIENCE).unwrap();
+        self.paused.recv_timeout(WAIT_TIMEOUT).unwrap();
     }
 
-    pub fn go(&mut self) {
+    pub(crate) fn go(&mut self) {
         self.order(b'g');
     }
 
     fn order(&mut self, order: u8) {
-        self.bell.write_all(&[order]).unwrap();
+        self.orders.write_all(&[order]).unwrap();
     }
 }
 
 impl Peer {
-    pub fn connect(to: SocketAddr, line: &str) -> Self {
+    pub(crate) fn connect(to: SocketAddr, line: &str) -> Self {
         let mut peer = Self::new(TcpStream::connect(to).unwrap());
-        peer.say(line);
+        peer.send(line);
         peer
     }
 
-    pub fn accept(listener: &TcpListener) -> Self {
+    pub(crate) fn accept(listener: &TcpListener) -> Self {
         Self::new(listener.accept().unwrap().0)
     }
 
-    /// It leaves, and the other side's kernel knows; its process need not.
-    pub fn leaves(self) {
+    /// Closes the connection and waits until the other side's kernel knows; its process need not.
+    pub(crate) fn close_and_wait(self) {
         let of = |at: std::io::Result<SocketAddr>| format!("0100007F:{:04X}", at.unwrap().port());
         let (own, other) = (of(self.0.get_ref().local_addr()), of(self.0.get_ref().peer_addr()));
         drop(self);
         // As the kernel lists it: both addresses, and that the far side has ended it.
         let ended = format!("{other} {own} 08");
-        becomes(|| std::fs::read_to_string("/proc/net/tcp").unwrap().contains(&ended));
+        wait_until(|| std::fs::read_to_string("/proc/net/tcp").unwrap().contains(&ended));
     }
 
-    pub fn ends(&mut self) {
+    pub(crate) fn expect_end(&mut self) {
         let mut rest = Vec::new();
         self.0.read_to_end(&mut rest).unwrap();
         assert!(rest.is_empty(), "{:?} before the end", String::from_utf8_lossy(&rest));
     }
 
-    pub fn breaks(&mut self) {
+    pub(crate) fn expect_reset(&mut self) {
         assert_eq!(self.0.read(&mut [0]).unwrap_err().kind(), ErrorKind::ConnectionReset);
     }
 
-    pub fn reset(self) {
+    pub(crate) fn reset(self) {
         let stream = self.0.into_inner();
         socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
     }
 }
 
-pub fn server() -> (TcpListener, SocketAddr) {
+/// A listener that plays a server, and its address.
+pub(crate) fn listen() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     // A connection that must come and does not fails the test instead of holding it up.
-    socket2::SockRef::from(&listener).set_read_timeout(Some(PATIENCE)).unwrap();
+    socket2::SockRef::from(&listener).set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     let address = listener.local_addr().unwrap();
     (listener, address)
 }
 
 /// An address that refuses connections, and is kept from other tests.
-pub fn nobody() -> SocketAddr {
+pub(crate) fn refusing_address() -> SocketAddr {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
     let address = socket.local_addr().unwrap().as_socket().unwrap();
@@ -130,31 +135,31 @@
     address
 }
 
-pub fn endpoint(name: &str, address: SocketAddr, status: &str) -> String {
+pub(crate) fn endpoint(name: &str, address: SocketAddr, status: &str) -> String {
     format!(r#"{{"name":"{name}","address":"{address}","status":"{status}","weight":1.0}}"#)
 }
 
-pub fn list(index: u64, snapshot: bool, endpoints: &[String]) -> String {
+pub(crate) fn list(index: u64, snapshot: bool, endpoints: &[String]) -> String {
     format!(r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#, endpoints.join(","))
 }
 
-pub fn start(servers: &[SocketAddr], agent: SocketAddr, mode: &str, sockets: usize) -> Proxy {
-    start_by(&config(servers, agent, mode, sockets))
+pub(crate) fn start(servers: &[SocketAddr], agent: SocketAddr, mode: &str, sockets: usize) -> Proxy {
+    start_with_config(&config(servers, agent, mode, sockets))
 }
 
-pub fn start_by(config: &str) -> Proxy {
-    serve_at(TcpListener::bind("127.0.0.1:0").unwrap(), config)
+pub(crate) fn start_with_config(config: &str) -> Proxy {
+    start_on(TcpListener::bind("127.0.0.1:0").unwrap(), config)
 }
 
 /// A proxy that finds connections waiting for it.
-pub fn serve_at(listener: TcpListener, config: &str) -> Proxy {
+pub(crate) fn start_on(listener: TcpListener, config: &str) -> Proxy {
     let config: Config = serde_json::from_str(config).unwrap();
     let address = listener.local_addr().unwrap();
     let (stop, stopping) = async_channel::bounded(1);
     let (_, moved) = async_channel::bounded(1);
-    let figures = Metrics::new(&config.settings.listeners);
-    let counted = Arc::clone(&figures);
-    let (hold, holding) = Hold::new();
+    let metrics = Metrics::new(&config.settings.listeners);
+    let counted = Arc::clone(&metrics);
+    let (hold, holding) = ThreadHold::new();
     let thread = thread::spawn(move || {
         let executor = Rc::new(LocalExecutor::new());
         let options = ProxyOptions {
@@ -170,10 +175,10 @@
         let run = proxy::run(options, Rc::clone(&executor));
         async_io::block_on(executor.run(run)).unwrap();
     });
-    Proxy { address, stop, thread, figures, hold }
+    Proxy { address, stop, thread, metrics, hold }
 }
 
-pub fn config(servers: &[SocketAddr], agent: SocketAddr, mode: &str, sockets: usize) -> String {
+pub(crate) fn config(servers: &[SocketAddr], agent: SocketAddr, mode: &str, sockets: usize) -> String {
     let known: Vec<_> =
         servers.iter().enumerate().map(|(n, a)| endpoint(&format!("s-{n}"), *a, "up")).collect();
     let grade = |name: &str, kind: &str| {
@@ -191,111 +196,111 @@
     )
 }
 
-pub fn quiet(servers: &[SocketAddr]) -> Proxy {
-    start(servers, nobody(), "proxy", 1024)
+pub(crate) fn start_with_servers(servers: &[SocketAddr]) -> Proxy {
+    start(servers, refusing_address(), "proxy", 1024)
 }
 
-/// A client whose session stands at a server, both ends of it.
-pub fn standing(proxy: SocketAddr, listener: &TcpListener) -> (Peer, Peer) {
-    standing_by(&open("c=chat,t=acme,d=2000,g=3"), proxy, listener)
+/// A session established at a server: its client's end and its server's.
+pub(crate) fn establish(proxy: SocketAddr, listener: &TcpListener) -> (Peer, Peer) {
+    establish_with(&open_line("c=chat,t=acme,d=2000,g=3"), proxy, listener)
 }
 
-pub fn standing_by(head: &str, proxy: SocketAddr, listener: &TcpListener) -> (Peer, Peer) {
+pub(crate) fn establish_with(head: &str, proxy: SocketAddr, listener: &TcpListener) -> (Peer, Peer) {
     let mut client = Peer::connect(proxy, head);
     let mut server = Peer::accept(listener);
-    assert_eq!(server.hear().split(' ').nth(1), head.split(' ').nth(1));
-    server.say("UP 77\r\n");
-    assert_eq!(client.hear(), "UP 77\r\n");
+    assert_eq!(server.receive_line().split(' ').nth(1), head.split(' ').nth(1));
+    server.send("UP 77\r\n");
+    assert_eq!(client.receive_line(), "UP 77\r\n");
     (client, server)
 }
 
-/// Reads one request of the watch: its path.
-pub fn asked(agent: &mut Peer) -> String {
-    let line = agent.hear();
+/// Receives one request for the endpoint list: its path.
+pub(crate) fn receive_request(agent: &mut Peer) -> String {
+    let line = agent.receive_line();
     let mut last = line.clone();
     while last != "\r\n" {
         assert!(!last.is_empty(), "the call ended before all of it had come");
-        last = agent.hear();
+        last = agent.receive_line();
     }
     line.split(' ').nth(1).unwrap().to_owned()
 }
 
-pub fn told(agent: &mut Peer, body: &str) {
-    agent.say(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
+pub(crate) fn respond(agent: &mut Peer, body: &str) {
+    agent.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
 }
 
-/// Waits until the figures are these, in the order in which they are told without their names.
-pub fn figures_become<const N: usize>(proxy: &Proxy, want: [u32; N]) {
-    becomes(|| figures(proxy)[..N] == want);
+/// Waits until the first metrics, in the order of the text, have these values.
+pub(crate) fn metrics_become<const N: usize>(proxy: &Proxy, want: [u32; N]) {
+    wait_until(|| metrics(proxy)[..N] == want);
 }
 
-/// Waits until these are the figures behind the answers: tries, sessions in progress, servers.
-pub fn figures_end(proxy: &Proxy, want: [u32; 3]) {
-    becomes(|| {
-        ["app.upstream_tries", "app.in_progress", "app.known_servers"].map(|name| figure(proxy, name)) == want
+/// Waits until the metrics after the answers have these values: attempts, sessions in progress, endpoints.
+pub(crate) fn last_metrics_become(proxy: &Proxy, want: [u32; 3]) {
+    wait_until(|| {
+        ["app.upstream_tries", "app.in_progress", "app.known_servers"].map(|name| metric(proxy, name)) == want
     });
 }
 
-pub fn figure(proxy: &Proxy, name: &str) -> u32 {
-    let text = proxy.figures.text();
+pub(crate) fn metric(proxy: &Proxy, name: &str) -> u32 {
+    let text = proxy.metrics.text();
     text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix('=')?.parse().ok()).unwrap()
 }
 
-fn figures(proxy: &Proxy) -> Vec<u32> {
-    let figure = |line: &str| line.rsplit_once('=').unwrap().1.parse().unwrap();
-    proxy.figures.text().lines().map(figure).collect()
+fn metrics(proxy: &Proxy) -> Vec<u32> {
+    let value = |line: &str| line.rsplit_once('=').unwrap().1.parse().unwrap();
+    proxy.metrics.text().lines().map(value).collect()
 }
 
-/// Waits until it is so.
-pub fn becomes(so: impl Fn() -> bool) {
-    let until = Instant::now() + PATIENCE;
-    while !so() {
-        assert!(Instant::now() < until, "it does not become so");
+/// Waits until a condition holds.
+pub(crate) fn wait_until(condition: impl Fn() -> bool) {
+    let until = Instant::now() + WAIT_TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < until, "the condition does not come to hold");
         thread::yield_now();
     }
 }
 
-/// A server on which connections do not come up until [`Deaf::listen`]: its queue is full, and who knocks meanwhile
-/// knocks again a second later.
-pub struct Deaf {
+/// A server on which connections do not come up until [`FullBacklog::listen`]: its backlog is full, and the kernel of a
+/// client that connects meanwhile tries again a second later.
+pub(crate) struct FullBacklog {
     listener: TcpListener,
     at: SocketAddr,
     first: TcpStream,
 }
 
-impl Deaf {
-    pub fn new() -> (Self, SocketAddr) {
+impl FullBacklog {
+    pub(crate) fn new() -> (Self, SocketAddr) {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         socket.listen(0).unwrap();
-        socket.set_read_timeout(Some(PATIENCE)).unwrap();
+        socket.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         let listener = TcpListener::from(socket);
         let at = listener.local_addr().unwrap();
         (Self { listener, at, first: TcpStream::connect(at).unwrap() }, at)
     }
 
-    /// Waits until somebody knocks.
-    pub fn is_knocked_at(&self) {
-        // As the kernel lists it: the far address, and that a connection is being asked for.
+    /// Waits until a client tries to connect.
+    pub(crate) fn wait_for_connection_attempt(&self) {
+        // As the kernel lists it: the far address, and the state SYN_SENT.
         let wanted = format!(":{:04X} 02", self.at.port());
-        becomes(|| std::fs::read_to_string("/proc/net/tcp").unwrap().contains(&wanted));
+        wait_until(|| std::fs::read_to_string("/proc/net/tcp").unwrap().contains(&wanted));
     }
 
-    pub fn listen(self) -> TcpListener {
+    pub(crate) fn listen(self) -> TcpListener {
         drop((self.listener.accept().unwrap(), self.first));
         self.listener
     }
 }
 
 /// What has been sent to a server on connections that nobody answered, up to now.
-pub fn heads(listener: &TcpListener) -> Vec<String> {
-    connections(listener).into_iter().filter(|line| !line.is_empty()).collect()
+pub(crate) fn open_lines(listener: &TcpListener) -> Vec<String> {
+    first_lines(listener).into_iter().filter(|line| !line.is_empty()).collect()
 }
 
 /// The first line on each connection to a server, up to now; nothing where none was sent.
-pub fn connections(listener: &TcpListener) -> Vec<String> {
+pub(crate) fn first_lines(listener: &TcpListener) -> Vec<String> {
     let last = Peer::connect(listener.local_addr().unwrap(), "the last\r\n");
-    let all = std::iter::repeat_with(|| Peer::accept(listener).hear());
+    let all = std::iter::repeat_with(|| Peer::accept(listener).receive_line());
     let all = all.take_while(|line| line != "the last\r\n").collect();
     drop(last);
     all
