--- a/crates/larklink-proxy/src/admin/mod.rs
+++ b/crates/larklink-proxy/src/admin/mod.rs
@@ -19,7 +19,7 @@
 use response::respond;
 
 /// Connections that are served at once. A further one evicts the oldest, so that callers that connect and send no
-/// complete request keep nobody out, as long as fewer come within [`REQUEST_TIMEOUT`].
+/// complete request keep nobody out, as long as fewer come within `REQUEST_TIMEOUT`.
 pub const MAX_CONNECTIONS: usize = 16;
 /// Descriptors that the endpoint needs: its connections, its listener, and one that is accepted while the oldest closes.
 pub const DESCRIPTORS: usize = MAX_CONNECTIONS + 2;
--- a/crates/larklink-proxy/src/discovery/schedule.rs
+++ b/crates/larklink-proxy/src/discovery/schedule.rs
@@ -116,7 +116,7 @@
     /// `failures_before` polls in a row had failed by then, and the poll in flight and the next ones fail, `more` in
     /// all. It is the sum of
     ///
-    /// - two rests of [`MIN_POLL_INTERVAL`], after an early response and a reused connection that turned out closed, if
+    /// - two rests of `MIN_POLL_INTERVAL`, after an early response and a reused connection that turned out closed, if
     ///   nothing had failed before;
     /// - for each failed poll its total timeout and the longest backoff; at worst the first is a long poll that has
     ///   just begun and hangs, and the others are rejections;
