--- a/crates/larklink-proxy/src/proxy.rs
+++ b/crates/larklink-proxy/src/proxy.rs
@@ -194,7 +194,7 @@
 
 /// How long the proxy runs on after it is asked to stop.
 fn shutdown_grace(config: &Config) -> Duration {
-    ACCEPT_GRACE + to_duration(config.settings.longest).min(MAX_ANSWER_GRACE)
+    ACCEPT_GRACE + to_duration(config.settings.max_dial_timeout).min(MAX_ANSWER_GRACE)
 }
 
 fn new_session_context(
@@ -210,7 +210,7 @@
         metrics: Arc::clone(metrics),
         listeners: config.settings.listeners.clone(),
         connect_timeout: to_duration(config.settings.settings.connect_timeout),
-        passthrough: config.settings.passes,
+        passthrough: config.settings.passthrough,
         rng: new_rng(config.seed, SESSION_RNG_STREAM).into(),
         shutdown,
         listener_closed,
