--- a/crates/larklinkctl/tests/command.rs
+++ b/crates/larklinkctl/tests/command.rs
@@ -1,4 +1,5 @@
 //! The command as it is called: what it refuses, how it exits, and that nothing is left behind.
+#![expect(clippy::unwrap_used, reason = "helpers of a test fail it by a panic")]
 use std::path::PathBuf;
 use std::process::{Command, Output, Stdio};
 use std::time::{Duration, Instant};
@@ -45,6 +46,25 @@
     }
 }
 
+/// Standard output and exit code are the same; standard error has one line more.
+#[test]
+fn the_old_name_says_the_new_one_and_does_the_same() {
+    for arguments in [&["run", "--list"][..], &["rehearse", "--list"], &["rehearse", "no-such"], &["run"]] {
+        let new = larklinkctl(arguments).output().unwrap();
+        let old = Command::new(env!("CARGO_BIN_EXE_larkctl"))
+            .args(arguments)
+            .stdin(Stdio::null())
+            .output()
+            .unwrap();
+        assert_eq!((old.status.code(), &old.stdout), (new.status.code(), &new.stdout), "{arguments:?}");
+        let said = String::from_utf8(old.stderr).unwrap();
+        let (first, rest) = said.split_once('\n').unwrap();
+        assert!(first.contains("larklinkctl"), "{first}");
+        let rest = rest.replace("Usage: larkctl", "Usage: larklinkctl");
+        assert_eq!(rest, String::from_utf8(new.stderr).unwrap(), "{arguments:?}");
+    }
+}
+
 #[test]
 fn what_is_wrong_is_told_and_nothing_starts() {
     assert_eq!(ran(&[]).0, 2);
