--- a/crates/larklinkctl/src/run.rs
+++ b/crates/larklinkctl/src/run.rs
@@ -134,7 +134,7 @@
         None => std::fs::read_to_string(name)
             .map_err(|source| RunError::ReadScenario { name: name.to_owned(), source })?,
     };
-    Scenario::read(&text).map_err(|problems| RunError::InvalidScenario {
+    Scenario::parse(&text).map_err(|problems| RunError::InvalidScenario {
         problems: problems.iter().map(|problem| format!("{name}:{problem}")).collect(),
     })
 }
--- a/crates/larklinkctl/src/shipped.rs
+++ b/crates/larklinkctl/src/shipped.rs
@@ -48,7 +48,7 @@
 /// Prints a line for each: name, length, description.
 pub(crate) fn print_list() {
     for shipped in &SHIPPED {
-        let Ok(scenario) = Scenario::read(shipped.text) else { continue };
+        let Ok(scenario) = Scenario::parse(shipped.text) else { continue };
         println!("{:16} {:>4}  {}", shipped.name, scenario.length.to_string(), scenario.about);
     }
 }
--- a/crates/larklinkctl/src/tables.rs
+++ b/crates/larklinkctl/src/tables.rs
@@ -1,6 +1,6 @@
 //! The report of a run as tables and lines for a terminal.
 use comfy_table::{Table, presets::UTF8_HORIZONTAL_ONLY};
-use larklink_simulation::audit::Shape;
+use larklink_simulation::audit::ShapeOutcomes;
 use larklink_testbed::report::{Report, Row};
 
 /// Findings that are printed; the JSON has them all.
@@ -96,7 +96,8 @@
             usage.starts
         );
     }
-    for (shape, name) in report.shapes.iter().zip(Shape::NAMES).filter(|(shape, _)| shape.opened > 0) {
+    for (shape, name) in report.shapes.iter().zip(ShapeOutcomes::NAMES).filter(|(shape, _)| shape.opened > 0)
+    {
         println!("proxies of the {name} shape: {} of {} sessions accepted", shape.accepted, shape.opened);
     }
     if let Some(recovery) = &report.recovery {
@@ -113,15 +114,15 @@
 
 /// Broken rules, then requirements of the scenario that were not met.
 fn print_findings(report: &Report) {
-    for finding in report.breaches.iter().take(FINDINGS_PRINTED) {
+    for finding in report.violations.iter().take(FINDINGS_PRINTED) {
         let at_s = finding.at as f64 / TICKS_PER_SECOND;
         println!(
             "rule {} {:?} at {at_s:.3} s, session {}: {}",
-            finding.rule, finding.what, finding.session, finding.seen
+            finding.rule, finding.kind, finding.session, finding.observed
         );
     }
-    if report.breaches.len() > FINDINGS_PRINTED {
-        println!("and {} more", report.breaches.len() - FINDINGS_PRINTED);
+    if report.violations.len() > FINDINGS_PRINTED {
+        println!("and {} more", report.violations.len() - FINDINGS_PRINTED);
     }
     for requirement in &report.unmet {
         println!("requirement not met: {requirement}");
