--- a/crates/larklink-testbed/src/error.rs
+++ b/crates/larklink-testbed/src/error.rs
@@ -43,7 +43,7 @@
     CreateFolder {
         /// Where it was to be made.
         path: PathBuf,
-        /// What the system said.
+        /// The system's reason.
         source: std::io::Error,
     },
     /// Signals cannot be received.
@@ -54,7 +54,7 @@
     StartProxy {
         /// The proxy's program.
         program: PathBuf,
-        /// What the system said.
+        /// The system's reason.
         source: std::io::Error,
     },
     /// A proxy ended before it answered.
--- a/crates/larklink-testbed/src/html_report.rs
+++ b/crates/larklink-testbed/src/html_report.rs
@@ -4,7 +4,10 @@
 
 use larklink_balancer::Timestamp;
 use plotters::coord::Shift;
-use plotters::prelude::*;
+use plotters::prelude::{
+    ChartBuilder, Color, DrawingArea, IntoDrawingArea, LineSeries, Palette, Palette99, PathElement, RED,
+    Rectangle, SVGBackend, WHITE,
+};
 
 use crate::report::{ListenerReport, Report};
 use crate::sample::Sample;
--- a/crates/larklink-testbed/src/metrics_poller.rs
+++ b/crates/larklink-testbed/src/metrics_poller.rs
@@ -11,7 +11,7 @@
 use crate::proxy_slot::{AdminEndpoint, ProcessKey, ProxySlot, ProxySlots};
 use crate::report::ListenerReport;
 
-/// How often each process is asked; what it counts after the last call before its end is in nobody's metrics.
+/// How often each process is asked; what it counts after the last call before its end is in no metrics.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// The difference that is allowed for each process: so many sessions,
 const ALLOWED_SESSIONS: u64 = 3;
@@ -95,7 +95,7 @@
                 let reported = self.sum(&format!("app.handled.{}.{metric}", listener.listener));
                 if reported.abs_diff(recorded) > self.allowed_difference(recorded) {
                     let name = &listener.listener;
-                    findings.push(format!("{name}: {metric} {reported} is told, clients saw {recorded}"));
+                    findings.push(format!("{name}: {metric} is {reported}, clients recorded {recorded}"));
                 }
             }
         }
--- a/crates/larklink-testbed/src/proxy_slot.rs
+++ b/crates/larklink-testbed/src/proxy_slot.rs
@@ -172,7 +172,7 @@
         Err(TestbedError::EndedAtStart { proxy: self.number, status, log_tail: self.log_tail() })
     }
 
-    /// An error if its process has ended though nobody asked for it.
+    /// An error if its process has ended by itself.
     ///
     /// # Errors
     /// How it ended.
--- a/crates/larklinkctl/src/tables.rs
+++ b/crates/larklinkctl/src/tables.rs
@@ -14,7 +14,7 @@
 
 /// Prints the whole report to standard output.
 pub(crate) fn print(report: &Report) {
-    println!("{}", answers_table(&report.rows));
+    println!("{}", outcomes_table(&report.rows));
     println!("{}", times_table(&report.rows));
     print_processes(report);
     print_findings(report);
@@ -29,7 +29,7 @@
 }
 
 /// How the sessions of each listener ended.
-fn answers_table(rows: &[ListenerReport]) -> Table {
+fn outcomes_table(rows: &[ListenerReport]) -> Table {
     let mut table = table_of(&[
         "listener",
         "opened",
@@ -46,19 +46,19 @@
         "service",
     ]);
     for row in rows {
-        let answers = &row.outcomes;
+        let outcomes = &row.outcomes;
         let counts = [
-            answers.opened,
-            answers.accepted,
-            answers.refused,
-            answers.torn_down,
-            answers.with_proxy,
-            answers.nobody_there,
-            answers.open,
-            answers.dials,
-            answers.retries,
-            answers.moved,
-            answers.ran_late,
+            outcomes.opened,
+            outcomes.accepted,
+            outcomes.refused,
+            outcomes.torn_down,
+            outcomes.with_proxy,
+            outcomes.nobody_there,
+            outcomes.open,
+            outcomes.dials,
+            outcomes.retries,
+            outcomes.moved,
+            outcomes.ran_late,
         ];
         let mut cells = vec![row.listener.clone()];
         cells.extend(counts.iter().map(ToString::to_string));
