--- a/crates/larklink-proxy/src/handover/channel.rs
+++ b/crates/larklink-proxy/src/handover/channel.rs
@@ -21,7 +21,7 @@
 /// The longest message, in bytes; as for an endpoint list of discovery.
 const MAX_MESSAGE_LENGTH: usize = 1 << 20;
 /// How long the other process may take for a message that is due. One that hangs must not delay a start.
-pub const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
+pub(super) const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// The most descriptors attached to one message.
 const MAX_ATTACHED: usize = 2;
 /// Bytes read from the socket at once.
@@ -96,8 +96,7 @@
     /// Sends a message with descriptors attached; the descriptors stay open here.
     ///
     /// # Errors
-    /// The other process has closed the connection or does not read within [`RESPONSE_TIMEOUT`]; it may have received a
-    /// part.
+    /// The other process has closed the connection or does not read within one second; it may have received a part.
     pub async fn send(&self, message: &HandoverMessage, attached: &[BorrowedFd<'_>]) -> Result<()> {
         let mut line = serde_json::to_vec(message)?;
         line.push(b'\n');
--- a/crates/larklink-proxy/src/handover/mod.rs
+++ b/crates/larklink-proxy/src/handover/mod.rs
@@ -9,11 +9,11 @@
 //! - [`messages`]: what the two say to each other, and its form on the wire
 //! - [`channel`]: messages and attached descriptors over a Unix socket
 //! - [`predecessor`]: the new process's side
-//! - [`successor`]: the side of the process that serves
+//! - `successor`: the side of the process that serves
 pub mod channel;
 pub mod messages;
 pub mod predecessor;
-pub mod successor;
+pub(crate) mod successor;
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -38,15 +38,15 @@
 }
 
 /// What both sides of a handover use of their process.
-pub struct HandoverContext {
+pub(crate) struct HandoverContext {
     /// Where the processes of this proxy meet.
-    pub socket_path: PathBuf,
+    pub(crate) socket_path: PathBuf,
     /// Counts the descriptors of this process and what the other one reports of its own.
-    pub limiter: Rc<ConnectionLimiter>,
+    pub(crate) limiter: Rc<ConnectionLimiter>,
     /// The queue to the decision task.
-    pub queue: DecisionQueue,
+    pub(crate) queue: DecisionQueue,
     /// Each change of whether this process accepts connections.
-    pub accepting: Sender<bool>,
+    pub(crate) accepting: Sender<bool>,
 }
 
 impl HandoverContext {
--- a/crates/larklink-proxy/src/handover/predecessor.rs
+++ b/crates/larklink-proxy/src/handover/predecessor.rs
@@ -38,19 +38,19 @@
 }
 
 /// An established session handed over by the predecessor.
-pub struct HandedOverSession {
+pub(crate) struct HandedOverSession {
     /// Its state.
-    pub session: EstablishedSession,
+    pub(crate) session: EstablishedSession,
     /// The connection to its client.
-    pub client: TcpStream,
+    pub(crate) client: TcpStream,
     /// The connection to its endpoint.
-    pub server: TcpStream,
+    pub(crate) server: TcpStream,
 }
 
 /// Meets the process that serves at a socket; none if there is none.
 ///
 /// # Errors
-/// A process is there, but does not send a valid offer within [`RESPONSE_TIMEOUT`].
+/// A process is there, but does not send a valid offer within one second.
 pub async fn meet(socket_path: &Path) -> Result<Option<Offer>> {
     let Ok(stream) = UnixStream::connect(socket_path) else { return Ok(None) };
     let (mut reader, writer) = message_channel(Async::new(stream)?);
@@ -66,7 +66,11 @@
 impl Predecessor {
     /// Takes over once `ready` resolves, or when the predecessor stops or ends before. Returns the process that was taken
     /// over from: another one, if a rival was faster.
-    pub async fn take_over(mut self, context: &HandoverContext, ready: impl Future<Output = ()>) -> Self {
+    pub(crate) async fn take_over(
+        mut self,
+        context: &HandoverContext,
+        ready: impl Future<Output = ()>,
+    ) -> Self {
         let stops_or_ends = async {
             // Before it is asked for the takeover it sends nothing but that it stops.
             let _ = self.reader.receive().await;
@@ -117,7 +121,7 @@
 
     /// Leaves the predecessor the descriptors that it reports, and passes on the sessions that it hands over, until it
     /// has ended.
-    pub async fn follow(mut self, limiter: &ConnectionLimiter, sessions: &Sender<HandedOverSession>) {
+    pub(crate) async fn follow(mut self, limiter: &ConnectionLimiter, sessions: &Sender<HandedOverSession>) {
         let mut count = 0;
         let error = loop {
             match self.reader.receive().await {
--- a/crates/larklink-proxy/src/handover/successor.rs
+++ b/crates/larklink-proxy/src/handover/successor.rs
@@ -19,18 +19,18 @@
 
 /// The process that has taken over from this one, if there is one.
 #[derive(Default)]
-pub struct Successor {
+pub(crate) struct Successor {
     writer: RefCell<Option<Rc<MessageWriter>>>,
 }
 
 impl Successor {
     /// Whether a process has taken over.
-    pub fn is_present(&self) -> bool {
+    pub(crate) fn is_present(&self) -> bool {
         self.writer.borrow().is_some()
     }
 
     /// Hands a session over; whether the successor owns it now.
-    pub async fn hand_over(
+    pub(crate) async fn hand_over(
         &self,
         session: EstablishedSession,
         client: &TcpStream,
@@ -55,7 +55,7 @@
 }
 
 /// Serves the new processes that come to take over.
-pub struct HandoverServer {
+pub(crate) struct HandoverServer {
     context: Rc<HandoverContext>,
     /// Closes when this process is to stop.
     shutdown: Receiver<()>,
@@ -70,7 +70,7 @@
 
 impl HandoverServer {
     /// A server that offers a listener. `shutdown` closes when this process is to stop.
-    pub fn new(
+    pub(crate) fn new(
         context: Rc<HandoverContext>,
         listener: Option<TcpListener>,
         successor: Rc<Successor>,
@@ -85,7 +85,7 @@
     ///
     /// # Errors
     /// The socket cannot be bound or moved to its path.
-    pub fn bind(&self) -> Result<Async<UnixListener>> {
+    pub(crate) fn bind(&self) -> Result<Async<UnixListener>> {
         // Under a name of its own first: a process that looks meanwhile finds the old socket or this one, complete.
         let path = &self.context.socket_path;
         let temporary_path = path.with_extension(std::process::id().to_string());
@@ -95,7 +95,7 @@
     }
 
     /// Offers nothing from now on: this process accepts no more connections.
-    pub fn close_listener(&self) {
+    pub(crate) fn close_listener(&self) {
         self.listener.take();
     }
 
@@ -103,7 +103,7 @@
     ///
     /// # Errors
     /// No process can connect any more.
-    pub async fn run(
+    pub(crate) async fn run(
         self: Rc<Self>,
         mut socket: Async<UnixListener>,
         executor: &LocalExecutor<'static>,
--- a/crates/larklink-proxy/src/lib.rs
+++ b/crates/larklink-proxy/src/lib.rs
@@ -1,5 +1,13 @@
-//! A proxy for long-lived connections on sockets, round the larklink decisions. One thread runs it all; one
-//! task owns the decisions (`decisions`), and every other reaches them through its queue only.
+//! A proxy for long-lived connections on sockets, around the larklink decisions. One thread runs all tasks but the admin
+//! endpoint and the log. One task owns the decisions ([`decision_task`]); the others reach them through its queue only and
+//! get commands back ([`events`]).
+//!
+//! - [`proxy`] assembles the tasks and stops them; `accept` accepts connections.
+//! - `session` runs a client's session: first line, attempts, relay, migration.
+//! - [`upstream`] makes attempts and health checks at endpoints; [`discovery`] follows the endpoint list.
+//! - [`handover`] takes over from a predecessor process, and hands over to a successor.
+//! - [`limiter`] counts file descriptors; [`metrics`], [`admin`] and [`log`] report.
+//! - [`config`], [`reload`], [`protocol`] and [`endpoint_list`] hold the forms in which others speak to it.
 mod accept;
 pub mod admin;
 pub mod clock;
@@ -16,6 +24,6 @@
 pub mod protocol;
 pub mod proxy;
 pub mod reload;
-pub mod session;
+mod session;
 pub mod timeout;
 pub mod upstream;
--- a/crates/larklink-proxy/src/session/connect.rs
+++ b/crates/larklink-proxy/src/session/connect.rs
@@ -15,7 +15,7 @@
 use super::context::SessionContext;
 use super::reconnect;
 use super::relay::{self, EstablishedAt};
-use super::request::Request;
+use super::request::{Request, TICKS_PER_MILLISECOND};
 use super::send_permit::SendPermit;
 use crate::clock::to_ticks;
 use crate::connection::Connection;
@@ -25,9 +25,6 @@
 use crate::protocol::with_dial_timeout;
 use crate::upstream::attempt::Attempt;
 
-/// Ticks of the decisions' clock in a millisecond.
-const TICKS_PER_MILLISECOND: TickDuration = 10;
-
 /// Runs a session to its end.
 pub(super) async fn run(context: &SessionContext, client: &mut Client, request: &Request<'_>) -> EndReason {
     let mut session_request = request.to_session_request();
--- a/crates/larklink-proxy/src/session/context.rs
+++ b/crates/larklink-proxy/src/session/context.rs
@@ -16,27 +16,27 @@
 use crate::metrics::Metrics;
 
 /// What the tasks of all sessions share.
-pub struct SessionContext {
+pub(crate) struct SessionContext {
     /// The queue to the decision task.
-    pub queue: DecisionQueue,
+    pub(crate) queue: DecisionQueue,
     /// Counts answers and sessions.
-    pub metrics: Arc<Metrics>,
+    pub(crate) metrics: Arc<Metrics>,
     /// The names of the listeners; a session's listener is an index into them.
-    pub listeners: Vec<String>,
+    pub(crate) listeners: Vec<String>,
     /// The longest time that a connection to an endpoint may take.
-    pub connect_timeout: Duration,
+    pub(crate) connect_timeout: Duration,
     /// Whether packets pass through, so that clients are not migrated at a shutdown.
-    pub passthrough: bool,
+    pub(crate) passthrough: bool,
     /// Spreads the migrations of a shutdown over time.
-    pub rng: RefCell<ChaCha8Rng>,
+    pub(crate) rng: RefCell<ChaCha8Rng>,
     /// Whether the proxy is to stop, and by when.
-    pub shutdown: Shutdown,
+    pub(crate) shutdown: Shutdown,
     /// Closes when no more connections are accepted.
-    pub listener_closed: Receiver<Infallible>,
+    pub(crate) listener_closed: Receiver<Infallible>,
     /// Counts the descriptors.
-    pub limiter: Rc<ConnectionLimiter>,
+    pub(crate) limiter: Rc<ConnectionLimiter>,
     /// The open sessions.
-    pub sessions: SessionRegistry,
+    pub(crate) sessions: SessionRegistry,
     /// The process that has taken over, if any.
-    pub successor: Rc<Successor>,
+    pub(crate) successor: Rc<Successor>,
 }
--- a/crates/larklink-proxy/src/session/handler.rs
+++ b/crates/larklink-proxy/src/session/handler.rs
@@ -64,14 +64,14 @@
 }
 
 /// Handles one connection to its end, and logs that.
-pub async fn handle(context: Rc<SessionContext>, stream: Async<TcpStream>, permit: ConnectionPermit) {
+pub(crate) async fn handle(context: Rc<SessionContext>, stream: Async<TcpStream>, permit: ConnectionPermit) {
     let started = Instant::now();
     let mut client = Client { connection: Connection::new(stream), permit, received_at: started };
     handle_client(&context, &mut client).await.log(started);
 }
 
 /// Continues an established session that was handed over by the predecessor, and logs its end.
-pub async fn resume(context: Rc<SessionContext>, handed_over: HandedOverSession) {
+pub(crate) async fn resume(context: Rc<SessionContext>, handed_over: HandedOverSession) {
     let started = Instant::now();
     let HandedOverSession { session, client, server } = handed_over;
     let client = restore_connection(client, &session.to_server);
@@ -85,7 +85,7 @@
 }
 
 /// Rejects a connection for which there is no descriptor. It has run nowhere: a retry is harmless.
-pub fn reject_connection(stream: &Async<TcpStream>) {
+pub(crate) fn reject_connection(stream: &Async<TcpStream>) {
     let started = Instant::now();
     reject_immediately(stream);
     ConnectionEnd::without_session(EndReason::NoDescriptors).log(started);
--- a/crates/larklink-proxy/src/session/mod.rs
+++ b/crates/larklink-proxy/src/session/mod.rs
@@ -10,11 +10,11 @@
 mod client;
 mod client_watch;
 mod connect;
-pub mod context;
-pub mod handler;
+pub(crate) mod context;
+pub(crate) mod handler;
 mod reconnect;
-pub mod registry;
+pub(crate) mod registry;
 mod relay;
 mod request;
 mod send_permit;
-pub mod shutdown;
+pub(crate) mod shutdown;
--- a/crates/larklink-proxy/src/session/registry.rs
+++ b/crates/larklink-proxy/src/session/registry.rs
@@ -8,7 +8,7 @@
 
 /// Numbers the sessions of this process, and knows the ids that clients gave to those that are open.
 #[derive(Default)]
-pub struct SessionRegistry {
+pub(crate) struct SessionRegistry {
     next_number: Cell<SessionId>,
     /// The client keys of the open sessions, by the id of their first line.
     client_keys: RefCell<HashMap<u64, u64>>,
--- a/crates/larklink-proxy/src/session/request.rs
+++ b/crates/larklink-proxy/src/session/request.rs
@@ -5,7 +5,7 @@
 use crate::protocol::OpenLine;
 
 /// Ticks of the decisions' clock in a millisecond.
-const TICKS_PER_MILLISECOND: TickDuration = 10;
+pub(super) const TICKS_PER_MILLISECOND: TickDuration = 10;
 
 /// A session that a client has requested.
 pub(super) struct Request<'a> {
--- a/crates/larklink-proxy/src/session/shutdown.rs
+++ b/crates/larklink-proxy/src/session/shutdown.rs
@@ -12,7 +12,7 @@
 pub(super) const LAST_ANSWER_MARGIN: Duration = Duration::from_millis(100);
 
 /// Whether the proxy is to stop, and by when.
-pub struct Shutdown {
+pub(crate) struct Shutdown {
     /// Closes when the proxy is to stop.
     requested: Receiver<()>,
     /// How long the proxy may run on after that.
@@ -22,22 +22,22 @@
 
 impl Shutdown {
     /// A shutdown that is requested when the channel closes, with its grace period.
-    pub fn new(requested: Receiver<()>, grace: Duration) -> Self {
+    pub(crate) fn new(requested: Receiver<()>, grace: Duration) -> Self {
         Self { requested, grace, started_at: Cell::new(None) }
     }
 
     /// Whether the proxy was asked to stop.
-    pub fn is_requested(&self) -> bool {
+    pub(crate) fn is_requested(&self) -> bool {
         self.requested.is_closed()
     }
 
     /// Resolves when the proxy is asked to stop.
-    pub async fn requested(&self) {
+    pub(crate) async fn requested(&self) {
         let _ = self.requested.recv().await;
     }
 
     /// When the process ends. The grace period starts with the first call, which comes after the request.
-    pub fn deadline(&self) -> Instant {
+    pub(crate) fn deadline(&self) -> Instant {
         let started_at = self.started_at.get().unwrap_or_else(Instant::now);
         self.started_at.set(Some(started_at));
         started_at + self.grace
--- a/crates/larklink-proxy/tests/reload.rs
+++ b/crates/larklink-proxy/tests/reload.rs
@@ -14,7 +14,7 @@
 struct Program(Child);
 
 impl Program {
-    /// Also the rest of its log, and its address.
+    /// The started program, the rest of its log, and its address.
     fn start(config: &Path) -> (Self, impl Iterator<Item = String>, SocketAddr) {
         let child = Command::new(env!("CARGO_BIN_EXE_larklink")).arg(config).stderr(Stdio::piped()).spawn();
         let mut program = Self(child.unwrap());
