--- /dev/null
+++ b/crates/larklink-balancer/tests/slow_start_fleet.rs
@@ -0,0 +1,426 @@
+//! What all proxies together send to each endpoint in slow start when seven in ten of them are killed, half of the
+//! endpoints have started lately, one after another, and all clients reconnect within a second, large groups each to
+//! one owner. The killed proxies come back one by one, and each learns of the new endpoints at its own time.
+use std::collections::{BTreeMap, BTreeSet};
+
+use larklink_balancer::{
+    AttemptOutcome, Balancer, Decision, EndpointEntry, EndpointIndex, EndpointState, Idempotency, ListScope,
+    Listener, SessionHandle, SessionRequest, Settings, TickDuration, Timestamp,
+};
+use rand::{RngExt, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+
+const SECOND: TickDuration = 10_000;
+const NOW: TickDuration = 100 * SECOND;
+/// The sessions that an endpoint can take after its slow start, and its mean number.
+const CAPACITY: f64 = 60.0;
+const MEAN_SESSIONS: usize = 25;
+
+/// What the settings allow of an endpoint in slow start.
+#[derive(Clone, Copy)]
+struct Allowance {
+    overload_multiple: f64,
+    overload_window: TickDuration,
+    slow_start_duration: TickDuration,
+}
+
+const USUAL: Allowance =
+    Allowance { overload_multiple: 3.0, overload_window: 2 * SECOND, slow_start_duration: 20 * SECOND };
+
+/// A fleet, and how many sessions share a key.
+#[derive(Clone, Copy)]
+struct FleetModel {
+    proxies: usize,
+    endpoints: usize,
+    group: usize,
+    allowed: Allowance,
+    /// All proxies are back and notified when the clients reconnect; else each at its own time.
+    step: bool,
+    /// Without it proxies know of no slow start.
+    budget: bool,
+}
+
+/// What one or more runs of a model show.
+#[derive(Clone, Copy, Default)]
+struct RunResult {
+    /// The most that an endpoint in slow start was sent, over its limit.
+    worst_overload: f64,
+    /// Sessions sent to endpoints in slow start.
+    sent: usize,
+    /// Sessions that arrived.
+    arrived: usize,
+}
+
+/// A run of a model: its proxies, and what they sent to endpoints in slow start.
+struct Run {
+    model: FleetModel,
+    seed: u64,
+    rng: ChaCha8Rng,
+    /// Every other endpoint is in slow start.
+    entries: Vec<EndpointEntry>,
+    proxies: Vec<Balancer>,
+    /// When sessions were sent to each endpoint in slow start.
+    sent: BTreeMap<EndpointIndex, Vec<Timestamp>>,
+}
+
+impl FleetModel {
+    fn settings(&self) -> Settings {
+        Settings {
+            listeners: vec![Listener {
+                idempotency: Idempotency::Idempotent,
+                handshake_objective: SECOND / 2,
+                priority_weight: 1.0,
+            }],
+            proxy_count: self.proxies as u32,
+            drain_grace: SECOND / 2,
+            initial_capacity: 0.2,
+            slow_start_duration: self.allowed.slow_start_duration,
+            overload_multiple: self.allowed.overload_multiple,
+            overload_window: self.allowed.overload_window,
+            connect_timeout: SECOND / 5,
+            max_attempts: 3,
+            load_reports: true,
+            max_dial_timeout: 2 * SECOND,
+            message_objective: 500,
+            ..Settings::default()
+        }
+    }
+
+    /// What the proxies are told.
+    fn settings_of_proxies(&self) -> Settings {
+        let known = if self.budget { self.allowed.slow_start_duration } else { 0 };
+        Settings { slow_start_duration: known, ..self.settings() }
+    }
+
+    /// How many sessions an endpoint of that age may be sent within the overload window.
+    fn limit(&self, age: TickDuration) -> f64 {
+        let settings = self.settings();
+        let duration = settings.slow_start_duration as f64;
+        let share = settings.initial_capacity + (1.0 - settings.initial_capacity) * age as f64 / duration;
+        let n = settings.overload_multiple * share * CAPACITY / duration * settings.overload_window as f64;
+        n + 2.0 * n.sqrt() + 2.0
+    }
+}
+
+impl Run {
+    /// `started_at` of every other endpoint; the others started long ago.
+    fn new(model: FleetModel, seed: u64, started_at: impl Fn(u64) -> Timestamp) -> Self {
+        let entry = |endpoint: usize| EndpointEntry {
+            endpoint,
+            id: 77 + 1000 * endpoint as u32,
+            state: EndpointState::Ready,
+            started_at: if in_slow_start(endpoint) { started_at(endpoint as u64) } else { 0 },
+            ..EndpointEntry::default()
+        };
+        Self {
+            model,
+            seed,
+            rng: ChaCha8Rng::seed_from_u64(seed),
+            entries: (0..model.endpoints).map(entry).collect(),
+            proxies: Vec::new(),
+            sent: BTreeMap::new(),
+        }
+    }
+
+    /// A proxy that starts with the endpoint list and one report of an endpoint that started long ago.
+    fn add_proxy(&mut self, started: Timestamp, knows_new: bool, reported_at: Timestamp) {
+        let seed = self.seed * 1000 + self.proxies.len() as u64;
+        let mut balancer = Balancer::new(self.model.settings_of_proxies(), seed, started);
+        let known = |entry: &&EndpointEntry| knows_new || entry.started_at == 0;
+        let listed: Vec<_> = self.entries.iter().filter(known).copied().collect();
+        balancer.update_endpoints(started, ListScope::Cached, &listed);
+        balancer.health_checked(reported_at, 1, AttemptOutcome::Succeeded, 10, 0.5, CAPACITY / 2.0);
+        self.proxies.push(balancer);
+    }
+
+    /// The n-th session, counted from 0.
+    fn request(&self, n: usize, reconnecting: bool) -> SessionRequest {
+        SessionRequest {
+            listener: 0,
+            group_key: 1 + self.seed * 100_000 + (n / self.model.group) as u64,
+            client_key: 1 + n as u64,
+            dial_timeout: 2 * SECOND,
+            reconnecting,
+            ..SessionRequest::default()
+        }
+    }
+
+    fn record_sent(&mut self, now: Timestamp, endpoint: EndpointIndex) {
+        if in_slow_start(endpoint) {
+            self.sent.entry(endpoint).or_default().push(now);
+        }
+    }
+
+    fn result(&self, arrived: usize) -> RunResult {
+        let overloads = self.sent.iter().map(|(&endpoint, times)| self.overload(endpoint, times));
+        RunResult {
+            worst_overload: overloads.fold(0.0, f64::max),
+            sent: self.sent.values().map(Vec::len).sum(),
+            arrived,
+        }
+    }
+
+    /// The most that an endpoint was sent within a window, over its limit. The limit is taken in the middle of the
+    /// window, since capacity grows within it, and only while the slow start lasts: a short one is over before the
+    /// last sessions arrive.
+    fn overload(&self, endpoint: EndpointIndex, times: &[Timestamp]) -> f64 {
+        let Allowance { overload_window, slow_start_duration, .. } = self.model.allowed;
+        let age = |at: Timestamp| at - self.entries[endpoint].started_at;
+        let counted: Vec<_> = times.iter().copied().filter(|at| age(*at) < slow_start_duration).collect();
+        let sent = |from: Timestamp| {
+            counted.iter().filter(|at| (from..from + overload_window).contains(*at)).count() as f64
+        };
+        let over_limit = |from: &Timestamp| sent(*from) / self.model.limit(age(*from + overload_window / 2));
+        counted.iter().map(over_limit).fold(0.0, f64::max)
+    }
+}
+
+fn in_slow_start(endpoint: EndpointIndex) -> bool {
+    endpoint.is_multiple_of(2)
+}
+
+/// When a proxy starts, and when it is notified of the new endpoints if it does not know them from the start.
+#[derive(Clone, Copy)]
+struct ProxyTimes {
+    starts: Timestamp,
+    notified: Timestamp,
+}
+
+/// Seven in ten proxies are killed; the survivors keep their sessions, which are on endpoints after their slow start.
+fn mass_restart(model: FleetModel, seed: u64) -> RunResult {
+    let slow_start = model.allowed.slow_start_duration;
+    let mut run = Run::new(model, seed, |n| NOW - ((n / 2 * 7 % 16) * slow_start / 40 + slow_start / 40));
+    let survivors = model.proxies.div_ceil(3);
+    let times = proxy_times(&mut run, survivors);
+    for time in &times {
+        run.add_proxy(time.starts, time.notified == 0, time.starts.max(NOW - SECOND));
+    }
+    let sessions = model.endpoints * MEAN_SESSIONS;
+    let kept = sessions * 3 / 10;
+    for n in 0..kept {
+        let proxy = run.rng.random_range(0..survivors);
+        let request = run.request(n, false);
+        run.proxies[proxy].adopt_established(NOW - SECOND, request, 1 + 2 * (n % (model.endpoints / 2)));
+    }
+    let mut queue = BTreeSet::new();
+    for n in kept..sessions {
+        queue.insert((NOW + run.rng.random_range(0..SECOND), n, 0));
+    }
+    let arrived = queue.len();
+    let mut notified = BTreeSet::new();
+    while let Some((now, n, retries)) = queue.pop_first() {
+        let proxy = run.rng.random_range(0..model.proxies);
+        if now < times[proxy].starts {
+            // The proxy is down: the client tries another one at once.
+            queue.insert((now + SECOND / 20, n, retries));
+            continue;
+        }
+        if now >= times[proxy].notified && notified.insert(proxy) {
+            run.proxies[proxy].update_endpoints(now, ListScope::Changes, &run.entries);
+        }
+        if reconnect(&mut run, now, proxy, n) && retries < 3 {
+            queue.insert((now + SECOND / 3, n, retries + 1));
+        }
+    }
+    run.result(arrived)
+}
+
+/// A survivor may be notified late; the killed ones come back one by one.
+fn proxy_times(run: &mut Run, survivors: usize) -> Vec<ProxyTimes> {
+    let model = run.model;
+    let mut times = Vec::new();
+    for n in 0..model.proxies {
+        let moment = if model.step { NOW } else { NOW + run.rng.random_range(0..SECOND / 2) };
+        let survives = n < survivors;
+        times.push(if survives {
+            ProxyTimes { starts: 0, notified: moment }
+        } else {
+            ProxyTimes { starts: moment, notified: 0 }
+        });
+    }
+    times
+}
+
+/// Whether the session is rejected. Every other one was reset and reconnects; the rest are redirected and look new.
+fn reconnect(run: &mut Run, now: Timestamp, proxy: usize, n: usize) -> bool {
+    let request = run.request(n, n.is_multiple_of(2));
+    let (handle, decision) = run.proxies[proxy].place(now, request);
+    if let Decision::Connect { endpoint, .. } = decision {
+        // Handshakes are prompt: only the quota limits an endpoint in slow start.
+        run.proxies[proxy].established(now, handle);
+        run.record_sent(now, endpoint);
+    }
+    matches!(decision, Decision::Reject { .. })
+}
+
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum BurstEvent {
+    /// A proxy is notified of an endpoint.
+    ListUpdate(usize, EndpointIndex),
+    /// A session arrives, after so many retries.
+    SessionArrives(usize, u32),
+    /// A session of a proxy ends.
+    SessionEnds(usize, SessionHandle),
+}
+
+/// Every other endpoint starts, one after another, during a burst of four seconds, and all proxies survive: groups arrive
+/// within a tenth of a second, and sessions end soon, so that capacity never limits an endpoint in slow start.
+fn burst(model: FleetModel, seed: u64) -> RunResult {
+    let mut run = Run::new(model, seed, |n| NOW - SECOND + (n * 7 % 16) * SECOND / 4);
+    for _ in 0..model.proxies {
+        run.add_proxy(0, false, NOW - 6 * SECOND);
+    }
+    let mut queue = BTreeSet::new();
+    schedule_list_updates(&mut run, &mut queue);
+    let arrived = schedule_sessions(&mut run, &mut queue);
+    while let Some((now, event)) = queue.pop_first() {
+        match event {
+            BurstEvent::ListUpdate(proxy, endpoint) => {
+                let changed = &run.entries[endpoint..=endpoint];
+                run.proxies[proxy].update_endpoints(now, ListScope::Changes, changed);
+            }
+            BurstEvent::SessionEnds(proxy, handle) => run.proxies[proxy].client_left(handle),
+            BurstEvent::SessionArrives(n, retries) => {
+                let proxy = run.rng.random_range(0..model.proxies);
+                let request = run.request(n - 1, n.is_multiple_of(2));
+                let request = SessionRequest { client_key: 1 + n as u64, ..request };
+                match run.proxies[proxy].place(now, request) {
+                    (handle, Decision::Connect { endpoint, .. }) => {
+                        run.record_sent(now, endpoint);
+                        queue.insert((now + SECOND / 2, BurstEvent::SessionEnds(proxy, handle)));
+                    }
+                    (_, Decision::Reject { .. }) if retries < 3 => {
+                        queue.insert((now + SECOND / 3, BurstEvent::SessionArrives(n, retries + 1)));
+                    }
+                    _ => {}
+                }
+            }
+        }
+    }
+    run.result(arrived)
+}
+
+/// Each proxy is notified of each new endpoint within a fifth of a second.
+fn schedule_list_updates(run: &mut Run, queue: &mut BTreeSet<(Timestamp, BurstEvent)>) {
+    let started: Vec<_> = run.entries.iter().filter(|e| e.started_at > 0).copied().collect();
+    for entry in started {
+        for proxy in 0..run.model.proxies {
+            let at = entry.started_at + run.rng.random_range(0..SECOND / 5);
+            queue.insert((at, BurstEvent::ListUpdate(proxy, entry.endpoint)));
+        }
+    }
+}
+
+/// Five usual seconds, then four with three times the sessions; returns how many arrive.
+fn schedule_sessions(run: &mut Run, queue: &mut BTreeSet<(Timestamp, BurstEvent)>) -> usize {
+    let FleetModel { endpoints, group, .. } = run.model;
+    let mut arrived = 0;
+    for (begin, seconds, rate) in [(NOW - 5 * SECOND, 5, MEAN_SESSIONS), (NOW, 4, 3 * MEAN_SESSIONS)] {
+        let groups = (endpoints * rate * seconds).div_ceil(group);
+        for _ in 0..groups {
+            let moment = begin + run.rng.random_range(0..seconds as u64 * SECOND);
+            for _ in 0..group {
+                arrived += 1;
+                let at = moment + run.rng.random_range(0..SECOND / 10);
+                queue.insert((at, BurstEvent::SessionArrives(arrived, 0)));
+            }
+        }
+    }
+    arrived
+}
+
+/// The worst overload of all runs, and the sums of the sessions.
+fn run_seeds(run: fn(FleetModel, u64) -> RunResult, model: FleetModel, seeds: u64) -> RunResult {
+    let results = (1..=seeds).map(|seed| run(model, seed));
+    results.fold(RunResult::default(), |all, one| RunResult {
+        worst_overload: all.worst_overload.max(one.worst_overload),
+        sent: all.sent + one.sent,
+        arrived: all.arrived + one.arrived,
+    })
+}
+
+/// A group of 150 must not come to its owner at several times the limit, although each proxy has seen few of it.
+#[test]
+fn no_size_of_fleet_overloads_an_endpoint_in_slow_start() {
+    let sizes = [
+        (1, 12, 24),
+        (4, 12, 24),
+        (20, 30, 16),
+        (30, 30, 16),
+        (40, 60, 12),
+        (300, 90, 8),
+        (350, 200, 4),
+        (350, 400, 4),
+    ];
+    for (proxies, endpoints, seeds) in sizes {
+        for group in [1, 50, 150] {
+            let model = FleetModel { proxies, endpoints, group, allowed: USUAL, step: true, budget: true };
+            let RunResult { worst_overload, sent, arrived } = run_seeds(mass_restart, model, seeds);
+            let name = format!("{proxies} proxies, {endpoints} endpoints, groups of {group}");
+            assert!(worst_overload <= 1.0, "{name}: {worst_overload:.2} of the limit");
+            assert!(
+                sent * 100 > arrived,
+                "{name}: {sent} of {arrived} to endpoints in slow start, which stay idle"
+            );
+            let RunResult { worst_overload, .. } =
+                run_seeds(mass_restart, FleetModel { step: false, ..model }, seeds);
+            assert!(worst_overload <= 1.0, "{name}, each at its own time: {worst_overload:.2} of the limit");
+        }
+    }
+}
+
+/// The least and the greatest overload multiple, with the shortest and the longest window and slow start; without the
+/// quota the model is overloaded.
+#[test]
+fn no_settings_let_a_fleet_overload_an_endpoint_in_slow_start() {
+    for (proxies, endpoints) in [(4, 12), (20, 30), (30, 30), (300, 90)] {
+        for multiple in [1.5, 8.0] {
+            for (span, slow_start) in
+                [(SECOND / 2, 3 * SECOND), (SECOND / 2, 30 * SECOND), (3 * SECOND, 8 * SECOND)]
+            {
+                let allowed = Allowance {
+                    overload_multiple: multiple,
+                    overload_window: span,
+                    slow_start_duration: slow_start,
+                };
+                let model = FleetModel { proxies, endpoints, group: 150, allowed, step: false, budget: true };
+                let name = format!(
+                    "{proxies} proxies, multiple {multiple}, span {span}, slow start of {slow_start}"
+                );
+                for group in [1, 50, 150] {
+                    let RunResult { worst_overload, .. } =
+                        run_seeds(mass_restart, FleetModel { group, ..model }, 6);
+                    assert!(
+                        worst_overload <= 1.0,
+                        "{name}, groups of {group}: {worst_overload:.2} of the limit"
+                    );
+                }
+                let RunResult { worst_overload, .. } =
+                    run_seeds(mass_restart, FleetModel { budget: false, ..model }, 2);
+                assert!(
+                    slow_start < 10 * SECOND || worst_overload > 1.0,
+                    "{name}: no overload without a quota"
+                );
+            }
+        }
+    }
+}
+
+/// Twenty to thirty proxies together send an endpoint in slow start no more than its quota, in a burst as well.
+#[test]
+fn no_burst_overloads_an_endpoint_in_slow_start() {
+    for (proxies, endpoints) in [(20, 12), (30, 12), (20, 40), (30, 40)] {
+        for group in [1, 50, 150] {
+            let model = FleetModel { proxies, endpoints, group, allowed: USUAL, step: true, budget: true };
+            let name = format!("{proxies} proxies, {endpoints} endpoints, groups of {group}");
+            let RunResult { worst_overload, sent, arrived } = run_seeds(burst, model, 8);
+            assert!(worst_overload <= 1.0, "{name}: {worst_overload:.2} of the limit");
+            assert!(
+                sent * 400 > arrived,
+                "{name}: {sent} of {arrived} to endpoints in slow start, which stay idle"
+            );
+            let RunResult { worst_overload, .. } = run_seeds(burst, FleetModel { budget: false, ..model }, 1);
+            assert!(worst_overload > 1.0, "{name}: no overload without a quota");
+        }
+    }
+}
--- a/crates/larklink-proxy/src/decision_task.rs
+++ b/crates/larklink-proxy/src/decision_task.rs
@@ -66,7 +66,9 @@
             engine: Engine::new(settings, seed, clock.now()),
             clock,
             zones: settings.zones.clone(),
-            message_latency: settings.tells_delay.then(|| LatencyEstimator::new(message_objective)),
+            message_latency: settings
+                .reports_message_latency
+                .then(|| LatencyEstimator::new(message_objective)),
             addresses: HashMap::new(),
             endpoints: BTreeMap::new(),
             commands: HashMap::new(),
--- a/crates/larklink-proxy/src/upstream/health_check.rs
+++ b/crates/larklink-proxy/src/upstream/health_check.rs
@@ -64,7 +64,7 @@
         let has_reports = settings.load_position.is_some();
         Self {
             enabled: settings.settings.health_checks,
-            report_names: if has_reports { settings.report.clone() } else { Vec::new() },
+            report_names: if has_reports { settings.load_report_names.clone() } else { Vec::new() },
             timeout: to_duration(settings.settings.connect_timeout),
             idle: RefCell::default(),
             in_flight: RefCell::default(),
--- a/crates/larklink-testbed/tests/format_fixtures.rs
+++ b/crates/larklink-testbed/tests/format_fixtures.rs
@@ -1,18 +1,21 @@
-//! The report of a rehearsal as JSON, as `larklinkctl` writes it, held byte for byte against files.
+//! The report of a run as JSON, as `larklinkctl` writes it, held byte for byte against files.
+#![expect(clippy::unwrap_used, reason = "helpers of a test fail it by a panic")]
 use hdrhistogram::Histogram;
-use larklink_simulation::audit::{Answers, Breach, Broken, Findings, Shape};
-use larklink_simulation::goodput::{Rate, Recovery};
+use larklink_simulation::audit::{Findings, SessionOutcomes, ShapeOutcomes, Violation, ViolationKind};
+use larklink_simulation::goodput::{GoodputRate, Recovery};
 use larklink_simulation::scenario::Scenario;
 use larklink_simulation::world::World;
-use larklink_testbed::daemons::Use;
-use larklink_testbed::report::{Quantiles, Report, Row, Sample};
+use larklink_testbed::proxy_process::ProxyUsage;
+use larklink_testbed::report::{ListenerReport, Quantiles, Report, RunMeasurements};
+use larklink_testbed::sample::Sample;
+use larklink_testbed::timer_delay::TimerDelay;
 
 fn json(report: &Report) -> String {
     serde_json::to_string_pretty(report).unwrap() + "\n"
 }
 
-fn answers(took: &[u64]) -> Answers {
-    Answers {
+fn answers(took: &[u64]) -> SessionOutcomes {
+    SessionOutcomes {
         opened: 10,
         accepted: 5,
         refused: 3,
@@ -28,29 +31,29 @@
     }
 }
 
-fn breach() -> Breach {
-    let (what, at) = (Broken::MayRunTwice, 14);
-    Breach { what, rule: what.rule(), session: "ab".into(), at, seen: "\u{e9} \"seen\"".into() }
+fn breach() -> Violation {
+    let (what, at) = (ViolationKind::MayRunTwice, 14);
+    Violation { kind: what, rule: what.rule(), session: "ab".into(), at, observed: "\u{e9} \"seen\"".into() }
 }
 
 fn quantiles(count: u64) -> Quantiles {
     Quantiles { count, p50: 0.5, p99: 99.0, p999: 99.9, max: 100.25 }
 }
 
-fn row() -> Row {
-    Row {
+fn row() -> ListenerReport {
+    ListenerReport {
         listener: "chat".into(),
-        answers: answers(&[]),
-        answer_ms: quantiles(15),
-        line_ms: quantiles(16),
-        late_lines: 17,
+        outcomes: answers(&[]),
+        response_ms: quantiles(15),
+        message_ms: quantiles(16),
+        late_messages: 17,
         service: 0.125,
-        gone_without: 18,
+        gave_up: 18,
     }
 }
 
-fn rate(from: u64) -> Rate {
-    Rate { from, accepted: 19.5, offered: 20.0 }
+fn rate(from: u64) -> GoodputRate {
+    GoodputRate { from, accepted: 19.5, offered: 20.0 }
 }
 
 fn recovery(took: Option<u64>) -> Recovery {
@@ -60,22 +63,22 @@
 fn sample() -> Sample {
     Sample {
         at: 26,
-        standing: 27,
+        established: 27,
         waiting: 28,
         accepted: 29,
-        refused: 30,
-        torn_down: 31,
+        rejected: 30,
+        failed: 31,
         service: 0.75,
-        held: vec![32, 33],
+        sessions_by_server: vec![32, 33],
     }
 }
 
-fn daemon() -> Use {
-    Use { cpu_s: 1.5, peak_kb: 34, starts: 35 }
+fn proxy_usage() -> ProxyUsage {
+    ProxyUsage { cpu_s: 1.5, peak_kb: 34, starts: 35 }
 }
 
-fn shapes() -> [Shape; 2] {
-    [Shape { opened: 36, accepted: 18 }, Shape { opened: 40, accepted: 10 }]
+fn shapes() -> [ShapeOutcomes; 2] {
+    [ShapeOutcomes { opened: 36, accepted: 18 }, ShapeOutcomes { opened: 40, accepted: 10 }]
 }
 
 /// Every field, with a value of its own.
@@ -88,15 +91,15 @@
         rows: vec![row()],
         shapes: shapes(),
         recovery: Some(recovery(Some(41))),
-        breaches: vec![breach()],
-        unmet: vec!["unmet".into()],
-        daemons: vec![daemon()],
+        violations: vec![breach()],
+        unmet_requirements: vec!["unmet".into()],
+        proxies: vec![proxy_usage()],
         store_calls: 42,
         store_failed: 43,
-        kit_late_us: (44, 45),
-        strained: true,
+        timer_delay: TimerDelay { p999_us: 44, max_us: 45 },
+        testbed_late: true,
         samples: vec![sample()],
-        bands: vec![(46, 47, "server silent".into())],
+        fault_bands: vec![(46, 47, "server silent".into())],
     }
 }
 
@@ -107,10 +110,10 @@
     let never = serde_json::to_string(&recovery(None)).unwrap();
     assert!(never.starts_with(r#"{"restarted":21,"took":null,"told":22,"#), "{never}");
     // What larklinkctl goes by.
-    assert!(!report.kept());
-    assert!(!Report { unmet: Vec::new(), ..report.clone() }.kept());
-    assert!(!Report { breaches: Vec::new(), ..report.clone() }.kept());
-    assert!(Report { breaches: Vec::new(), unmet: Vec::new(), ..report }.kept());
+    assert!(!report.passed());
+    assert!(!Report { unmet_requirements: Vec::new(), ..report.clone() }.passed());
+    assert!(!Report { violations: Vec::new(), ..report.clone() }.passed());
+    assert!(Report { violations: Vec::new(), unmet_requirements: Vec::new(), ..report }.passed());
 }
 
 /// What is drawn up from a world in which nothing has happened yet, findings that fall short of all that is demanded,
@@ -121,22 +124,19 @@
                 [[faults]]\nwhat = 'proxy-stopped'\nat = '1s'\nfor = '2s'\nwhich = [0]\n\
                 [[faults]]\nwhat = 'server-silent'\nat = '3s'\nfor = '4s'\nwhich = [1, 2]\napart = '100ms'\n\
                 [must]\nservice = 1.0\naccepted = 0.9\neach_shape = 0.45\nanswer_p99 = '900ms'\nrecovers = '5s'\n";
-    let scenario = Scenario::read(text).unwrap();
+    let scenario = Scenario::parse(text).unwrap();
     let mut trips = Histogram::<u64>::new(3).unwrap();
     (1..=2000).for_each(|tenths| trips.record(tenths).unwrap());
     let took: Vec<_> = (1..=1000).map(|ms| ms * 10).collect();
-    let findings = Findings { listeners: vec![answers(&took)], shapes: shapes(), breaches: vec![breach()] };
+    let findings = Findings { listeners: vec![answers(&took)], shapes: shapes(), violations: vec![breach()] };
     let world = World::new(&scenario, 7);
-    let report = Report::new(
-        &scenario,
-        7,
-        &world,
+    let measured = RunMeasurements {
         findings,
-        &[trips],
-        vec![daemon()],
-        vec![sample(), Sample::take(10, &world)],
-        (1, 2),
-        false,
-    );
+        message_times: vec![trips],
+        proxies: vec![proxy_usage()],
+        samples: vec![sample(), Sample::take(10, &world)],
+        timer_delay: TimerDelay { p999_us: 1, max_us: 2 },
+    };
+    let report = Report::new(&scenario, 7, &world, measured);
     assert_eq!(json(&report), include_str!("fixtures/report_drawn_up.json"));
 }
