--- a/crates/larklink-proxy/tests/kit/mod.rs
+++ b/crates/larklink-proxy/tests/kit/mod.rs
@@ -1,18 +1,20 @@
 //! What the rehearsals of the program share.
+#![allow(clippy::unwrap_used, reason = "a test stops where its setup fails")]
 use std::path::Path;
 
 use larklink_simulation::audit::ViolationKind;
 use larklink_simulation::scenario::Scenario;
-use larklink_testbed::doors::Planted;
+use larklink_testbed::faulty_relay::PlantedFault;
+use larklink_testbed::options::Options;
 use larklink_testbed::report::Report;
-use larklink_testbed::run::{Options, run};
+use larklink_testbed::run::run;
 
 /// A run for which the machine had no time counts for nothing and is made again, so often.
 const TRIES: u64 = 8;
 
 /// Something of everything: a server joins cold, one drains, two drop what they take: with one, three of some 400
 /// once-only sessions were torn down, and in a run in twenty none.
-pub const TROUBLED: &str = "
+pub(crate) const TROUBLED: &str = "
 length = '10s'
 [proxies]
 count = 2
@@ -51,15 +53,15 @@
 which = [0]
 ";
 
-pub fn rehearse(text: &str, seed: u64, planted: Option<Planted>) -> Report {
+pub(crate) fn rehearse(text: &str, seed: u64, planted: Option<PlantedFault>) -> Report {
     let scenario = Scenario::parse(text).unwrap_or_else(|wrong| panic!("{wrong:?}"));
     let mut options = Options::new(Path::new(env!("CARGO_BIN_EXE_larklink")), seed);
     options.planted = planted;
     (0..TRIES)
         .map(|_| run(&scenario, &options).unwrap())
         .find(|report| {
-            let again = report.strained || planted.is_none() && held_up(report);
-            !again || planted == Some(Planted::StallsKit)
+            let again = report.testbed_late || planted.is_none() && held_up(report);
+            !again || planted == Some(PlantedFault::StallsTestbed)
         })
         .expect("the machine is too busy for any rehearsal")
 }
@@ -71,7 +73,7 @@
     report.violations.len() == 1 && report.violations[0].kind == ViolationKind::ToldTooLong
 }
 
-pub fn clean(report: &Report) {
+pub(crate) fn clean(report: &Report) {
     let some: Vec<_> = report.violations.iter().take(5).collect();
-    assert!(report.kept(), "seed {}: {some:#?} {:?}", report.seed, report.unmet);
+    assert!(report.passed(), "seed {}: {some:#?} {:?}", report.seed, report.unmet_requirements);
 }
--- a/crates/larklink-proxy/tests/wire_fixtures.rs
+++ b/crates/larklink-proxy/tests/wire_fixtures.rs
@@ -11,21 +11,22 @@
     RetryBudgetSettings,
 };
 use larklink_proxy::config::Config;
-use larklink_proxy::endpoint_list::{Endpoint, List, server_id};
-use larklink_proxy::handover::wire::{EstablishedSession, HandoverMessage, VERSION, talk, word};
+use larklink_proxy::endpoint_list::{Endpoint, EndpointList, endpoint_id};
+use larklink_proxy::handover::channel::message_channel;
+use larklink_proxy::handover::messages::{EstablishedSession, HandoverMessage, VERSION, parse_message};
 
 const WORDS: &str = include_str!("fixtures/handover_v1.jsonl");
 const LIST: &str = include_str!("fixtures/list.json");
 
-fn endpoint(name: &str, at: &str, status: &str, (zone, group): (&str, u16), numbers: [f64; 2]) -> Endpoint {
+fn endpoint(name: &str, at: &str, status: &str, (zone, cell): (&str, u16), numbers: [f64; 2]) -> Endpoint {
     Endpoint {
         name: name.into(),
         address: at.into(),
         status: status.into(),
         zone: zone.into(),
-        group,
+        cell,
         weight: numbers[0],
-        since_ms: numbers[1],
+        started_at_ms: numbers[1],
     }
 }
 
@@ -43,11 +44,11 @@
 fn standing(head: &str, bytes: [&[u8]; 2], unanswered: usize, load: Option<f64>) -> HandoverMessage {
     let [to_server, to_client] = bytes.map(<[u8]>::to_vec);
     HandoverMessage::Session(EstablishedSession {
-        head: head.into(),
-        server: u32::MAX,
+        open_line: head.into(),
+        endpoint: u32::MAX,
         to_server,
         to_client,
-        unanswered,
+        unanswered_messages: unanswered,
         load,
     })
 }
@@ -56,14 +57,14 @@
 fn words() -> Vec<HandoverMessage> {
     let head = "OPEN ab 12 c=chat,t=\u{e9},d=2000,g=1f\r\n";
     vec![
-        HandoverMessage::Offer { version: 1, list: endpoints() },
-        HandoverMessage::Offer { version: 1, list: Vec::new() },
-        HandoverMessage::Take,
-        HandoverMessage::Yours { held: 0 },
-        HandoverMessage::Yours { held: 4096 },
-        HandoverMessage::Taken,
-        HandoverMessage::Held { held: 17 },
-        HandoverMessage::Stops,
+        HandoverMessage::Offer { version: 1, endpoints: endpoints() },
+        HandoverMessage::Offer { version: 1, endpoints: Vec::new() },
+        HandoverMessage::TakeOver,
+        HandoverMessage::Granted { descriptors_in_use: 0 },
+        HandoverMessage::Granted { descriptors_in_use: 4096 },
+        HandoverMessage::AlreadyTaken,
+        HandoverMessage::DescriptorsInUse { descriptors_in_use: 17 },
+        HandoverMessage::Stopping,
         standing(head, [b"half a\r\n\0\xff", b"\x80M 1\r\n"], 3, Some(12.5)),
         standing("", [b"", b""], 0, None),
         standing("x", [b"", b"\n"], 1, Some(0.0)),
@@ -74,13 +75,13 @@
 fn each_word_of_the_handover_is_written_as_in_the_file() {
     assert_eq!(VERSION, 1);
     let (ours, mut theirs) = UnixStream::pair().unwrap();
-    let (_, mouth) = talk(Async::new(ours).unwrap());
+    let (_, writer) = message_channel(Async::new(ours).unwrap());
     async_io::block_on(async {
         for word in words() {
-            mouth.say(&word, &[]).await.unwrap();
+            writer.send(&word, &[]).await.unwrap();
         }
     });
-    drop(mouth);
+    drop(writer);
     let mut written = String::new();
     theirs.read_to_string(&mut written).unwrap();
     assert_eq!(written, WORDS);
@@ -88,16 +89,19 @@
 
 #[test]
 fn each_word_of_the_handover_is_read_from_the_file() {
-    assert_eq!(WORDS.lines().map(|line| word(line.as_bytes()).unwrap()).collect::<Vec<_>>(), words());
+    assert_eq!(
+        WORDS.lines().map(|line| parse_message(line.as_bytes()).unwrap()).collect::<Vec<_>>(),
+        words()
+    );
     let (ours, mut theirs) = UnixStream::pair().unwrap();
     theirs.write_all(WORDS.as_bytes()).unwrap();
     theirs.shutdown(Shutdown::Write).unwrap();
-    let (mut ear, _mouth) = talk(Async::new(ours).unwrap());
+    let (mut reader, _writer) = message_channel(Async::new(ours).unwrap());
     async_io::block_on(async {
         for word in words() {
-            assert_eq!(ear.hear().await.unwrap(), word);
+            assert_eq!(reader.receive().await.unwrap(), word);
         }
-        assert_eq!(ear.hear().await.unwrap_err().kind(), std::io::ErrorKind::UnexpectedEof);
+        assert_eq!(reader.receive().await.unwrap_err().kind(), std::io::ErrorKind::UnexpectedEof);
     });
 }
 
@@ -114,22 +118,22 @@
         ),
         (r#""yours""#, "invalid type: unit variant, expected struct variant"),
     ] {
-        let e = word(line.as_bytes()).unwrap_err();
+        let e = parse_message(line.as_bytes()).unwrap_err();
         assert_eq!((e.kind(), e.to_string().as_str()), (std::io::ErrorKind::InvalidData, error), "{line}");
     }
 }
 
 #[test]
 fn the_list_of_servers_is_read_as_discovery_writes_it() {
-    let list: List = serde_json::from_str(LIST).unwrap();
+    let list: EndpointList = serde_json::from_str(LIST).unwrap();
     assert_eq!((list.index, list.snapshot), (41, true));
     assert_eq!(list.endpoints, endpoints());
-    let changes: List = serde_json::from_str(r#"{"index":7,"endpoints":[]}"#).unwrap();
+    let changes: EndpointList = serde_json::from_str(r#"{"index":7,"endpoints":[]}"#).unwrap();
     assert_eq!((changes.index, changes.snapshot, changes.endpoints), (7, false, Vec::new()));
     // As the decisions get it.
     let zones = ["a", "b"].map(String::from);
     let seen = |e: EndpointEntry| (e.endpoint, e.id, (e.zone, e.cell), e.state, e.weight, e.started_at);
-    let entries: Vec<_> = list.endpoints.iter().map(|e| seen(e.entry(&zones))).collect();
+    let entries: Vec<_> = list.endpoints.iter().map(|e| seen(e.to_entry(&zones))).collect();
     assert_eq!(
         entries,
         [
@@ -140,7 +144,7 @@
             (0, ID[4], (2, 0), EndpointState::Ready, 0.0, 0),
         ]
     );
-    assert_eq!(server_id(""), ID[5]);
+    assert_eq!(endpoint_id(""), ID[5]);
 }
 
 /// All proxies must agree on them: of the servers of [`endpoints`] by their names, and of no name.
@@ -153,12 +157,12 @@
     assert_eq!(config.name, "edge-7");
     assert_eq!(config.listen, "127.0.0.1:7411".parse().unwrap());
     assert_eq!(config.discovery, "127.0.0.2:7412".parse().unwrap());
-    assert_eq!(config.console, Some("[::1]:7413".parse().unwrap()));
+    assert_eq!(config.admin_address, Some("[::1]:7413".parse().unwrap()));
     assert_eq!(config.seed, 0x0123_4567_89ab_cdef);
-    assert_eq!(config.limits.sockets, 4096);
-    assert_eq!(config.known.endpoints, endpoints());
+    assert_eq!(config.limits.max_descriptors, 4096);
+    assert_eq!(config.cached_endpoints.endpoints, endpoints());
     assert_eq!(
-        config.known.left_out,
+        config.cached_endpoints.unreadable.iter().map(ToString::to_string).collect::<Vec<_>>(),
         [
             "known.endpoints[5]: missing field `address`",
             "known.endpoints[6]: invalid type: integer `5`, expected a string",
@@ -208,9 +212,9 @@
 fn what_the_configuration_leaves_out_has_its_default() {
     let text = r#"{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1f","settings":{"grades":[{"name":"c"}]}}"#;
     let config: Config = serde_json::from_str(text).unwrap();
-    assert_eq!((config.name.as_str(), config.console, config.seed), ("", None, 31));
-    assert_eq!(config.limits.sockets, 1024);
-    assert!(config.known.endpoints.is_empty() && config.known.left_out.is_empty());
+    assert_eq!((config.name.as_str(), config.admin_address, config.seed), ("", None, 31));
+    assert_eq!(config.limits.max_descriptors, 1024);
+    assert!(config.cached_endpoints.endpoints.is_empty() && config.cached_endpoints.unreadable.is_empty());
     let told = &config.settings;
     assert_eq!(
         (&told.listeners, told.zones.len(), told.load_report_names.len()),
--- a/crates/larklink-simulation/src/audit/findings.rs
+++ b/crates/larklink-simulation/src/audit/findings.rs
@@ -4,7 +4,7 @@
 use larklink_balancer::{TickDuration, Timestamp};
 use serde::Serialize;
 
-/// What was violated; the names stand in reports and in `docs/rehearse.md`.
+/// What was violated; the names stand in reports and in `docs/testbed.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ViolationKind {
