--- a/crates/larklink-proxy/tests/scenarios.rs
+++ b/crates/larklink-proxy/tests/scenarios.rs
@@ -30,7 +30,7 @@
     let text = "length = '6s'\n[[faults]]\nwhat = 'proxy-killed'\nat = '2s'\nfor = '2s'\n";
     let report = rehearse(text, 1, None);
     clean(&report);
-    assert!(report.rows[0].outcomes.nobody_there > 0, "{:?}", report.rows[0].outcomes);
+    assert!(report.rows[0].outcomes.proxy_unreachable > 0, "{:?}", report.rows[0].outcomes);
     assert_eq!(report.proxies[0].starts, 2);
 }
 
@@ -42,7 +42,7 @@
                 apart = '1s'\nevery = '2s'\ntimes = 2\nat_accept = true\n";
     let report = rehearse(text, 1, None);
     clean(&report);
-    assert!(report.rows[0].outcomes.with_proxy > 0, "{:?}", report.rows[0].outcomes);
+    assert!(report.rows[0].outcomes.lost_with_proxy > 0, "{:?}", report.rows[0].outcomes);
     assert!(report.proxies.iter().all(|d| d.starts == 3), "{:?}", report.proxies);
 }
 
@@ -52,7 +52,7 @@
                 [[faults]]\nwhat = 'proxy-stopped'\nat = '2s'\nfor = '100ms'\n";
     let report = rehearse(text, 1, None);
     clean(&report);
-    assert!(report.rows[0].outcomes.moved > 20, "{:?}", report.rows[0].outcomes);
+    assert!(report.rows[0].outcomes.migrated > 20, "{:?}", report.rows[0].outcomes);
 }
 
 /// All try again at once while the store is slow: each hears, and nobody twice.
@@ -63,7 +63,7 @@
                 for = '3s'\nfactor = 8.0\n[[faults]]\nwhat = 'clients-dropped'\nat = '3500ms'\n";
     let report = rehearse(text, 1, None);
     clean(&report);
-    assert!(report.rows[0].outcomes.refused > 0, "{:?}", report.rows[0].outcomes);
+    assert!(report.rows[0].outcomes.rejected > 0, "{:?}", report.rows[0].outcomes);
 }
 
 /// A restart after which the store never again bears what it did is told by the verdict; the same day without that is
@@ -93,7 +93,7 @@
            dial_timeout = '600ms'\nrate = 30.0\n[[faults]]\nwhat = 'server-paused'\nat = '3s'\nfor = '2s'\n";
     let report = rehearse(text, 1, None);
     clean(&report);
-    assert!(report.rows[0].outcomes.ran_late > 0, "{:?}", report.rows[0].outcomes);
+    assert!(report.rows[0].outcomes.ran_after_abandoned > 0, "{:?}", report.rows[0].outcomes);
 }
 
 #[test]
@@ -140,7 +140,7 @@
         let report = rehearse(&text(passes), 1, None);
         clean(&report);
         let answers = &report.rows[0].outcomes;
-        assert_eq!((answers.moved, answers.nobody_there), (0, 0), "{answers:?}");
+        assert_eq!((answers.migrated, answers.proxy_unreachable), (0, 0), "{answers:?}");
         assert_eq!(report.proxies[0].starts, 3);
     }
     let report = rehearse(&text(false), 1, Some(PlantedFault::CountsTwice));
--- a/crates/larklink-simulation/src/audit/findings.rs
+++ b/crates/larklink-simulation/src/audit/findings.rs
@@ -102,23 +102,30 @@
     /// Accepted.
     pub accepted: u64,
     /// Rejected.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
     /// Failed.
-    pub torn_down: u64,
+    #[serde(rename = "torn_down")]
+    pub failed: u64,
     /// At a proxy that was killed: the client's to retry.
-    pub with_proxy: u64,
+    #[serde(rename = "with_proxy")]
+    pub lost_with_proxy: u64,
     /// Sent by the external load balancer to a proxy that was dead.
-    pub nobody_there: u64,
+    #[serde(rename = "nobody_there")]
+    pub proxy_unreachable: u64,
     /// Still waiting at the end of the run, or given up by the client for a reason of its own.
     pub open: u64,
     /// Attempts.
-    pub dials: u64,
+    #[serde(rename = "dials")]
+    pub attempts: u64,
     /// Sessions that retry one without a response.
     pub retries: u64,
     /// Migrated.
-    pub moved: u64,
+    #[serde(rename = "moved")]
+    pub migrated: u64,
     /// Set-ups that were done for an attempt that had been abandoned.
-    pub ran_late: u64,
+    #[serde(rename = "ran_late")]
+    pub ran_after_abandoned: u64,
     /// Time to the response of each accepted session, tenths of a millisecond.
     #[serde(skip)]
     pub took: Vec<TickDuration>,
--- a/crates/larklink-simulation/src/audit/judge.rs
+++ b/crates/larklink-simulation/src/audit/judge.rs
@@ -30,10 +30,10 @@
     pub(super) fn judge(&mut self, id: u64, session: &SessionHistory, outcomes: &mut SessionOutcomes) {
         outcomes.opened += 1;
         outcomes.retries += u64::from(session.request.retry);
-        outcomes.dials += session.attempts.len() as u64;
-        outcomes.ran_late += session.ran_late;
+        outcomes.attempts += session.attempts.len() as u64;
+        outcomes.ran_after_abandoned += session.ran_after_abandoned;
         if session.proxy_unreachable {
-            outcomes.nobody_there += 1;
+            outcomes.proxy_unreachable += 1;
         } else {
             self.judge_responses(id, session, outcomes);
         }
@@ -74,15 +74,15 @@
                 outcomes.accepted += 1;
                 outcomes.took.push(response.at - session.opened_at);
                 // A client that never reads cannot be notified of anything.
-                if self.listener(session).deaf_kb == 0 {
+                if self.listener(session).unread_kb == 0 {
                     self.judge_established(id, session, response.at, outcomes);
                 }
             }
             ClientResponse::Rejected(_) => {
-                outcomes.refused += 1;
+                outcomes.rejected += 1;
                 self.judge_rejected(id, session, response.at);
             }
-            ClientResponse::Failed => outcomes.torn_down += 1,
+            ClientResponse::Failed => outcomes.failed += 1,
         }
     }
 
@@ -91,7 +91,7 @@
         let until = session.end.map_or(limit, |end| end.at).min(limit);
         let left = matches!(session.end, Some(At { value: ConnectionEnd::Left, .. }));
         if self.history.proxies_away[session.proxy].overlap(session.opened_at, until) {
-            outcomes.with_proxy += 1;
+            outcomes.lost_with_proxy += 1;
         } else if limit >= self.end || left {
             outcomes.open += 1;
         } else {
@@ -131,7 +131,7 @@
             .map(|end| end.at);
         let proxy_away = &self.history.proxies_away[session.proxy];
         match session.end {
-            Some(At { value: ConnectionEnd::Migrated, .. }) => outcomes.moved += 1,
+            Some(At { value: ConnectionEnd::Migrated, .. }) => outcomes.migrated += 1,
             Some(At { at, value: how @ (ConnectionEnd::Closed | ConnectionEnd::Broken) }) => {
                 let from = at.saturating_sub(ENDED_WITHIN + TOLERANCE);
                 let excused = server_ended.is_some_and(|ended_at| ended_at <= at + TOLERANCE)
--- a/crates/larklink-simulation/src/audit/run_history.rs
+++ b/crates/larklink-simulation/src/audit/run_history.rs
@@ -84,7 +84,7 @@
                 self.with_session(*id, |session| _ = session.end.get_or_insert(At { at, value: *end }));
             }
             EventKind::RanAfterAbandoned { id, .. } => {
-                self.with_session(*id, |session| session.ran_late += 1);
+                self.with_session(*id, |session| session.ran_after_abandoned += 1);
             }
             &EventKind::AttemptStarted { id, server, connection, timeout_ms } => {
                 let attempt = AttemptHistory { server, connection, started_at: at, timeout_ms, end: None };
--- a/crates/larklink-simulation/src/audit/session_history.rs
+++ b/crates/larklink-simulation/src/audit/session_history.rs
@@ -53,7 +53,7 @@
     /// Whether its proxy could not be reached.
     pub(super) proxy_unreachable: bool,
     /// Set-ups that were done for an attempt that had been abandoned.
-    pub(super) ran_late: u64,
+    pub(super) ran_after_abandoned: u64,
     pub(super) end: Option<At<ConnectionEnd>>,
     pub(super) attempts: Vec<AttemptHistory>,
 }
@@ -68,7 +68,7 @@
             malformed_at: None,
             extra_message_at: None,
             proxy_unreachable: false,
-            ran_late: 0,
+            ran_after_abandoned: 0,
             end: None,
             attempts: Vec::new(),
         }
--- a/crates/larklink-simulation/src/clients.rs
+++ b/crates/larklink-simulation/src/clients.rs
@@ -125,15 +125,15 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ListenerTally {
     /// The time for which clients wanted a session.
-    pub asked: TickDuration,
+    pub wanted: TickDuration,
     /// The time for which they were well served.
-    pub well: TickDuration,
+    pub well_served: TickDuration,
     /// Messages that came back.
-    pub lines: u64,
+    pub messages: u64,
     /// Those of them that were late.
-    pub late: u64,
+    pub late_messages: u64,
     /// Clients that left for good without a session.
-    pub gone_without: u64,
+    pub gave_up: u64,
 }
 
 /// All clients of a run.
@@ -151,7 +151,7 @@
     /// Sessions without a response.
     pub waiting: usize,
     /// Established sessions.
-    pub standing: usize,
+    pub established: usize,
 }
 
 impl Clients {
@@ -167,7 +167,7 @@
             length,
             tallies,
             waiting: 0,
-            standing: 0,
+            established: 0,
         };
         for listener in 0..clients.listeners.len() {
             for _ in 0..clients.listeners[listener].initial_clients {
@@ -249,7 +249,7 @@
             reconnecting: false,
             retry: false,
         });
-        self.tallies[listener].asked += until.min(self.length).saturating_sub(at);
+        self.tallies[listener].wanted += until.min(self.length).saturating_sub(at);
         self.timers.push(at, ClientTimer::Request { client });
     }
 
@@ -324,10 +324,10 @@
             if now - first.sent_at > listener.message_objective.0
                 && let Some(from) = session.well_served_from.take()
             {
-                self.tallies[listener_index].well += first.sent_at.saturating_sub(from);
+                self.tallies[listener_index].well_served += first.sent_at.saturating_sub(from);
             }
             let silent_for = now - session.last_received_at;
-            if silent_for > SILENT && listener.deaf_kb == 0 {
+            if silent_for > SILENT && listener.unread_kb == 0 {
                 actions.push(ClientAction::Silent { id, duration: silent_for });
             }
         }
@@ -358,7 +358,7 @@
         session.last_received_at = now;
         session.well_served_from = Some(now);
         self.waiting -= 1;
-        self.standing += 1;
+        self.established += 1;
         let client = &mut self.clients[session.client];
         client.tries = 0;
         client.retry = false;
@@ -379,11 +379,11 @@
         let tally = &mut self.tallies[listener];
         let took = now - sent_at;
         let late = took > self.listeners[listener].message_objective.0;
-        tally.lines += 1;
+        tally.messages += 1;
         if late {
-            tally.late += 1;
+            tally.late_messages += 1;
             if let Some(from) = session.well_served_from.take() {
-                tally.well += sent_at.saturating_sub(from);
+                tally.well_served += sent_at.saturating_sub(from);
             }
         } else if session.well_served_from.is_none() {
             session.well_served_from = Some(now);
@@ -412,7 +412,7 @@
         let sender = &mut self.clients[client];
         let listener = &self.listeners[sender.listener];
         if sender.tries >= listener.max_tries || listener.retry == RetryBehavior::Never {
-            self.tallies[sender.listener].gone_without += 1;
+            self.tallies[sender.listener].gave_up += 1;
             return;
         }
         sender.retry = true;
@@ -429,14 +429,14 @@
         let session = self.sessions.remove(&id)?;
         match session.state {
             ClientSessionState::Waiting => self.waiting -= 1,
-            ClientSessionState::Established => self.standing -= 1,
+            ClientSessionState::Established => self.established -= 1,
         }
         if let Some(from) = session.well_served_from {
             // A message in flight speaks against the time since it was sent.
             let first = session.messages_in_flight.first();
             let to = first.map_or(now, |message| message.sent_at).min(self.length);
             let listener = self.listener_index(&session);
-            self.tallies[listener].well += to.saturating_sub(from);
+            self.tallies[listener].well_served += to.saturating_sub(from);
         }
         Some(session.client)
     }
@@ -481,7 +481,7 @@
             let by_listener = self.tallies.iter().zip(&self.listeners);
             by_listener.map(|(tally, listener)| time(tally) as f64 * listener.utility).sum()
         };
-        let asked = sum(|tally| tally.asked);
-        if asked > 0.0 { sum(|tally| tally.well) / asked } else { 1.0 }
+        let wanted = sum(|tally| tally.wanted);
+        if wanted > 0.0 { sum(|tally| tally.well_served) / wanted } else { 1.0 }
     }
 }
--- a/crates/larklink-simulation/src/goodput.rs
+++ b/crates/larklink-simulation/src/goodput.rs
@@ -36,13 +36,15 @@
     /// From then to the first window from which on goodput has recovered, to the end of the run; none for never.
     pub took: Option<TickDuration>,
     /// How long after `restarted` the last window begins that the run is long enough for.
-    pub told: TickDuration,
+    #[serde(rename = "told")]
+    pub observed_for: TickDuration,
     /// The rates from the last restart to the end of the run.
     pub after: GoodputRate,
     /// The window with the least share.
     pub least: GoodputRate,
     /// The session store's rate, calls a second.
-    pub bears: f64,
+    #[serde(rename = "bears")]
+    pub store_rate: f64,
 }
 
 impl Recovery {
@@ -52,7 +54,9 @@
             Some(took) if took <= within => None,
             Some(took) => Some(format!("goodput back {:.1} s after the last restart", seconds(took))),
             // A run that ends too early shows nothing, and must not pass for one that recovered.
-            None if self.told < within => Some("the run is too short to show that goodput comes back".into()),
+            None if self.observed_for < within => {
+                Some("the run is too short to show that goodput comes back".into())
+            }
             None => Some("goodput never came back after the last restart".into()),
         }
     }
@@ -69,7 +73,7 @@
         write!(
             f,
             ", at {at:.1} s; from then on {:.1} sessions a second accepted in time of {:.1} offered, the store bears {:.1}",
-            after.accepted, after.offered, self.bears
+            after.accepted, after.offered, self.store_rate
         )
     }
 }
@@ -145,5 +149,5 @@
     let share = |rate: &GoodputRate| rate.accepted / wanted(rate).max(f64::MIN_POSITIVE);
     let least = windows.iter().copied().min_by(|a, b| share(a).total_cmp(&share(b)))?;
     let after = times.rate(restarted, length);
-    Some(Recovery { restarted, took, told: last - restarted, after, least, bears: store_rate })
+    Some(Recovery { restarted, took, observed_for: last - restarted, after, least, store_rate })
 }
--- a/crates/larklink-simulation/src/scenario.rs
+++ b/crates/larklink-simulation/src/scenario.rs
@@ -54,7 +54,8 @@
     /// The faults.
     pub faults: Vec<Spanned<FaultSpec>>,
     /// What must hold at the end, beside the rules.
-    pub must: Requirements,
+    #[serde(rename = "must")]
+    pub requirements: Requirements,
 }
 
 impl Default for Scenario {
@@ -72,7 +73,7 @@
             load_balancer: LoadBalancerSettings::default(),
             listeners: vec![Spanned::new(0..0, ListenerSpec::default())],
             faults: Vec::new(),
-            must: Requirements::default(),
+            requirements: Requirements::default(),
         }
     }
 }
@@ -118,7 +119,7 @@
     }
 
     /// The mean number of sessions that are established at once, at most.
-    pub fn standing(&self) -> usize {
+    pub fn expected_sessions(&self) -> usize {
         let sessions = |listener: &ListenerSpec| {
             let stay = self.length.0.min(listener.mean_stay.0) as f64;
             let coming = listener.arrivals_per_second * stay / SECOND as f64;
@@ -132,10 +133,10 @@
         if self.length.0 == 0 {
             found.add("length", "a run of no length shows nothing");
         }
-        validation::check_proxies(&self.proxies, &self.must, &mut found);
+        validation::check_proxies(&self.proxies, &self.requirements, &mut found);
         validation::check_rules(&self.rules, &mut found);
         validation::check_session_store(&self.session_store, &mut found);
-        validation::check_requirements(&self.must, &self.faults, &mut found);
+        validation::check_requirements(&self.requirements, &self.faults, &mut found);
         let listed: Vec<_> = self.each_server().map(|server| server.listed).collect();
         validation::check_server_count(listed.len(), listed.contains(&true), &mut found);
         for group in &self.servers {
--- a/crates/larklink-simulation/src/scenario/fleet.rs
+++ b/crates/larklink-simulation/src/scenario/fleet.rs
@@ -16,7 +16,8 @@
     /// The file descriptors that each may use.
     pub descriptors: usize,
     /// Whether each has an admin endpoint, is asked for its metrics, and can be replaced.
-    pub doors: bool,
+    #[serde(rename = "doors")]
+    pub admin_endpoints: bool,
     /// How many, the last in number, run in another shape than the rest: they may not check health, and crossing zones
     /// costs more than a migration.
     pub moved: usize,
@@ -24,7 +25,7 @@
 
 impl Default for ProxyFleet {
     fn default() -> Self {
-        Self { count: 3, zones: 1, memory_mb: 192, descriptors: 4096, doors: false, moved: 0 }
+        Self { count: 3, zones: 1, memory_mb: 192, descriptors: 4096, admin_endpoints: false, moved: 0 }
     }
 }
 
--- a/crates/larklink-simulation/src/scenario/listener.rs
+++ b/crates/larklink-simulation/src/scenario/listener.rs
@@ -79,7 +79,8 @@
     #[serde(rename = "group")]
     pub clients_per_group: usize,
     /// The kilobytes that a client requests and never reads; 0 for one that reads.
-    pub deaf_kb: usize,
+    #[serde(rename = "deaf_kb")]
+    pub unread_kb: usize,
 }
 
 impl Default for ListenerSpec {
@@ -103,7 +104,7 @@
             max_tries: 8,
             reconnect_wait: ConfigDuration::from_millis(200),
             clients_per_group: 4,
-            deaf_kb: 0,
+            unread_kb: 0,
         }
     }
 }
--- a/crates/larklink-simulation/src/scenario/validation.rs
+++ b/crates/larklink-simulation/src/scenario/validation.rs
@@ -185,7 +185,7 @@
     {
         found.add("every", "every, life, group and tries are over 0");
     }
-    if listener.deaf_kb > MAX_UNREAD_KB {
+    if listener.unread_kb > MAX_UNREAD_KB {
         found.add("deaf_kb", "64 MB at most");
     }
     if !is_amount(listener.load) || !is_amount(listener.utility) {
@@ -228,7 +228,7 @@
     if fault.at >= length {
         found.add("at", format!("{} is not before the end, {length}", fault.at));
     }
-    if fault.kind == FaultKind::ProxyReplaced && !targets.proxies.doors {
+    if fault.kind == FaultKind::ProxyReplaced && !targets.proxies.admin_endpoints {
         found.add("what", "a process is replaced only where proxies.doors = true");
     }
     check_fault_targets(fault, targets.count(fault.kind), found);
--- a/crates/larklink-simulation/src/server/load_meter.rs
+++ b/crates/larklink-simulation/src/server/load_meter.rs
@@ -54,9 +54,9 @@
         // Sessions ask for their load, whatever has come of it yet; set-ups come on top.
         let asked = (sessions.load * duration / SECOND as f64).max(self.asked);
         self.report = LoadReport {
-            held: sessions.held,
-            used: (self.worked / possible).min(1.0),
-            asked: asked / possible,
+            sessions: sessions.held,
+            utilization: (self.worked / possible).min(1.0),
+            load: asked / possible,
         };
         self.worked = 0.0;
         self.asked = 0.0;
--- a/crates/larklink-simulation/src/server/load_report.rs
+++ b/crates/larklink-simulation/src/server/load_report.rs
@@ -4,9 +4,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Sessions that are held, established or being set up.
-    pub held: usize,
+    pub sessions: usize,
     /// The share of the last interval in which its cores worked.
-    pub used: f64,
+    pub utilization: f64,
     /// Work asked for in it over what it could have done.
-    pub asked: f64,
+    pub load: f64,
 }
--- a/crates/larklink-simulation/src/simulate/simulation.rs
+++ b/crates/larklink-simulation/src/simulate/simulation.rs
@@ -253,7 +253,7 @@
     ) {
         let (outcome, load_report) = match message {
             ServerMessage::HealthReport(report) => {
-                (AttemptOutcome::Succeeded, vec![report.held as f64, report.used, report.asked])
+                (AttemptOutcome::Succeeded, vec![report.sessions as f64, report.utilization, report.load])
             }
             _ => (AttemptOutcome::Reset, Vec::new()),
         };
--- a/crates/larklink-simulation/tests/audit.rs
+++ b/crates/larklink-simulation/tests/audit.rs
@@ -115,11 +115,11 @@
         let gone = EventKind::ProxyExited { proxy: 0, planned };
         judge(vec![(0, opened(0)), (100, gone), (101, ended(ConnectionEnd::Broken))])
     };
-    assert_eq!(with(false).listeners[0].with_proxy, 1);
+    assert_eq!(with(false).listeners[0].lost_with_proxy, 1);
     assert!(with(false).violations.is_empty());
     assert_eq!(with(true).violations[0].kind, ViolationKind::NoAnswer);
     let nobody = judge(vec![(0, opened(0)), (1, EventKind::ProxyUnreachable { id: ID, proxy: 0 })]);
-    assert_eq!((nobody.listeners[0].nobody_there, nobody.violations.len()), (1, 0));
+    assert_eq!((nobody.listeners[0].proxy_unreachable, nobody.violations.len()), (1, 0));
 }
 
 #[test]
--- a/crates/larklink-simulation/tests/format_fixtures.rs
+++ b/crates/larklink-simulation/tests/format_fixtures.rs
@@ -31,15 +31,15 @@
     SessionOutcomes {
         opened: 1,
         accepted: 2,
-        refused: 3,
-        torn_down: 4,
-        with_proxy: 5,
-        nobody_there: 6,
+        rejected: 3,
+        failed: 4,
+        lost_with_proxy: 5,
+        proxy_unreachable: 6,
         open: 7,
-        dials: 8,
+        attempts: 8,
         retries: 9,
-        moved: 10,
-        ran_late: 11,
+        migrated: 10,
+        ran_after_abandoned: 11,
         // Not written.
         took: vec![12, 13],
     }
@@ -158,7 +158,14 @@
     );
     let proxies = &scenario.proxies;
     assert_eq!(
-        (proxies.count, proxies.zones, proxies.memory_mb, proxies.descriptors, proxies.doors, proxies.moved),
+        (
+            proxies.count,
+            proxies.zones,
+            proxies.memory_mb,
+            proxies.descriptors,
+            proxies.admin_endpoints,
+            proxies.moved
+        ),
         (5, 2, 64, 512, true, 2)
     );
     let rules = &scenario.rules;
@@ -192,7 +199,7 @@
     assert_eq!((group.report_interval.0, group.listed, group.weight), (2000, true, 1.0));
     assert_eq!((scenario.session_store.rate, scenario.session_store.bound.0), (123.5, 12_500));
     assert_eq!((scenario.endpoint_list.lag.0, scenario.load_balancer.notices_after.0), (500, 7000));
-    let must = &scenario.must;
+    let must = &scenario.requirements;
     assert_eq!((must.service, must.accepted, must.each_shape), (Some(0.9), Some(0.95), Some(0.8)));
     assert_eq!((must.answer_p99.map(|l| l.0), must.recovers.map(|l| l.0)), (Some(11_000), Some(60_000)));
 }
@@ -224,7 +231,7 @@
         (listener.retry, listener.retry_wait.0, listener.max_tries, listener.reconnect_wait.0),
         (RetryBehavior::AtOnce, 9000, 3, 600)
     );
-    assert_eq!((listener.clients_per_group, listener.deaf_kb), (2, 64));
+    assert_eq!((listener.clients_per_group, listener.unread_kb), (2, 64));
     let listener = other.get_ref();
     assert_eq!(
         (listener.name.as_str(), listener.kind, listener.window.0),
@@ -248,7 +255,7 @@
         (listener.retry, listener.retry_wait.0, listener.max_tries, listener.reconnect_wait.0),
         (RetryBehavior::Never, 5000, 8, 2000)
     );
-    assert_eq!((listener.clients_per_group, listener.deaf_kb), (4, 0));
+    assert_eq!((listener.clients_per_group, listener.unread_kb), (4, 0));
     let listener = last.get_ref();
     assert_eq!(
         (listener.name.as_str(), listener.kind, listener.retry),
--- a/crates/larklink-simulation/tests/world.rs
+++ b/crates/larklink-simulation/tests/world.rs
@@ -114,7 +114,7 @@
         let s = scenario(&format!("length = '6s'\n[[listeners]]\nstanding = 60\n[[faults]]\n{fault}\n"));
         let run = run(&s, seed);
         for l in &run.findings.listeners {
-            let ends = l.accepted + l.refused + l.torn_down + l.with_proxy + l.nobody_there + l.open;
+            let ends = l.accepted + l.rejected + l.failed + l.lost_with_proxy + l.proxy_unreachable + l.open;
             let without = run.findings.counts().get(&ViolationKind::NoAnswer).copied().unwrap_or(0);
             prop_assert_eq!(l.opened, ends + without as u64);
         }
@@ -169,7 +169,7 @@
 fn what_a_killed_proxy_held_is_told_apart_from_a_loss() {
     let run = run(&scenario("length = '8s'\n[[faults]]\nwhat = 'proxy-killed'\nat = '3s'\nfor = '3s'\n"), 1);
     clean(&run);
-    assert!(run.findings.listeners[0].nobody_there > 10, "{:?}", run.findings.listeners);
+    assert!(run.findings.listeners[0].proxy_unreachable > 10, "{:?}", run.findings.listeners);
     assert!(run.service > 0.8, "{}", run.service);
 }
 
@@ -192,7 +192,7 @@
     let opened = at(|what| matches!(what, EventKind::Opened { proxy: 0, .. }));
     assert!(opened.into_iter().any(|at| at + 2 == end), "no connection came at {end}");
     assert_eq!(at(|what| matches!(what, EventKind::ProxyUp { .. })).collect::<Vec<_>>(), [end + SECOND / 2]);
-    assert_eq!(run.findings.listeners[0].with_proxy, 1);
+    assert_eq!(run.findings.listeners[0].lost_with_proxy, 1);
     let wrong =
         Scenario::parse("[[faults]]\nwhat = 'proxy-stopped'\nat = '1s'\nat_accept = true\n").unwrap_err();
     assert!(wrong.problems.iter().any(|p| p.key == "at_accept"), "{wrong:?}");
@@ -238,7 +238,7 @@
     let run = run(&s, 1);
     clean(&run);
     let l = &run.findings.listeners[0];
-    assert!(l.ran_late > 0 && l.torn_down > 0, "{l:?}");
+    assert!(l.ran_after_abandoned > 0 && l.failed > 0, "{l:?}");
 }
 
 #[test]
--- a/crates/larklink-testbed/src/clients.rs
+++ b/crates/larklink-testbed/src/clients.rs
@@ -79,7 +79,7 @@
         if response != Some(ClientResponse::Accepted) {
             return self.expect_nothing_more().await;
         }
-        let flood_kb = self.context.scenario.listeners[self.listener].get_ref().deaf_kb;
+        let flood_kb = self.context.scenario.listeners[self.listener].get_ref().unread_kb;
         if flood_kb > 0 { self.request_flood(flood_kb).await } else { self.exchange_messages().await }
     }
 
--- a/crates/larklink-testbed/src/descriptors.rs
+++ b/crates/larklink-testbed/src/descriptors.rs
@@ -23,7 +23,7 @@
     }
     let allowed = raise_limit();
     let servers = scenario.server_count();
-    let sessions = scenario.standing();
+    let sessions = scenario.expected_sessions();
     let needed = 4 * sessions as u64 + servers as u64 * (1 + proxies as u64) + OTHER_DESCRIPTORS;
     if needed > allowed {
         return Err(TestbedError::TooFewDescriptors { needed, sessions, allowed });
--- a/crates/larklink-testbed/src/html_report.rs
+++ b/crates/larklink-testbed/src/html_report.rs
@@ -107,12 +107,12 @@
         for count in [
             outcomes.opened,
             outcomes.accepted,
-            outcomes.refused,
-            outcomes.torn_down,
-            outcomes.with_proxy,
-            outcomes.nobody_there,
-            outcomes.dials,
-            outcomes.moved,
+            outcomes.rejected,
+            outcomes.failed,
+            outcomes.lost_with_proxy,
+            outcomes.proxy_unreachable,
+            outcomes.attempts,
+            outcomes.migrated,
         ] {
             let _ = write!(table, "<td>{count}");
         }
--- a/crates/larklink-testbed/src/metrics_poller.rs
+++ b/crates/larklink-testbed/src/metrics_poller.rs
@@ -89,8 +89,8 @@
             let outcomes = &listener.outcomes;
             for (metric, recorded) in [
                 ("passed", outcomes.accepted),
-                ("dropped", outcomes.refused),
-                ("bad_gateway", outcomes.torn_down),
+                ("dropped", outcomes.rejected),
+                ("bad_gateway", outcomes.failed),
             ] {
                 let reported = self.sum(&format!("app.handled.{}.{metric}", listener.listener));
                 if reported.abs_diff(recorded) > self.allowed_difference(recorded) {
--- a/crates/larklink-testbed/src/protocol.rs
+++ b/crates/larklink-testbed/src/protocol.rs
@@ -187,8 +187,8 @@
         ServerMessage::Migrate => "MOVE\r\n".into(),
         ServerMessage::Load(load) => format!("LOAD {load:.0}\r\n"),
         ServerMessage::Message(text) => format!("{} {now}\r\n", String::from_utf8_lossy(text)),
-        ServerMessage::HealthReport(LoadReport { held, used, asked }) => {
-            format!("PONG inflight={held},util={used:.3},x0={asked:.3}\r\n")
+        ServerMessage::HealthReport(LoadReport { sessions, utilization, load }) => {
+            format!("PONG inflight={sessions},util={utilization:.3},x0={load:.3}\r\n")
         }
         ServerMessage::Reset => return None,
     })
--- a/crates/larklink-testbed/src/report.rs
+++ b/crates/larklink-testbed/src/report.rs
@@ -183,9 +183,9 @@
         listener: scenario.listeners[listener].get_ref().name.clone(),
         response_ms: Quantiles::of(&response_times),
         message_ms: message_times.map(Quantiles::of).unwrap_or_default(),
-        late_messages: tally.late,
-        service: tally.well as f64 / (tally.asked as f64).max(1.0),
-        gave_up: tally.gone_without,
+        late_messages: tally.late_messages,
+        service: tally.well_served as f64 / (tally.wanted as f64).max(1.0),
+        gave_up: tally.gave_up,
         outcomes,
     }
 }
@@ -198,7 +198,7 @@
     shapes: &[ShapeOutcomes],
     recovery: Option<Recovery>,
 ) -> Vec<String> {
-    let must = &scenario.must;
+    let must = &scenario.requirements;
     let mut unmet = Vec::new();
     if let Some(least) = must.service.filter(|&least| service < least) {
         unmet.push(format!("service {service:.3}, {least} asked for"));
--- a/crates/larklink-testbed/src/run.rs
+++ b/crates/larklink-testbed/src/run.rs
@@ -77,7 +77,7 @@
         let servers = range.take(scenario.server_count());
         let proxies = range.take(proxy_count);
         let discovery = range.take(2 * proxy_count).chunks(2).map(|pair| [pair[0], pair[1]]).collect();
-        let admin_addresses = if scenario.proxies.doors { ADMIN_ADDRESSES } else { 0 };
+        let admin_addresses = if scenario.proxies.admin_endpoints { ADMIN_ADDRESSES } else { 0 };
         let admin = (0..proxy_count).map(|_| range.take(admin_addresses)).collect();
         let client_side = if options.planted.is_some() { range.take(proxy_count) } else { proxies.clone() };
         Self { servers, proxies, discovery, admin, client_side }
@@ -187,7 +187,7 @@
             timer_delay,
         };
         let mut report = Report::new(scenario, self.options.seed, &world, measured);
-        if scenario.proxies.doors {
+        if scenario.proxies.admin_endpoints {
             report.unmet_requirements.extend(self.metrics.findings(&report.rows));
         }
         report
--- a/crates/larklink-testbed/src/sample.rs
+++ b/crates/larklink-testbed/src/sample.rs
@@ -39,7 +39,7 @@
     pub fn take(at: Timestamp, world: &World) -> Self {
         let mut sample = Self {
             at,
-            established: world.clients.standing,
+            established: world.clients.established,
             waiting: world.clients.waiting,
             sessions_by_server: world.servers.iter().map(Server::sessions_held).collect(),
             service: world.clients.served_now(at),
--- a/crates/larklink-testbed/tests/format_fixtures.rs
+++ b/crates/larklink-testbed/tests/format_fixtures.rs
@@ -18,15 +18,15 @@
     SessionOutcomes {
         opened: 10,
         accepted: 5,
-        refused: 3,
-        torn_down: 4,
-        with_proxy: 6,
-        nobody_there: 7,
+        rejected: 3,
+        failed: 4,
+        lost_with_proxy: 6,
+        proxy_unreachable: 7,
         open: 8,
-        dials: 9,
+        attempts: 9,
         retries: 11,
-        moved: 12,
-        ran_late: 13,
+        migrated: 12,
+        ran_after_abandoned: 13,
         took: took.to_vec(),
     }
 }
@@ -57,7 +57,7 @@
 }
 
 fn recovery(took: Option<u64>) -> Recovery {
-    Recovery { restarted: 21, took, told: 22, after: rate(23), least: rate(24), bears: 25.5 }
+    Recovery { restarted: 21, took, observed_for: 22, after: rate(23), least: rate(24), store_rate: 25.5 }
 }
 
 fn sample() -> Sample {
--- a/crates/larklinkctl/src/tables.rs
+++ b/crates/larklinkctl/src/tables.rs
@@ -50,15 +50,15 @@
         let counts = [
             outcomes.opened,
             outcomes.accepted,
-            outcomes.refused,
-            outcomes.torn_down,
-            outcomes.with_proxy,
-            outcomes.nobody_there,
+            outcomes.rejected,
+            outcomes.failed,
+            outcomes.lost_with_proxy,
+            outcomes.proxy_unreachable,
             outcomes.open,
-            outcomes.dials,
+            outcomes.attempts,
             outcomes.retries,
-            outcomes.moved,
-            outcomes.ran_late,
+            outcomes.migrated,
+            outcomes.ran_after_abandoned,
         ];
         let mut cells = vec![row.listener.clone()];
         cells.extend(counts.iter().map(ToString::to_string));
