--- a/crates/larklink-proxy/tests/endings.rs
+++ b/crates/larklink-proxy/tests/endings.rs
@@ -149,27 +149,35 @@
     let executor = Rc::new(LocalExecutor::new());
     let (queue, events) = events::queue();
     let metrics = Metrics::new(&config.settings.listeners);
-    let (fresh, _first) = async_channel::bounded(1);
-    let (settings, known) = (&config.settings, config.cached_endpoints.endpoints);
-    let probes = Rc::new(HealthChecker::new(settings, queue.clone(), ConnectionLimiter::new(64)));
-    let owner = DecisionTask::new(settings, 7, known, probes, Rc::clone(&executor), metrics, fresh);
-    let (sender, orders) = async_channel::unbounded();
+    let (first_list_pending, _first_list) = async_channel::bounded(1);
+    let (settings, cached_endpoints) = (&config.settings, config.cached_endpoints.endpoints);
+    let health_checker = Rc::new(HealthChecker::new(settings, queue.clone(), ConnectionLimiter::new(64)));
+    let task = DecisionTask::new(
+        settings,
+        7,
+        cached_endpoints,
+        health_checker,
+        Rc::clone(&executor),
+        metrics,
+        first_list_pending,
+    );
+    let (sender, commands) = async_channel::unbounded();
     async_io::block_on(executor.run(async {
         for session in 0..SESSIONS as u32 {
-            let ask = SessionRequest { dial_timeout: 20_000, ..SessionRequest::default() };
+            let request = SessionRequest { dial_timeout: 20_000, ..SessionRequest::default() };
             queue
                 .send(DecisionEvent::OpenSession {
                     session,
                     received_at: Instant::now(),
-                    request: ask,
+                    request,
                     commands: sender.clone(),
                 })
                 .await;
         }
-        executor.spawn(owner.run(events)).detach();
+        executor.spawn(task.run(events)).detach();
         let others = executor.spawn(async move {
             let mut turns = 0;
-            while orders.len() < SESSIONS {
+            while commands.len() < SESSIONS {
                 turns += 1;
                 future::yield_now().await;
             }
