--- a/crates/larklink-balancer/src/action.rs
+++ b/crates/larklink-balancer/src/action.rs
@@ -1,6 +1,7 @@
 //! What a balancer tells its proxy to do.
 
-use crate::ids::{EndpointIndex, SessionHandle, TickDuration, Timestamp};
+use crate::ids::{EndpointIndex, SessionHandle};
+use crate::time::{TickDuration, Timestamp};
 
 /// What to do with a session now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/larklink-balancer/src/balancer.rs
+++ b/crates/larklink-balancer/src/balancer.rs
@@ -9,16 +9,18 @@
 use crate::discovery_schedule::DiscoverySchedule;
 use crate::endpoint::EndpointSet;
 use crate::event::{AttemptOutcome, EndpointEntry, ListScope, Observation, SessionRequest};
-use crate::ids::{EndpointIndex, SessionHandle, TickDuration, Timestamp};
+use crate::ids::{EndpointIndex, SessionHandle};
 use crate::load::{ReportedCapacity, SessionLoads};
 use crate::migration::{self, MigrationBudget, ReliefSelection};
 use crate::outlier::EvidenceSource;
 use crate::placement::Placement;
+use crate::random::random_duration;
 use crate::retry_budget::RetryBudget;
 use crate::retry_policy;
 use crate::session::{Session, SessionState, SessionTable};
 use crate::settings::Settings;
 use crate::slow_start::SessionArrivals;
+use crate::time::{TickDuration, Timestamp};
 
 /// Where the sessions of one proxy go. See the [crate documentation](crate) for how to call it.
 ///
@@ -53,7 +55,8 @@
     pub fn new(settings: Settings, seed: u64, now: Timestamp) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         // At random, so that proxies that start together do not look after the endpoints in step.
-        let next_maintenance_at = now + rng.random_range(0..=settings.connect_timeout);
+        let next_maintenance_at =
+            now + random_duration(TickDuration::ZERO..=settings.connect_timeout, &mut rng);
         Self {
             rng,
             endpoints: EndpointSet::new(&settings),
@@ -284,16 +287,16 @@
         let elapsed = self.settings.connect_timeout;
         self.migration_budget.replenish(elapsed);
         for index in 0..self.endpoints.len() {
-            let endpoint = &mut self.endpoints[index];
+            let endpoint = &mut self.endpoints[EndpointIndex(index)];
             endpoint.outlier.decay(elapsed);
             endpoint.load.grow_limit(elapsed);
-            self.check_health_if_due(now, index);
-            let endpoint = &self.endpoints[index];
+            self.check_health_if_due(now, EndpointIndex(index));
+            let endpoint = &self.endpoints[EndpointIndex(index)];
             let must_leave = endpoint.outlier.is_ejected() || endpoint.is_closed(&self.settings);
             if must_leave && endpoint.load.sessions() > 0 {
-                self.evacuate(now, index);
+                self.evacuate(now, EndpointIndex(index));
             } else if endpoint.is_ready() && endpoint.load.relief_is_due(now) {
-                self.relieve(now, index);
+                self.relieve(now, EndpointIndex(index));
             }
         }
     }
--- a/crates/larklink-balancer/src/concurrency_limit.rs
+++ b/crates/larklink-balancer/src/concurrency_limit.rs
@@ -7,9 +7,10 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::event::AttemptOutcome;
-use crate::ids::{EndpointIndex, TICKS_PER_SECOND, TickDuration, Timestamp};
+use crate::ids::EndpointIndex;
 use crate::random::round_randomly;
 use crate::settings::Settings;
+use crate::time::{TickDuration, Timestamp};
 
 /// The limit of all proxies together when they start: attempts in flight.
 const INITIAL_LIMIT_OF_ALL_PROXIES: f64 = 250.0;
@@ -28,7 +29,7 @@
 /// Rejections in a row after which the circuit counts as open.
 const OPEN_CIRCUIT_REJECTIONS: u32 = 12;
 /// How long an open circuit waits after the last attempt before one half-open attempt: 3.8 s.
-const HALF_OPEN_AFTER: TickDuration = 38 * TICKS_PER_SECOND / 10;
+const HALF_OPEN_AFTER: TickDuration = TickDuration::from_millis(3_800);
 
 /// The limit on attempts in flight, and what it is learned from.
 #[derive(Debug)]
@@ -80,7 +81,7 @@
     /// Within the pause the chance grows from 0 to 1, so that hundreds of proxies stay out of step. An open
     /// circuit admits one attempt all the same: it would reject everything long after the store has recovered.
     pub(crate) fn admits(&self, now: Timestamp, rng: &mut ChaCha8Rng) -> bool {
-        let since_last = now.saturating_sub(self.pacing.last_attempt_ended_at) as f64;
+        let since_last = now.saturating_since(self.pacing.last_attempt_ended_at).as_f64();
         let chance = (since_last / self.pacing.min_interval).min(1.0);
         f64::from(self.in_flight) < self.limit
             && (round_randomly(chance, rng) > 0.0 || self.circuit.half_open(now))
@@ -123,7 +124,7 @@
         took: TickDuration,
         dial_timeout: TickDuration,
     ) -> bool {
-        let promptness = 1.0 - SLOW_ATTEMPT_DIVISOR * took as f64 / dial_timeout as f64;
+        let promptness = 1.0 - SLOW_ATTEMPT_DIVISOR * took.as_f64() / dial_timeout.as_f64();
         let mut fell = false;
         if promptness > 0.0 {
             self.increase(promptness);
@@ -134,7 +135,7 @@
                 fell = self.decrease(outcome);
             }
         }
-        let min_interval = took as f64 * (1.0 / self.limit - 1.0).max(0.0);
+        let min_interval = took.as_f64() * (1.0 / self.limit - 1.0).max(0.0);
         self.pacing = Pacing { last_attempt_ended_at: now, min_interval };
         fell
     }
--- a/crates/larklink-balancer/src/discovery_schedule.rs
+++ b/crates/larklink-balancer/src/discovery_schedule.rs
@@ -4,15 +4,16 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::event::ListScope;
-use crate::ids::{TickDuration, Timestamp};
+use crate::random::random_duration;
 use crate::settings::Settings;
+use crate::time::{TickDuration, Timestamp};
 
 /// The longest backoff after a failure is the discovery deadline divided by this.
-const MAX_BACKOFF_DIVISOR: TickDuration = 8;
+const MAX_BACKOFF_DIVISOR: u64 = 8;
 /// The shortest backoff after a failure is the longest one divided by this.
-const MIN_BACKOFF_DIVISOR: TickDuration = 4;
+const MIN_BACKOFF_DIVISOR: u64 = 4;
 /// A poll without an answer is repeated after the discovery deadline divided by this.
-const UNANSWERED_POLL_DIVISOR: TickDuration = 2;
+const UNANSWERED_POLL_DIVISOR: u64 = 2;
 
 /// When the endpoint list has to be polled next; never, where it is pushed.
 #[derive(Debug)]
@@ -46,7 +47,7 @@
     pub(crate) fn record_failure(&mut self, now: Timestamp, rng: &mut ChaCha8Rng) {
         if self.polled {
             let longest = self.deadline / MAX_BACKOFF_DIVISOR;
-            self.next_poll_at = now + rng.random_range(longest / MIN_BACKOFF_DIVISOR..=longest);
+            self.next_poll_at = now + random_duration(longest / MIN_BACKOFF_DIVISOR..=longest, rng);
         }
     }
 
--- a/crates/larklink-balancer/src/endpoint.rs
+++ b/crates/larklink-balancer/src/endpoint.rs
@@ -6,14 +6,15 @@
 use crate::action::HealthSummary;
 use crate::event::{EndpointEntry, EndpointState, ListScope};
 use crate::health_check::HealthCheckState;
-use crate::ids::{EndpointIndex, TickDuration, Timestamp};
+use crate::ids::EndpointIndex;
 use crate::load::{EndpointLoad, ReadyTotals};
 use crate::outlier::OutlierState;
 use crate::settings::Settings;
 use crate::slow_start::SlowStartQuota;
+use crate::time::{TickDuration, Timestamp};
 
 /// New sessions may be sent to a draining endpoint for the drain grace divided by this.
-const DRAIN_GRACE_DIVISOR: TickDuration = 2;
+const DRAIN_GRACE_DIVISOR: u64 = 2;
 
 /// One endpoint and all that is known of it.
 #[derive(Clone, Debug)]
@@ -38,7 +39,7 @@
             entry: EndpointEntry::default(),
             closing_notified_at: None,
             listed_draining: false,
-            joined_at: 0,
+            joined_at: Timestamp::ZERO,
             outlier: OutlierState::new(),
             health_check: HealthCheckState::new(),
             load: EndpointLoad::new(),
@@ -52,7 +53,7 @@
             self.load.record_restart();
         }
         if entry.state == EndpointState::Ready && !self.is_ready() {
-            self.joined_at = if scope == ListScope::Cached { 0 } else { now };
+            self.joined_at = if scope == ListScope::Cached { Timestamp::ZERO } else { now };
         }
         self.entry = entry;
         if self.is_ready() {
@@ -106,7 +107,7 @@
     /// The time since its last start, listed or seen by its recovery; `TickDuration::MAX` if neither is known.
     pub(crate) fn age(&self, now: Timestamp) -> TickDuration {
         let last_start = self.entry.started_at.max(self.outlier.recovered_at());
-        if last_start == 0 { TickDuration::MAX } else { now.saturating_sub(last_start) }
+        if last_start == Timestamp::ZERO { TickDuration::MAX } else { now.saturating_since(last_start) }
     }
 
     /// Whether it may hold a connection that was established through another proxy: one that joined or started
@@ -117,7 +118,7 @@
             Some(_) if self.is_closed(settings) => self.is_draining() && now <= self.accepts_until(settings),
             Some(notified_at) => now <= notified_at + settled_after,
             None => {
-                let joined_lately = self.joined_at != 0 && now < self.joined_at + settled_after;
+                let joined_lately = self.joined_at != Timestamp::ZERO && now < self.joined_at + settled_after;
                 self.is_ready() && !joined_lately && self.age(now) >= settled_after
             }
         }
@@ -154,10 +155,10 @@
 
     /// The endpoint of that index; one that no list has named yet counts as removed.
     pub(crate) fn get_or_insert(&mut self, index: EndpointIndex) -> &mut Endpoint {
-        if self.endpoints.len() <= index {
-            self.endpoints.resize_with(index + 1, Endpoint::unlisted);
+        if self.endpoints.len() <= index.0 {
+            self.endpoints.resize_with(index.0 + 1, Endpoint::unlisted);
         }
-        &mut self.endpoints[index]
+        &mut self.endpoints[index.0]
     }
 
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Endpoint> + Clone {
@@ -201,12 +202,12 @@
     type Output = Endpoint;
 
     fn index(&self, index: EndpointIndex) -> &Endpoint {
-        &self.endpoints[index]
+        &self.endpoints[index.0]
     }
 }
 
 impl IndexMut<EndpointIndex> for EndpointSet {
     fn index_mut(&mut self, index: EndpointIndex) -> &mut Endpoint {
-        &mut self.endpoints[index]
+        &mut self.endpoints[index.0]
     }
 }
--- a/crates/larklink-balancer/src/event.rs
+++ b/crates/larklink-balancer/src/event.rs
@@ -1,6 +1,7 @@
 //! What a proxy tells its balancer.
 
-use crate::ids::{EndpointIndex, TickDuration, Timestamp};
+use crate::ids::EndpointIndex;
+use crate::time::{TickDuration, Timestamp};
 
 /// The lifecycle state of an endpoint, as the endpoint list has it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/larklink-balancer/src/health_check.rs
+++ b/crates/larklink-balancer/src/health_check.rs
@@ -3,23 +3,24 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-use crate::ids::{TICKS_PER_SECOND, TickDuration, Timestamp};
 use crate::load::EndpointLoad;
 use crate::outlier::OutlierState;
+use crate::random::random_duration;
 use crate::session::Session;
 use crate::settings::Settings;
+use crate::time::{TickDuration, Timestamp};
 
 /// Connect timeouts between the checks of an endpoint with one session. More sessions make checks more
 /// frequent: with the root of their number, or with their load where checks report load.
-const INTERVAL_OF_ONE_SESSION: TickDuration = 64;
+const INTERVAL_OF_ONE_SESSION: u64 = 64;
 /// Connect timeouts between the checks of an endpoint that has failed, and between load reports at least.
-const MIN_INTERVAL: TickDuration = 2;
+const MIN_INTERVAL: u64 = 2;
 /// The interval of a failing endpoint doubles with each failure after its ejection, up to this factor.
-const MAX_BACKOFF_FACTOR: TickDuration = 8;
+const MAX_BACKOFF_FACTOR: u64 = 8;
 /// A result is fresh for this long: 1 s.
-const RESULT_VALIDITY: TickDuration = TICKS_PER_SECOND;
+const RESULT_VALIDITY: TickDuration = TickDuration::from_secs(1);
 /// Connect timeouts that a client must still wait, or its session does not wait for a check.
-const MIN_PATIENCE: TickDuration = 2;
+const MIN_PATIENCE: u64 = 2;
 
 /// The health checks of one endpoint.
 #[derive(Clone, Debug)]
@@ -62,18 +63,18 @@
         load: &EndpointLoad,
         rng: &mut ChaCha8Rng,
     ) -> Timestamp {
-        let last_sent_at = self.last_sent_at.unwrap_or(0);
+        let last_sent_at = self.last_sent_at.unwrap_or(Timestamp::ZERO);
         let min_interval = settings.connect_timeout * MIN_INTERVAL;
         if outlier.has_failed() {
             let doubled = 1 << outlier.failures_beyond_ejection().min(u64::BITS / 2);
             let longest = min_interval * MAX_BACKOFF_FACTOR.min(doubled);
-            return outlier.last_alive_at().max(last_sent_at) + rng.random_range(longest / 2..=longest);
+            return outlier.last_alive_at().max(last_sent_at) + random_duration(longest / 2..=longest, rng);
         }
         let longest = settings.connect_timeout * INTERVAL_OF_ONE_SESSION;
         let sessions = u64::from(load.sessions().max(1));
         if settings.load_reports {
-            let by_load = (longest as f64 / load.total().max(sessions as f64)) as TickDuration;
-            let known_for = last_sent_at.saturating_sub(load.occupied_since());
+            let by_load = TickDuration::from_f64(longest.as_f64() / load.total().max(sessions as f64));
+            let known_for = last_sent_at.saturating_since(load.occupied_since());
             last_sent_at + by_load.min(min_interval + known_for).max(min_interval)
         } else {
             outlier.last_alive_at().max(last_sent_at) + longest / sessions.isqrt()
--- a/crates/larklink-balancer/src/lib.rs
+++ b/crates/larklink-balancer/src/lib.rs
@@ -90,11 +90,13 @@
 mod session;
 mod settings;
 mod slow_start;
+mod time;
 
 pub use action::{Action, Decision, HealthSummary, LogEvent};
 pub use balancer::Balancer;
 pub use event::{AttemptOutcome, EndpointEntry, EndpointState, ListScope, Observation, SessionRequest};
-pub use ids::{EndpointIndex, SessionHandle, TickDuration, Timestamp};
+pub use ids::{EndpointIndex, SessionHandle};
 pub use settings::{
     AvailabilityNines, DeduplicationGroup, Idempotency, Listener, RetryBudgetSettings, Settings,
 };
+pub use time::{TickDuration, Timestamp};
--- a/crates/larklink-balancer/src/load.rs
+++ b/crates/larklink-balancer/src/load.rs
@@ -2,7 +2,7 @@
 //!
 //! Load is counted in mean session loads: a session of average load counts 1.
 
-use crate::ids::{TICKS_PER_SECOND, TickDuration, Timestamp};
+use crate::time::{TickDuration, Timestamp};
 
 /// Load reports over which the mean load of a session is taken.
 const MEAN_LOAD_REPORTS: f64 = 256.0;
@@ -15,11 +15,11 @@
 /// An overloaded endpoint is relieved of its load above this fraction of its capacity.
 const TARGET_UTILIZATION: f64 = 0.75;
 /// How long an observation of overload holds: 1.5 s, as latency is observed each second while it is high.
-const OVERLOAD_VALIDITY: TickDuration = 3 * TICKS_PER_SECOND / 2;
+const OVERLOAD_VALIDITY: TickDuration = TickDuration::from_millis(1_500);
 /// Fraction of an overloaded endpoint's load that is too much, for each doubling of the latency.
 pub(crate) const EXCESS_PER_LATENCY_DOUBLING: f64 = 0.08;
 /// Sessions are migrated off an overloaded endpoint once in this time: 1 s.
-const RELIEF_INTERVAL: TickDuration = TICKS_PER_SECOND;
+const RELIEF_INTERVAL: TickDuration = TickDuration::from_secs(1);
 /// A load limit is never lower than this: mean session loads.
 const MIN_LOAD_LIMIT: f64 = 0.25;
 /// A load limit grows by this fraction each second.
@@ -57,15 +57,15 @@
         Self {
             sessions: 0,
             total: 0.0,
-            occupied_since: 0,
+            occupied_since: Timestamp::ZERO,
             limit: f64::INFINITY,
-            overload: Overload { until: 0, excess: 0.0, last_relieved_at: 0 },
+            overload: Overload { until: Timestamp::ZERO, excess: 0.0, last_relieved_at: Timestamp::ZERO },
         }
     }
 
     /// Its process has started anew: what was learned of the old one is void.
     pub(crate) fn record_restart(&mut self) {
-        self.overload.until = 0;
+        self.overload.until = Timestamp::ZERO;
         self.limit = f64::INFINITY;
     }
 
@@ -96,11 +96,11 @@
         tolerated: TickDuration,
     ) {
         if latency > tolerated {
-            let doublings = (latency as f64 / tolerated as f64).log2().max(1.0);
+            let doublings = (latency.as_f64() / tolerated.as_f64()).log2().max(1.0);
             self.overload.until = now + OVERLOAD_VALIDITY;
             self.overload.excess = EXCESS_PER_LATENCY_DOUBLING * doublings;
         } else {
-            self.overload.until = 0;
+            self.overload.until = Timestamp::ZERO;
             self.overload.excess = 0.0;
         }
     }
@@ -136,7 +136,7 @@
 
     /// Raises the load limit for `elapsed`.
     pub(crate) fn grow_limit(&mut self, elapsed: TickDuration) {
-        self.limit *= 1.0 + LIMIT_GROWTH_PER_SECOND * elapsed as f64 / TICKS_PER_SECOND as f64;
+        self.limit *= 1.0 + LIMIT_GROWTH_PER_SECOND * elapsed.as_f64() / TickDuration::from_secs(1).as_f64();
     }
 
     /// Whether a session of this load would exceed the load limit.
--- a/crates/larklink-balancer/src/migration.rs
+++ b/crates/larklink-balancer/src/migration.rs
@@ -4,17 +4,18 @@
 
 use crate::bucket_table::rendezvous_score;
 use crate::endpoint::{Endpoint, EndpointSet};
-use crate::ids::{EndpointIndex, SessionHandle, TICKS_PER_SECOND, TickDuration, Timestamp};
+use crate::ids::{EndpointIndex, SessionHandle};
 use crate::load::EXCESS_PER_LATENCY_DOUBLING;
 use crate::random::round_randomly;
 use crate::session::{Session, SessionTable};
 use crate::settings::Settings;
+use crate::time::{TickDuration, Timestamp};
 
 /// Fraction of the sessions on an ejected or removed endpoint that is migrated each connect timeout.
 const EJECTED_FRACTION: f64 = 0.5;
 /// A draining endpoint's sessions leave evenly over this many drain graces: it serves until it stops, and all
 /// at once would overload the session store.
-const DRAIN_SPREAD: TickDuration = 5;
+const DRAIN_SPREAD: u64 = 5;
 /// Fraction of the migration budget that one migration spends.
 const MIGRATION_COST: f64 = 0.1;
 /// Fraction of the spent migration budget that returns each second.
@@ -27,7 +28,7 @@
 /// Where no endpoint has capacity left, sessions are migrated only if the excess is larger than this.
 const MIN_EXCESS_WITHOUT_ALTERNATIVE: f64 = EXCESS_PER_LATENCY_DOUBLING * 3.0;
 /// A session is new for this long: 2 s.
-const NEW_SESSION_AGE: TickDuration = 2 * TICKS_PER_SECOND;
+const NEW_SESSION_AGE: TickDuration = TickDuration::from_secs(2);
 
 /// What further migrations for overload promise, from 0 to 1: each spends a part, and it returns with time, so
 /// that an overload of all endpoints does not keep sessions moving.
@@ -49,7 +50,8 @@
     /// Returns a part of what was spent, for `elapsed`.
     pub(crate) fn replenish(&mut self, elapsed: TickDuration) {
         let spent = 1.0 - self.remaining;
-        self.remaining += spent * BUDGET_RETURN_PER_SECOND * elapsed as f64 / TICKS_PER_SECOND as f64;
+        self.remaining +=
+            spent * BUDGET_RETURN_PER_SECOND * elapsed.as_f64() / TickDuration::from_secs(1).as_f64();
     }
 
     fn spend(&mut self) {
@@ -68,7 +70,7 @@
     let fraction = match endpoint.closing_notified_at() {
         Some(notified_at) if endpoint.is_draining() && !endpoint.outlier.is_ejected() => {
             let empty_at = notified_at + settings.drain_grace * DRAIN_SPREAD;
-            interval as f64 / empty_at.saturating_sub(now).max(interval) as f64
+            interval.as_f64() / empty_at.saturating_since(now).max(interval).as_f64()
         }
         _ => EJECTED_FRACTION,
     };
--- a/crates/larklink-balancer/src/outlier.rs
+++ b/crates/larklink-balancer/src/outlier.rs
@@ -5,7 +5,7 @@
 use rand_distr::{Beta, Distribution};
 
 use crate::event::AttemptOutcome;
-use crate::ids::{TICKS_PER_SECOND, TickDuration, Timestamp};
+use crate::time::{TickDuration, Timestamp};
 
 /// Consecutive failures, with no sign of life between, that eject an endpoint.
 const EJECTION_FAILURES: u32 = 2;
@@ -60,9 +60,9 @@
             beta: PRIOR,
             consecutive_failures: 0,
             connection_failed: false,
-            recovered_at: 0,
-            handshake_timed_out_at: 0,
-            last_alive_at: 0,
+            recovered_at: Timestamp::ZERO,
+            handshake_timed_out_at: Timestamp::ZERO,
+            last_alive_at: Timestamp::ZERO,
         }
     }
 
@@ -131,7 +131,7 @@
 
     /// Forgets failures over `elapsed`.
     pub(crate) fn decay(&mut self, elapsed: TickDuration) {
-        self.drop_failures(FAILURE_DECAY_PER_SECOND * elapsed as f64 / TICKS_PER_SECOND as f64);
+        self.drop_failures(FAILURE_DECAY_PER_SECOND * elapsed.as_f64() / TickDuration::from_secs(1).as_f64());
     }
 
     /// Whether it has failed too often in a row to be used.
--- a/crates/larklink-balancer/src/placement.rs
+++ b/crates/larklink-balancer/src/placement.rs
@@ -5,13 +5,14 @@
 
 use crate::bucket_table::{self, BucketPopulation, BucketTable};
 use crate::endpoint::EndpointSet;
-use crate::ids::{EndpointIndex, Timestamp};
+use crate::ids::EndpointIndex;
 use crate::load::{ReadyTotals, ReportedCapacity};
 use crate::migration::MigrationBudget;
 use crate::retry_policy;
 use crate::session::Session;
 use crate::settings::Settings;
 use crate::slow_start::SlowStartRequest;
+use crate::time::Timestamp;
 
 /// Endpoints at capacity that a session passes before the walk ends: each endpoint that has any session of a
 /// group pays for it, so a crowd must not scatter its groups.
--- a/crates/larklink-balancer/src/retry_budget.rs
+++ b/crates/larklink-balancer/src/retry_budget.rs
@@ -2,14 +2,14 @@
 
 use std::collections::VecDeque;
 
-use crate::ids::{TickDuration, Timestamp};
 use crate::settings::{RetryBudgetSettings, Settings};
+use crate::time::{TickDuration, Timestamp};
 
 /// How much of the spacing between two retries the most valuable retry is spared.
 const MAX_SPACING_DISCOUNT: f64 = 0.5;
 /// The caller's times may be off by this much: a retry that may still lie in the window counts, a session that
 /// may have left it does not.
-const TIME_INACCURACY: TickDuration = 1;
+const TIME_INACCURACY: TickDuration = TickDuration::from_ticks(1);
 
 /// Counts sessions and retries in a sliding window; without a configured budget, everything is allowed.
 #[derive(Debug)]
@@ -29,7 +29,7 @@
             settings: settings.retry_budget,
             sessions_received_at: VecDeque::new(),
             retries_sent_at: VecDeque::new(),
-            predecessor_spends_until: 0,
+            predecessor_spends_until: Timestamp::ZERO,
         }
     }
 
@@ -60,9 +60,9 @@
         self.drop_expired(now, settings.window);
         let min_retries = if now < self.predecessor_spends_until { 0.0 } else { settings.min_retries };
         let allowed = min_retries + settings.retry_ratio * self.sessions_received_at.len() as f64;
-        let spacing = settings.window as f64 / allowed * (1.0 - value * MAX_SPACING_DISCOUNT);
+        let spacing = settings.window.as_f64() / allowed * (1.0 - value * MAX_SPACING_DISCOUNT);
         let within_budget = self.retries_sent_at.len() as f64 + 1.0 <= allowed;
-        let spaced = self.retries_sent_at.back().is_none_or(|&last| (now - last) as f64 >= spacing);
+        let spaced = self.retries_sent_at.back().is_none_or(|&last| (now - last).as_f64() >= spacing);
         let acquired = within_budget && spaced;
         if acquired {
             self.retries_sent_at.push_back(now);
@@ -78,10 +78,10 @@
     }
 
     fn drop_expired(&mut self, now: Timestamp, window: TickDuration) {
-        while self.sessions_received_at.front().is_some_and(|at| at + window <= now + TIME_INACCURACY) {
+        while self.sessions_received_at.front().is_some_and(|&at| at + window <= now + TIME_INACCURACY) {
             self.sessions_received_at.pop_front();
         }
-        while self.retries_sent_at.front().is_some_and(|at| at + window + TIME_INACCURACY < now) {
+        while self.retries_sent_at.front().is_some_and(|&at| at + window + TIME_INACCURACY < now) {
             self.retries_sent_at.pop_front();
         }
     }
--- a/crates/larklink-balancer/src/retry_policy.rs
+++ b/crates/larklink-balancer/src/retry_policy.rs
@@ -5,12 +5,13 @@
 
 use crate::action::Decision;
 use crate::endpoint::{Endpoint, EndpointSet};
-use crate::ids::{EndpointIndex, TickDuration, Timestamp};
+use crate::ids::EndpointIndex;
 use crate::session::Session;
 use crate::settings::{DeduplicationGroup, Idempotency, Listener, Settings};
+use crate::time::{TickDuration, Timestamp};
 
 /// A retry needs the connect timeout divided by this, or more, before its client gives up.
-const MIN_RETRY_TIME_DIVISOR: TickDuration = 4;
+const MIN_RETRY_TIME_DIVISOR: u64 = 4;
 /// The shortest Retry-After, as a fraction of the longest one.
 const MIN_RETRY_AFTER: f64 = 0.25;
 /// The same while less than one attempt may be in flight: a client that retries sooner is rejected again.
@@ -25,7 +26,7 @@
     let time_left = session.time_left(now);
     let is_first = session.attempts() == 0;
     let enough_time = is_first || time_left > settings.connect_timeout / MIN_RETRY_TIME_DIVISOR;
-    time_left > 0 && enough_time && session.attempts() < settings.max_attempts
+    time_left > TickDuration::ZERO && enough_time && session.attempts() < settings.max_attempts
 }
 
 /// Whether the session may run on an endpoint: once it may have run, only endpoints that drop its repeats, for
@@ -103,8 +104,8 @@
 ) -> f64 {
     let weights = settings.listeners.iter().map(|listener| listener.priority_weight);
     let highest = weights.fold(f64::MIN_POSITIVE, f64::max);
-    let dial_timeout = session.request().dial_timeout.max(1) as f64;
-    let time_left = session.time_left(now) as f64 / dial_timeout;
+    let dial_timeout = (session.request().dial_timeout.max(TickDuration::from_ticks(1))).as_f64();
+    let time_left = session.time_left(now).as_f64() / dial_timeout;
     let priority = listener_of(session, settings).priority_weight / highest;
     endpoint.outlier.weigh_by_success(priority * time_left)
 }
@@ -123,8 +124,10 @@
     }
     let shortest = if attempts_limited { MIN_RETRY_AFTER_WHEN_LIMITED } else { MIN_RETRY_AFTER };
     let fraction = rng.random_range(shortest..1.0);
-    let retry_after = (settings.max_retry_after as f64 * fraction) as TickDuration;
-    Decision::Reject { retry_after: if settings.retry_after_allowed { retry_after } else { 0 } }
+    let retry_after = TickDuration::from_f64(settings.max_retry_after.as_f64() * fraction);
+    Decision::Reject {
+        retry_after: if settings.retry_after_allowed { retry_after } else { TickDuration::ZERO },
+    }
 }
 
 /// Whether a retry by the client, up to the longest Retry-After from now and at any endpoint, has no second
--- a/crates/larklink-balancer/src/session.rs
+++ b/crates/larklink-balancer/src/session.rs
@@ -5,8 +5,9 @@
 use slab::Slab;
 
 use crate::event::{AttemptOutcome, SessionRequest};
-use crate::ids::{EndpointIndex, SessionHandle, TickDuration, Timestamp};
+use crate::ids::{EndpointIndex, SessionHandle};
 use crate::slow_start::SlowStartTurn;
+use crate::time::{TickDuration, Timestamp};
 
 /// Health checks that one session may wait for.
 const MAX_HEALTH_CHECKS: u32 = 3;
@@ -62,7 +63,7 @@
             bucket,
             deadline: now + request.dial_timeout,
             state: SessionState::Queued,
-            endpoint: 0,
+            endpoint: EndpointIndex(0),
             started_at: now,
             attempts: 0,
             health_checks: 0,
@@ -141,7 +142,7 @@
 
     /// How long its client still waits.
     pub(crate) fn time_left(&self, now: Timestamp) -> TickDuration {
-        self.deadline.saturating_sub(now)
+        self.deadline.saturating_since(now)
     }
 
     pub(crate) fn state(&self) -> SessionState {
@@ -205,20 +206,24 @@
 
 impl SessionTable {
     pub(crate) fn insert(&mut self, session: Session) -> SessionHandle {
-        self.sessions.insert(session)
+        SessionHandle(self.sessions.insert(session))
     }
 
     pub(crate) fn get_mut(&mut self, handle: SessionHandle) -> Option<&mut Session> {
-        self.sessions.get_mut(handle)
+        self.sessions.get_mut(handle.0)
     }
 
     pub(crate) fn remove(&mut self, handle: SessionHandle) -> Option<Session> {
-        self.sessions.try_remove(handle)
+        self.sessions.try_remove(handle.0)
+    }
+
+    fn iter(&self) -> impl Iterator<Item = (SessionHandle, &Session)> {
+        self.sessions.iter().map(|(number, session)| (SessionHandle(number), session))
     }
 
     /// The sessions that have an attempt in flight.
     pub(crate) fn connecting(&self) -> impl Iterator<Item = (SessionHandle, &Session)> {
-        self.sessions.iter().filter(|(_, session)| session.state == SessionState::Connecting)
+        self.iter().filter(|(_, session)| session.state == SessionState::Connecting)
     }
 
     /// The sessions that are established on an endpoint.
@@ -226,7 +231,7 @@
         &self,
         endpoint: EndpointIndex,
     ) -> impl Iterator<Item = (SessionHandle, &Session)> {
-        self.sessions.iter().filter(move |(_, session)| {
+        self.iter().filter(move |(_, session)| {
             session.state == SessionState::Established && session.endpoint == endpoint
         })
     }
@@ -237,12 +242,12 @@
     type Output = Session;
 
     fn index(&self, handle: SessionHandle) -> &Session {
-        &self.sessions[handle]
+        &self.sessions[handle.0]
     }
 }
 
 impl IndexMut<SessionHandle> for SessionTable {
     fn index_mut(&mut self, handle: SessionHandle) -> &mut Session {
-        &mut self.sessions[handle]
+        &mut self.sessions[handle.0]
     }
 }
--- a/crates/larklink-balancer/src/settings.rs
+++ b/crates/larklink-balancer/src/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of a balancer: plain values, fixed for its lifetime.
 
-use crate::ids::TickDuration;
+use crate::time::TickDuration;
 
 /// Whether a session of a listener may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/larklink-balancer/src/slow_start.rs
+++ b/crates/larklink-balancer/src/slow_start.rs
@@ -7,9 +7,9 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-use crate::ids::{TickDuration, Timestamp};
 use crate::load::ReadyTotals;
 use crate::settings::Settings;
+use crate::time::{TickDuration, Timestamp};
 
 /// Among this many proxies, each meets sessions for a warming endpoint often enough to earn quota by them alone.
 const PROXIES_WITH_FREQUENT_SESSIONS: f64 = 20.0;
@@ -47,7 +47,7 @@
         overload_window: TickDuration,
         rng: &mut ChaCha8Rng,
     ) -> SlowStartTurn {
-        let since_previous_session = (now - self.last_at).min(overload_window) as f64;
+        let since_previous_session = ((now - self.last_at).min(overload_window)).as_f64();
         self.last_at = now;
         SlowStartTurn { since_previous_session, draw: rng.random() }
     }
@@ -84,15 +84,19 @@
 impl<'a> Ramp<'a> {
     fn new(settings: &'a Settings) -> Self {
         let proxy_count = f64::from(settings.proxy_count.max(1));
-        Self { settings, proxy_count, window: settings.overload_window.max(1) as f64 }
+        Self {
+            settings,
+            proxy_count,
+            window: (settings.overload_window.max(TickDuration::from_ticks(1))).as_f64(),
+        }
     }
 
     /// The load that an endpoint may have from this proxy at its age, in mean session loads. What a warm one
     /// bears is taken from reports, else from what warm ones have of this proxy's sessions.
     fn present_capacity(&self, request: &SlowStartRequest) -> f64 {
         let initial = self.settings.initial_capacity;
-        let age = request.endpoint_age as f64;
-        let fraction = initial + (1.0 - initial) * age / self.settings.slow_start_duration as f64;
+        let age = request.endpoint_age.as_f64();
+        let fraction = initial + (1.0 - initial) * age / self.settings.slow_start_duration.as_f64();
         let held_per_weight = request.ready.load / request.ready.weight;
         fraction * request.endpoint_weight * request.reported_capacity.unwrap_or(held_per_weight)
     }
@@ -103,7 +107,7 @@
     /// A few proxies send in turn; of hundreds each draws, so their standard deviation over n is kept free.
     fn rate(&self, present_capacity: f64) -> f64 {
         let multiple = self.settings.overload_multiple;
-        let duration = self.settings.slow_start_duration as f64;
+        let duration = self.settings.slow_start_duration.as_f64();
         let sessions = multiple * present_capacity * self.proxy_count / duration * self.window;
         let drawn = (1.0 - sessions.min(PROXIES_IN_TURN) / self.proxy_count).max(0.0);
         sessions / (1.0 + (drawn / sessions).sqrt()) / self.window / self.proxy_count
@@ -126,7 +130,7 @@
 
 impl SlowStartQuota {
     pub(crate) fn new() -> Self {
-        Self { last_asked_at: 0, earned: 0.0 }
+        Self { last_asked_at: Timestamp::ZERO, earned: 0.0 }
     }
 
     /// Whether an endpoint in slow start admits the session now.
@@ -145,8 +149,8 @@
         // A session walks on to this endpoint where those before it are at capacity: it counts as often.
         let share = (request.endpoint_weight / request.ready.weight).max(request.group_share)
             * (request.endpoints_passed + 1) as f64;
-        let since_asked = now.saturating_sub(self.last_asked_at) as f64;
-        let recent = since_asked.min(request.endpoint_age as f64).min(ramp.window);
+        let since_asked = now.saturating_since(self.last_asked_at).as_f64();
+        let recent = since_asked.min(request.endpoint_age.as_f64()).min(ramp.window);
         if since_asked < ramp.window {
             return self.earned + rate * recent;
         }
