--- a/crates/larklink-balancer/src/discovery_schedule.rs
+++ b/crates/larklink-balancer/src/discovery_schedule.rs
@@ -1,6 +1,5 @@
 //! When the endpoint list is polled again.
 
-use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
 use crate::event::ListScope;
--- a/crates/larklink-balancer/src/health_check.rs
+++ b/crates/larklink-balancer/src/health_check.rs
@@ -1,6 +1,5 @@
 //! When an endpoint is checked, and when a session waits for the result.
 
-use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
 use crate::load::EndpointLoad;
--- a/crates/larklink-balancer/src/lib.rs
+++ b/crates/larklink-balancer/src/lib.rs
@@ -28,10 +28,11 @@
 //! ```
 //! use larklink_balancer::{
 //!     AttemptOutcome, Balancer, Decision, EndpointEntry, EndpointState, Idempotency, ListScope, Listener,
-//!     SessionRequest, Settings,
+//!     EndpointIndex, SessionRequest, Settings, TickDuration, Timestamp,
 //! };
 //!
-//! const SECOND: u64 = 10_000;
+//! const SECOND: TickDuration = TickDuration::from_secs(1);
+//! let start = Timestamp::ZERO;
 //! let settings = Settings {
 //!     listeners: vec![Listener {
 //!         idempotency: Idempotency::Idempotent,
@@ -42,26 +43,26 @@
 //!     max_attempts: 2,
 //!     ..Settings::default()
 //! };
-//! let mut balancer = Balancer::new(settings, 42, 0);
+//! let mut balancer = Balancer::new(settings, 42, start);
 //! let entries = [0, 1].map(|endpoint| EndpointEntry {
-//!     endpoint,
+//!     endpoint: EndpointIndex(endpoint),
 //!     id: 100 + endpoint as u32,
 //!     state: EndpointState::Ready,
 //!     weight: 1.0,
 //!     ..EndpointEntry::default()
 //! });
-//! balancer.update_endpoints(0, ListScope::Cached, &entries);
+//! balancer.update_endpoints(start, ListScope::Cached, &entries);
 //!
 //! let request = SessionRequest { client_key: 7, dial_timeout: 2 * SECOND, ..SessionRequest::default() };
-//! let (handle, decision) = balancer.place(0, request);
+//! let (handle, decision) = balancer.place(start, request);
 //! let Decision::Connect { endpoint: first, .. } = decision else { panic!("{decision:?}") };
 //!
 //! // The connection is refused: the session is retried on the other endpoint.
-//! let decision = balancer.attempt_ended(10, handle, AttemptOutcome::ConnectFailed, false);
+//! let decision = balancer.attempt_ended(start + SECOND / 1_000, handle, AttemptOutcome::ConnectFailed, false);
 //! let Some(Decision::Connect { endpoint: second, .. }) = decision else { panic!("{decision:?}") };
 //! assert_ne!(first, second);
-//! balancer.established(20, handle);
-//! assert!(balancer.poll(20).is_empty());
+//! balancer.established(start + SECOND / 500, handle);
+//! assert!(balancer.poll(start + SECOND / 500).is_empty());
 //! ```
 //!
 //! # Modules
--- a/crates/larklink-balancer/src/time.rs
+++ b/crates/larklink-balancer/src/time.rs
@@ -1,6 +1,6 @@
 //! Times in ticks of a tenth of a millisecond.
 
-use std::ops::{Add, Div, Mul, Sub};
+use std::ops::{Add, AddAssign, Div, Mul, Sub};
 
 /// A point in time, in ticks since an origin that the caller chooses. The zero timestamp stands for "long ago".
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -77,6 +77,12 @@
     }
 }
 
+impl AddAssign<TickDuration> for Timestamp {
+    fn add_assign(&mut self, duration: TickDuration) {
+        *self = *self + duration;
+    }
+}
+
 impl Sub<TickDuration> for Timestamp {
     type Output = Self;
 
--- a/crates/larklink-balancer/tests/decision_trace.rs
+++ b/crates/larklink-balancer/tests/decision_trace.rs
@@ -9,7 +9,15 @@
 use rand_chacha::ChaCha8Rng;
 use xxhash_rust::xxh3::Xxh3;
 
-const SECOND: TickDuration = 10_000;
+fn at(since_start: TickDuration) -> Timestamp {
+    Timestamp::ZERO + since_start
+}
+
+fn ticks(count: u64) -> TickDuration {
+    TickDuration::from_ticks(count)
+}
+
+const SECOND: TickDuration = TickDuration::from_secs(1);
 const EVENTS: usize = 6_000;
 const SERVERS: usize = 14;
 
@@ -92,15 +100,23 @@
         health_checks: !bit(4),
         load_reports: !bit(4) && bit(1),
         local_zone: bit(5).then_some(1),
-        max_dial_timeout: if variant == 13 { Timestamp::MAX } else { 2 * SECOND },
-        message_objective: 500,
+        max_dial_timeout: if variant == 13 { TickDuration::MAX } else { 2 * SECOND },
+        message_objective: ticks(500),
     }
 }
 
-fn entry(server: EndpointIndex, state: EndpointState, started_at: TickDuration) -> EndpointEntry {
+fn entry(server: usize, state: EndpointState, started_at: Timestamp) -> EndpointEntry {
     let weight = [1.0, 2.0, 0.5][server % 3];
     let (zone, cell) = (server as u16 % 2, server as u16 % 3);
-    EndpointEntry { endpoint: server, id: 77 + 1000 * server as u32, zone, cell, state, weight, started_at }
+    EndpointEntry {
+        endpoint: EndpointIndex(server),
+        id: 77 + 1000 * server as u32,
+        zone,
+        cell,
+        state,
+        weight,
+        started_at,
+    }
 }
 
 impl Trace {
@@ -109,17 +125,17 @@
         if stress == Stress::SlowStart {
             settings.proxy_count = [6, 40, 300][(variant % 3) as usize];
             settings.retry_budget = Some(if variant.is_multiple_of(2) {
-                RetryBudgetSettings { min_retries: 1.0, retry_ratio: 0.02, window: 2_000 }
+                RetryBudgetSettings { min_retries: 1.0, retry_ratio: 0.02, window: ticks(2_000) }
             } else {
                 RetryBudgetSettings { min_retries: 2.0, retry_ratio: 0.1, window: 2 * SECOND }
             });
         }
         let mut trace = Self {
             rng: ChaCha8Rng::seed_from_u64(1_000 + variant),
-            balancer: Balancer::new(settings.clone(), variant, 0),
+            balancer: Balancer::new(settings.clone(), variant, Timestamp::ZERO),
             settings,
             stress,
-            now: 0,
+            now: Timestamp::ZERO,
             open: Vec::new(),
             health: vec![Health::Good; SERVERS],
             hash: Xxh3::with_seed(0),
@@ -142,29 +158,35 @@
     }
 
     fn list(&mut self, scope: ListScope, servers: usize) {
-        let entries: Vec<_> = (0..servers).map(|s| entry(s, EndpointState::Ready, 0)).collect();
+        let entries: Vec<_> =
+            (0..servers).map(|s| entry(s, EndpointState::Ready, at(TickDuration::ZERO))).collect();
         self.balancer.update_endpoints(self.now, scope, &entries);
     }
 
     fn decided(&mut self, handle: SessionHandle, decision: Decision) {
         match decision {
             Decision::Connect { endpoint: server, timeout: limit, send_deadline: by } => {
-                self.output(0, &[handle as u64, server as u64, limit, by]);
+                self.output(0, &[handle.number() as u64, server.0 as u64, limit.as_ticks(), by.as_ticks()]);
                 match self.open.iter_mut().find(|o| o.handle == handle) {
                     Some(open) => (open.server, open.dialling) = (server, true),
                     None => self.open.push(Open { handle, server, dialling: true, established: false }),
                 }
             }
             Decision::Wait => {
-                self.output(1, &[handle as u64]);
-                self.open.push(Open { handle, server: 0, dialling: false, established: false });
+                self.output(1, &[handle.number() as u64]);
+                self.open.push(Open {
+                    handle,
+                    server: EndpointIndex(0),
+                    dialling: false,
+                    established: false,
+                });
             }
             Decision::Reject { retry_after } => {
-                self.output(2, &[handle as u64, retry_after]);
+                self.output(2, &[handle.number() as u64, retry_after.as_ticks()]);
                 self.open.retain(|o| o.handle != handle);
             }
             Decision::Fail => {
-                self.output(3, &[handle as u64]);
+                self.output(3, &[handle.number() as u64]);
                 self.open.retain(|o| o.handle != handle);
             }
         }
@@ -173,14 +195,16 @@
     fn poll(&mut self) {
         for action in self.balancer.poll(self.now) {
             match action {
-                Action::CheckHealth(server) => self.output(4, &[server as u64]),
+                Action::CheckHealth(server) => self.output(4, &[server.0 as u64]),
                 Action::Decided(handle, decision) => {
-                    self.output(5, &[handle as u64]);
+                    self.output(5, &[handle.number() as u64]);
                     self.decided(handle, decision);
                 }
-                Action::LimitSendDeadline(handle, by) => self.output(6, &[handle as u64, by]),
+                Action::LimitSendDeadline(handle, by) => {
+                    self.output(6, &[handle.number() as u64, by.as_ticks()])
+                }
                 Action::Migrate(handle) => {
-                    self.output(7, &[handle as u64]);
+                    self.output(7, &[handle.number() as u64]);
                     self.balancer.client_left(handle);
                     self.open.retain(|o| o.handle != handle);
                 }
@@ -189,7 +213,7 @@
             }
         }
         let HealthSummary { listed: known, avoided: skipped } = self.balancer.health_summary();
-        self.fold(&[self.balancer.next_wakeup(), known as u64, skipped as u64]);
+        self.fold(&[self.balancer.next_wakeup().as_ticks(), known as u64, skipped as u64]);
     }
 
     fn session(&mut self) -> SessionRequest {
@@ -216,7 +240,7 @@
             2..4 => self.rng.random_range(2..200u64),
             _ => 0,
         };
-        let dial_timeout = [3_000, 5_000, SECOND, 2 * SECOND][self.rng.random_range(0..4)];
+        let dial_timeout = [ticks(3_000), ticks(5_000), SECOND, 2 * SECOND][self.rng.random_range(0..4)];
         let (listener, reconnecting) = (self.rng.random_range(0..5), self.rng.random_bool(0.2));
         SessionRequest {
             listener,
@@ -241,7 +265,7 @@
         match self.balancer.attempt_ended(self.now, handle, how, over) {
             Some(decision) => self.decided(handle, decision),
             None => {
-                self.output(10, &[handle as u64]);
+                self.output(10, &[handle.number() as u64]);
                 self.open.retain(|o| o.handle != handle);
             }
         }
@@ -258,7 +282,7 @@
         ];
         let odd = odd[self.rng.random_range(0..4)];
         let strange = self.rng.random_bool(0.04);
-        let how = match self.health[self.open[at].server] {
+        let how = match self.health[self.open[at].server.0] {
             _ if strange => odd,
             Health::Good | Health::Slow => {
                 self.open[at].established = true;
@@ -274,23 +298,25 @@
 
     fn established_ends(&mut self) {
         let Some(at) = self.pick(|o| o.established) else { return };
-        let broken = self.health[self.open[at].server] == Health::Dead || self.rng.random_bool(0.05);
+        let broken = self.health[self.open[at].server.0] == Health::Dead || self.rng.random_bool(0.05);
         let over = !broken || self.rng.random_bool(0.5);
         self.settle(at, if broken { AttemptOutcome::Reset } else { AttemptOutcome::Succeeded }, over);
     }
 
     fn observe(&mut self) {
         let Some(at) = self.pick(|o| o.established) else { return };
-        let health = self.health[self.open[at].server];
+        let health = self.health[self.open[at].server.0];
         let note = match self.rng.random_range(0..10) {
             0..5 => {
                 Observation::Load(self.rng.random_range(0.0..900.0) * if at % 7 == 0 { 8.0 } else { 1.0 })
             }
-            5..9 if health == Health::Slow => Observation::MessageLatency(self.rng.random_range(200..3_000)),
-            5..9 => Observation::MessageLatency(self.rng.random_range(0..300)),
+            5..9 if health == Health::Slow => {
+                Observation::MessageLatency(ticks(self.rng.random_range(200..3_000)))
+            }
+            5..9 => Observation::MessageLatency(ticks(self.rng.random_range(0..300))),
             _ if health == Health::Hung => Observation::Unresponsive,
             _ if health == Health::Slow => Observation::MessageLatency(3 * SECOND),
-            _ => Observation::MessageLatency(self.rng.random_range(0..1_000)),
+            _ => Observation::MessageLatency(ticks(self.rng.random_range(0..1_000))),
         };
         self.balancer.observe(self.now, self.open[at].handle, note);
     }
@@ -298,16 +324,16 @@
     fn health_check_ends(&mut self) {
         let server = self.rng.random_range(0..SERVERS);
         let (how, took) = match self.health[server] {
-            Health::Good => (AttemptOutcome::Succeeded, self.rng.random_range(0..200)),
-            Health::Slow => (AttemptOutcome::Succeeded, self.rng.random_range(0..900)),
+            Health::Good => (AttemptOutcome::Succeeded, ticks(self.rng.random_range(0..200))),
+            Health::Slow => (AttemptOutcome::Succeeded, ticks(self.rng.random_range(0..900))),
             Health::Hung => (AttemptOutcome::TimedOut, SECOND / 5),
-            Health::Full => (AttemptOutcome::AtCapacity, 10),
-            Health::Erring => (AttemptOutcome::Failed, 10),
-            Health::Dead => (AttemptOutcome::ConnectFailed, 10),
+            Health::Full => (AttemptOutcome::AtCapacity, ticks(10)),
+            Health::Erring => (AttemptOutcome::Failed, ticks(10)),
+            Health::Dead => (AttemptOutcome::ConnectFailed, ticks(10)),
         };
         let most = if self.health[server] == Health::Slow { 2.0 } else { 0.7 };
         let (load, holds) = (self.rng.random_range(0.01..most), self.rng.random_range(0.0..90.0f64).floor());
-        self.balancer.health_checked(self.now, server, how, took, load, holds);
+        self.balancer.health_checked(self.now, EndpointIndex(server), how, took, load, holds);
     }
 
     fn list_changes(&mut self) {
@@ -325,7 +351,7 @@
                     EndpointState::Ready,
                 ];
                 let state = states[self.rng.random_range(0..5)];
-                let started_at = if n < 6 { self.now } else { 0 };
+                let started_at = if n < 6 { self.now } else { Timestamp::ZERO };
                 self.balancer.update_endpoints(
                     self.now,
                     ListScope::Changes,
@@ -363,7 +389,7 @@
         for open in standing.into_iter().take(40) {
             let session = self.session();
             let handle = self.balancer.adopt_established(self.now, session, open.server);
-            self.fold(&[handle as u64]);
+            self.fold(&[handle.number() as u64]);
             self.open.push(Open { handle, server: open.server, dialling: false, established: true });
         }
     }
@@ -375,7 +401,7 @@
 
     /// Often a whole fraction of the window of the retry budget, or one tick more or less.
     fn edge_of_a_window(&mut self) -> TickDuration {
-        [1, 1_999, 2_000, 2_001, SECOND][self.rng.random_range(0..5)]
+        [ticks(1), ticks(1_999), ticks(2_000), ticks(2_001), SECOND][self.rng.random_range(0..5)]
     }
 
     /// A new process of the proxy comes up while half of the endpoints have just started.
@@ -399,7 +425,10 @@
                 self.balancer.update_endpoints(self.now, ListScope::Changes, &[line]);
             }
             855..862 => self.health_changes(),
-            _ => self.now += self.edge_of_a_window(),
+            _ => {
+                let wait = self.edge_of_a_window();
+                self.now += wait;
+            }
         }
         self.poll();
     }
@@ -420,8 +449,8 @@
                 self.balancer.client_left(handle);
             }
             _ => {
-                let busy = n % 4_000 < 2_500;
-                self.now += self.rng.random_range(1..if busy { SECOND / 10 } else { 2 * SECOND });
+                let longest = if n % 4_000 < 2_500 { SECOND / 10 } else { 2 * SECOND };
+                self.now += ticks(self.rng.random_range(1..longest.as_ticks()));
             }
         }
         self.poll();
--- a/crates/larklink-balancer/tests/decisions/bucket_table.rs
+++ b/crates/larklink-balancer/tests/decisions/bucket_table.rs
@@ -4,7 +4,9 @@
 use proptest::test_runner::{Config, RngSeed};
 use proptest::{prop_assert, proptest};
 
-use crate::fixture::{balancer_with, endpoint_of, endpoint_of_first_attempt, entry, request, settings};
+use crate::fixture::{
+    START, balancer_with, endpoint_of, endpoint_of_first_attempt, entry, request, settings,
+};
 
 proptest! {
     #![proptest_config(Config {
@@ -17,10 +19,10 @@
     #[test]
     fn only_the_buckets_of_a_changed_endpoint_move(gone in 0..8usize, keys in prop::collection::vec(1..u64::MAX, 50)) {
         for key in keys {
-            let before = endpoint_of(balancer_with(settings(), 8).place(0, request(key, 0)).1);
+            let before = endpoint_of(balancer_with(settings(), 8).place(START, request(key, 0)).1);
             let mut balancer = balancer_with(settings(), 8);
-            balancer.update_endpoints(0, ListScope::Changes, &[entry(gone, EndpointState::Removed, 0)]);
-            let after = endpoint_of(balancer.place(0, request(key, 0)).1);
+            balancer.update_endpoints(START, ListScope::Changes, &[entry(gone, EndpointState::Removed, START)]);
+            let after = endpoint_of(balancer.place(START, request(key, 0)).1);
             prop_assert!(after != gone && (after == before || before == gone));
         }
     }
@@ -28,16 +30,16 @@
 
 #[test]
 fn proxies_with_the_same_list_agree_whatever_its_order() {
-    let entries: Vec<_> = (0..8).map(|s| entry(s, EndpointState::Ready, 0)).collect();
+    let entries: Vec<_> = (0..8).map(|s| entry(s, EndpointState::Ready, START)).collect();
     let turned: Vec<_> = entries.iter().rev().copied().collect();
     for key in 1..200 {
-        let mut first = Balancer::new(settings(), 1, 0);
-        let mut second = Balancer::new(settings(), 2, 0);
-        first.update_endpoints(0, ListScope::Cached, &entries);
-        second.update_endpoints(0, ListScope::Cached, &turned);
+        let mut first = Balancer::new(settings(), 1, START);
+        let mut second = Balancer::new(settings(), 2, START);
+        first.update_endpoints(START, ListScope::Cached, &entries);
+        second.update_endpoints(START, ListScope::Cached, &turned);
         assert_eq!(
-            endpoint_of(first.place(0, request(key, 0)).1),
-            endpoint_of(second.place(0, request(key, 0)).1)
+            endpoint_of(first.place(START, request(key, 0)).1),
+            endpoint_of(second.place(START, request(key, 0)).1)
         );
     }
 }
@@ -46,7 +48,7 @@
 fn rankings_after_a_change_are_those_of_a_new_table() {
     let mut balancer = balancer_with(settings(), 8);
     let place = |balancer: &mut Balancer, key| {
-        let (session, decision) = balancer.place(0, request(key, 0));
+        let (session, decision) = balancer.place(START, request(key, 0));
         balancer.client_left(session);
         endpoint_of(decision)
     };
@@ -54,20 +56,21 @@
         place(&mut balancer, key);
     }
     balancer.update_endpoints(
-        0,
+        START,
         ListScope::Changes,
-        &[entry(2, EndpointState::Removed, 0), entry(8, EndpointState::Ready, 0)],
+        &[entry(2, EndpointState::Removed, START), entry(8, EndpointState::Ready, START)],
     );
-    let mut anew = Balancer::new(settings(), 9, 0);
-    let left: Vec<_> = (0..9).filter(|s| *s != 2).map(|s| entry(s, EndpointState::Ready, 0)).collect();
-    anew.update_endpoints(0, ListScope::Cached, &left);
+    let mut anew = Balancer::new(settings(), 9, START);
+    let left: Vec<_> = (0..9).filter(|s| *s != 2).map(|s| entry(s, EndpointState::Ready, START)).collect();
+    anew.update_endpoints(START, ListScope::Cached, &left);
     (1..200).for_each(|key| assert_eq!(place(&mut balancer, key), place(&mut anew, key)));
 }
 
 #[test]
 fn a_proxy_takes_the_first_local_endpoint_of_the_ranking() {
     let near = |zone, key| {
-        entry(endpoint_of_first_attempt(Some(zone), request(key, 0)), EndpointState::Ready, 0).zone == zone
+        entry(endpoint_of_first_attempt(Some(zone), request(key, 0)), EndpointState::Ready, START).zone
+            == zone
     };
     // Six of a ranking are considered: with half of the endpoints local, one key in 64 finds none.
     assert!((1..200).all(|key| near(0, key) || near(1, key)), "the owner is local to one of the two");
--- a/crates/larklink-balancer/tests/decisions/concurrency_limit.rs
+++ b/crates/larklink-balancer/tests/decisions/concurrency_limit.rs
@@ -1,10 +1,12 @@
 //! How attempts are limited while the session store fails.
 use larklink_balancer::{
     Action, AttemptOutcome, Balancer, Decision, EndpointState, ListScope, SessionRequest, Settings,
-    TickDuration,
+    TickDuration, Timestamp,
 };
 
-use crate::fixture::{SECOND, balancer_with, endpoint_of, entry, request, seeded_balancer, settings};
+use crate::fixture::{
+    SECOND, START, at, balancer_with, endpoint_of, entry, request, seeded_balancer, settings, ticks,
+};
 
 #[test]
 fn hundreds_of_proxies_together_relieve_an_overloaded_session_store() {
@@ -12,11 +14,11 @@
     for seed in 0..200 {
         let mut balancer = seeded_balancer(settings(), seed, 0..8);
         for n in 0..40 {
-            let (session, mut decision) = balancer.place(n * 100, request(n + 1, 0));
+            let (session, mut decision) = balancer.place(at(ticks(n * 100)), request(n + 1, 0));
             while let Decision::Connect { .. } = decision {
                 dials += u32::from(n >= 30);
                 decision = balancer
-                    .attempt_ended(n * 100 + 10, session, AttemptOutcome::Failed, false)
+                    .attempt_ended(at(ticks(n * 100 + 10)), session, AttemptOutcome::Failed, false)
                     .expect("not over");
             }
         }
@@ -27,29 +29,31 @@
 #[test]
 fn errors_of_the_session_store_limit_further_attempts() {
     let mut balancer = balancer_with(settings(), 8);
-    let placed: Vec<_> = (1..21).map(|key| balancer.place(0, request(key, 1)).0).collect();
+    let placed: Vec<_> = (1..21).map(|key| balancer.place(START, request(key, 1)).0).collect();
     for session in &placed[..10] {
         assert_eq!(
-            balancer.attempt_ended(100, *session, AttemptOutcome::Failed, false),
+            balancer.attempt_ended(at(ticks(100)), *session, AttemptOutcome::Failed, false),
             Some(Decision::Fail)
         );
     }
-    assert!(!matches!(balancer.place(100, request(99, 1)).1, Decision::Connect { .. }));
+    assert!(!matches!(balancer.place(at(ticks(100)), request(99, 1)).1, Decision::Connect { .. }));
     // An established session needs no handshake, and is not rejected.
-    endpoint_of(balancer.place(100, SessionRequest { established: true, ..request(99, 1) }).1);
+    endpoint_of(balancer.place(at(ticks(100)), SessionRequest { established: true, ..request(99, 1) }).1);
 }
 
 #[test]
 fn timeouts_limit_attempts_only_where_health_checks_are_off() {
     let rejected = |health_checks| {
         let mut balancer = balancer_with(Settings { health_checks, ..settings() }, 8);
-        let placed: Vec<_> = (1..31).map(|key| balancer.place(0, request(key, 0)).0).collect();
+        let placed: Vec<_> = (1..31).map(|key| balancer.place(START, request(key, 0)).0).collect();
         for session in &placed {
-            balancer.poll(SECOND);
-            balancer.attempt_ended(2 * SECOND, *session, AttemptOutcome::TimedOut, false);
+            balancer.poll(at(SECOND));
+            balancer.attempt_ended(at(2 * SECOND), *session, AttemptOutcome::TimedOut, false);
         }
         (31..61)
-            .filter(|key| matches!(balancer.place(2 * SECOND, request(*key, 0)).1, Decision::Reject { .. }))
+            .filter(|key| {
+                matches!(balancer.place(at(2 * SECOND), request(*key, 0)).1, Decision::Reject { .. })
+            })
             .count()
     };
     assert!(rejected(false) > 20 && rejected(true) == 0, "{} {}", rejected(false), rejected(true));
@@ -59,16 +63,16 @@
 fn a_slow_handshake_does_not_raise_the_limit_where_health_checks_are_off() {
     let dialled_after = |took| {
         let mut balancer = balancer_with(settings(), 8);
-        let placed: Vec<_> = (1..41).map(|key| balancer.place(0, request(key, 0)).0).collect();
-        placed[..20]
-            .iter()
-            .for_each(|session| _ = balancer.attempt_ended(100, *session, AttemptOutcome::TimedOut, false));
+        let placed: Vec<_> = (1..41).map(|key| balancer.place(START, request(key, 0)).0).collect();
+        placed[..20].iter().for_each(|session| {
+            _ = balancer.attempt_ended(at(ticks(100)), *session, AttemptOutcome::TimedOut, false)
+        });
         placed[20..].iter().for_each(|session| balancer.established(took, *session));
         (100..140)
             .filter(|key| matches!(balancer.place(took, request(*key, 0)).1, Decision::Connect { .. }))
             .count()
     };
-    let (prompt, long) = (dialled_after(100), dialled_after(SECOND));
+    let (prompt, long) = (dialled_after(at(ticks(100))), dialled_after(at(SECOND)));
     assert!(
         long * 2 < prompt,
         "{long} attempts after handshakes of half a client's dial_timeout, {prompt} after prompt ones"
@@ -76,12 +80,18 @@
 }
 
 /// One of three hundred proxies whose first four attempts timed out; the time, and the last client key.
-fn after_four_timeouts(seed: u64) -> (Balancer, TickDuration, u64) {
-    let mut balancer = Balancer::new(Settings { proxy_count: 300, max_attempts: 1, ..settings() }, seed, 0);
-    balancer.update_endpoints(0, ListScope::Cached, &[0, 1, 2, 3].map(|s| entry(s, EndpointState::Ready, 0)));
-    let (mut now, mut late, mut key) = (0, 0, 0);
+fn after_four_timeouts(seed: u64) -> (Balancer, Timestamp, u64) {
+    let mut balancer =
+        Balancer::new(Settings { proxy_count: 300, max_attempts: 1, ..settings() }, seed, START);
+    balancer.update_endpoints(
+        START,
+        ListScope::Cached,
+        &[0, 1, 2, 3].map(|s| entry(s, EndpointState::Ready, START)),
+    );
+    let (mut now, mut late, mut key) = (START, 0, 0);
     while late < 4 {
-        (now, key) = (now + SECOND / 10, key + 1);
+        now += SECOND / 10;
+        key += 1;
         let (session, decision) = balancer.place(now, request(key, 0));
         if matches!(decision, Decision::Connect { .. }) {
             now += 2 * SECOND;
@@ -96,21 +106,22 @@
 #[test]
 fn a_limit_under_one_paces_attempts_by_how_long_handshakes_take() {
     // Attempts of a proxy whose earlier ones timed out, within `span`, once handshakes take `took`.
-    let dials = |took: TickDuration, span: TickDuration| {
+    let attempts = |took: TickDuration, span: TickDuration| {
         let (mut sent, mut logged) = (0, 0);
         for seed in 0..100 {
             let (mut balancer, now, mut key) = after_four_timeouts(seed);
             let logs = balancer.poll(now).iter().filter(|c| matches!(c, Action::Log(_))).count();
-            assert!(logs <= 1, "it says {logs} times that dials are held back");
+            assert!(logs <= 1, "{logs} log events say that attempts are limited");
             logged += logs;
             // Three sessions come each second.
             let (mut out, begin) = (None, now + 4 * SECOND);
-            for at in (begin..begin + span).step_by(SECOND as usize / 100) {
+            for since_begin in (0..span.as_ticks()).step_by(SECOND.as_ticks() as usize / 100) {
+                let at = begin + ticks(since_begin);
                 if let Some((session, _)) = out.take_if(|(_, since)| *since + took <= at) {
                     balancer.established(at, session);
                     balancer.client_left(session);
                 }
-                if (at - begin) % (SECOND / 3 / 100 * 100) == 0 {
+                if since_begin.is_multiple_of(SECOND.as_ticks() / 3 / 100 * 100) {
                     key += 1;
                     let (session, decision) = balancer.place(at, request(key, 0));
                     if matches!(decision, Decision::Connect { .. }) {
@@ -122,7 +133,7 @@
         assert!(logged > 80, "{logged} of 100 log that attempts are limited");
         f64::from(sent) / 100.0
     };
-    let (well, slow) = (dials(SECOND / 100, 4 * SECOND), dials(SECOND * 6 / 10, 4 * SECOND));
+    let (well, slow) = (attempts(SECOND / 100, 4 * SECOND), attempts(SECOND * 6 / 10, 4 * SECOND));
     assert!(well > 9.0, "{well} of 13 sessions are attempted where a handshake takes 10 ms");
     assert!(slow < 3.5, "{slow} attempts in 4 s where a handshake takes 600 ms and the limit is low");
 }
@@ -130,21 +141,21 @@
 /// An established session asks the session store for nothing, so that its promptness says nothing of the store.
 #[test]
 fn established_sessions_do_not_raise_the_limit() {
-    let mut dialled_at_once = 0;
+    let mut attempted_at_once = 0;
     for seed in 0..100 {
         let (mut balancer, mut now, _) = after_four_timeouts(seed);
         for n in 0..20 {
             let (session, decision) =
                 balancer.place(now, SessionRequest { established: true, ..request(1000 + n, 0) });
             endpoint_of(decision);
-            now += 10;
+            now += ticks(10);
             balancer.established(now, session);
         }
-        dialled_at_once +=
+        attempted_at_once +=
             u32::from(matches!(balancer.place(now, request(99, 0)).1, Decision::Connect { .. }));
     }
     assert!(
-        dialled_at_once < 20,
-        "{dialled_at_once} of 100 make an attempt at once while the session store is slow"
+        attempted_at_once < 20,
+        "{attempted_at_once} of 100 make an attempt at once while the session store is slow"
     );
 }
--- a/crates/larklink-balancer/tests/decisions/fixture.rs
+++ b/crates/larklink-balancer/tests/decisions/fixture.rs
@@ -6,13 +6,24 @@
     EndpointState, Idempotency, ListScope, Listener, SessionRequest, Settings, TickDuration, Timestamp,
 };
 
-pub(crate) const SECOND: TickDuration = 10_000;
+pub(crate) const SECOND: TickDuration = TickDuration::from_secs(1);
+
+pub(crate) const START: Timestamp = Timestamp::ZERO;
+
+/// The time so long after the start.
+pub(crate) fn at(since_start: TickDuration) -> Timestamp {
+    START + since_start
+}
+
+pub(crate) fn ticks(count: u64) -> TickDuration {
+    TickDuration::from_ticks(count)
+}
 
 pub(crate) const IDEMPOTENCY_OF_LISTENERS: [Idempotency; 5] = [
     Idempotency::Idempotent,
     Idempotency::OnceOnly,
     // Long enough for a rejection, and no longer than a dial timeout and a Retry-After.
-    Idempotency::WithKey { group: DeduplicationGroup::All, window: 2 * SECOND },
+    Idempotency::WithKey { group: DeduplicationGroup::All, window: TickDuration::from_secs(2) },
     Idempotency::WithKey { group: DeduplicationGroup::Zone, window: SECOND },
     Idempotency::WithKey { group: DeduplicationGroup::Cell, window: SECOND },
 ];
@@ -35,18 +46,22 @@
         max_retry_after: SECOND,
         retry_after_allowed: true,
         max_dial_timeout: 2 * SECOND,
-        message_objective: 500,
+        message_objective: ticks(500),
         ..Settings::default()
     }
 }
 
-pub(crate) fn entry(
-    endpoint: EndpointIndex,
-    state: EndpointState,
-    started_at: TickDuration,
-) -> EndpointEntry {
-    let (zone, cell) = (endpoint as u16 % 2, endpoint as u16 % 3);
-    EndpointEntry { endpoint, id: 77 + 1000 * endpoint as u32, zone, cell, state, weight: 1.0, started_at }
+/// An endpoint of an id, zone and cell that follow from its index.
+pub(crate) fn entry(index: usize, state: EndpointState, started_at: Timestamp) -> EndpointEntry {
+    EndpointEntry {
+        endpoint: EndpointIndex(index),
+        id: 77 + 1000 * index as u32,
+        zone: index as u16 % 2,
+        cell: index as u16 % 3,
+        state,
+        weight: 1.0,
+        started_at,
+    }
 }
 
 pub(crate) fn request(key: u64, listener: usize) -> SessionRequest {
@@ -66,21 +81,21 @@
 
 /// A balancer with these ready endpoints, whose random choices follow from the seed.
 pub(crate) fn seeded_balancer(set: Settings, seed: u64, endpoints: Range<usize>) -> Balancer {
-    let mut balancer = Balancer::new(set, seed, 0);
-    let entries: Vec<_> = endpoints.map(|s| entry(s, EndpointState::Ready, 0)).collect();
-    balancer.update_endpoints(0, ListScope::Cached, &entries);
+    let mut balancer = Balancer::new(set, seed, START);
+    let entries: Vec<_> = endpoints.map(|s| entry(s, EndpointState::Ready, START)).collect();
+    balancer.update_endpoints(START, ListScope::Cached, &entries);
     balancer
 }
 
-pub(crate) fn endpoint_of(decision: Decision) -> EndpointIndex {
+pub(crate) fn endpoint_of(decision: Decision) -> usize {
     match decision {
-        Decision::Connect { endpoint, .. } => endpoint,
+        Decision::Connect { endpoint, .. } => endpoint.0,
         other => panic!("expected an attempt, got {other:?}"),
     }
 }
 
-pub(crate) fn connects_to(decision: Decision, at: EndpointIndex) -> bool {
-    matches!(decision, Decision::Connect { endpoint, .. } if endpoint == at)
+pub(crate) fn connects_to(decision: Decision, expected: usize) -> bool {
+    matches!(decision, Decision::Connect { endpoint, .. } if endpoint.0 == expected)
 }
 
 /// The final decision on a session that may wait, once the health checks of all endpoints have succeeded.
@@ -91,7 +106,9 @@
     mut decision: Decision,
 ) -> Decision {
     while decision == Decision::Wait {
-        (0..endpoints).for_each(|s| balancer.health_checked(now, s, AttemptOutcome::Succeeded, 10, 0.0, 0.0));
+        (0..endpoints).for_each(|s| {
+            balancer.health_checked(now, EndpointIndex(s), AttemptOutcome::Succeeded, ticks(10), 0.0, 0.0)
+        });
         let tell = |c| if let Action::Decided(_, decision) = c { Some(decision) } else { None };
         decision = balancer
             .poll(now)
@@ -104,6 +121,6 @@
 }
 
 /// The endpoint of the first attempt of a session, at a proxy in that zone.
-pub(crate) fn endpoint_of_first_attempt(zone: Option<u16>, ask: SessionRequest) -> EndpointIndex {
-    endpoint_of(balancer_with(Settings { local_zone: zone, ..settings() }, 12).place(0, ask).1)
+pub(crate) fn endpoint_of_first_attempt(zone: Option<u16>, ask: SessionRequest) -> usize {
+    endpoint_of(balancer_with(Settings { local_zone: zone, ..settings() }, 12).place(START, ask).1)
 }
--- a/crates/larklink-balancer/tests/decisions/health_check.rs
+++ b/crates/larklink-balancer/tests/decisions/health_check.rs
@@ -2,13 +2,13 @@
 use std::collections::BTreeMap;
 
 use larklink_balancer::{
-    Action, AttemptOutcome, Balancer, Decision, EndpointState, ListScope, Observation, Settings,
-    TickDuration, Timestamp,
+    Action, AttemptOutcome, Balancer, Decision, EndpointIndex, EndpointState, ListScope, Observation,
+    Settings,
 };
 
 use crate::fixture::{
-    SECOND, after_health_checks, balancer_with, connects_to, endpoint_of, entry, request, seeded_balancer,
-    settings,
+    SECOND, START, after_health_checks, at, balancer_with, connects_to, endpoint_of, entry, request,
+    seeded_balancer, settings, ticks,
 };
 
 #[test]
@@ -16,15 +16,22 @@
     // A hundred proxies sent 170 health checks a second to the three endpoints of a lost zone.
     let (mut asked, mut first) = (vec![0; 12], BTreeMap::new());
     for seed in 0..100 {
-        let mut balancer = Balancer::new(Settings { health_checks: true, ..settings() }, seed, 0);
-        balancer.update_endpoints(0, ListScope::Cached, &[entry(0, EndpointState::Ready, 0)]);
+        let mut balancer = Balancer::new(Settings { health_checks: true, ..settings() }, seed, START);
+        balancer.update_endpoints(START, ListScope::Cached, &[entry(0, EndpointState::Ready, START)]);
         *first.entry(balancer.next_wakeup()).or_insert(0) += 1;
-        balancer.health_checked(0, 0, AttemptOutcome::ConnectFailed, 10, 0.0, 0.0);
-        while balancer.next_wakeup() < 12 * SECOND {
+        balancer.health_checked(START, EndpointIndex(0), AttemptOutcome::ConnectFailed, ticks(10), 0.0, 0.0);
+        while balancer.next_wakeup() < at(12 * SECOND) {
             let now = balancer.next_wakeup();
             for _ in balancer.poll(now).iter().filter(|c| matches!(c, Action::CheckHealth(_))) {
-                asked[(now / SECOND) as usize] += 1;
-                balancer.health_checked(now, 0, AttemptOutcome::ConnectFailed, 10, 0.0, 0.0);
+                asked[(now.as_ticks() / SECOND.as_ticks()) as usize] += 1;
+                balancer.health_checked(
+                    now,
+                    EndpointIndex(0),
+                    AttemptOutcome::ConnectFailed,
+                    ticks(10),
+                    0.0,
+                    0.0,
+                );
             }
         }
     }
@@ -36,18 +43,25 @@
 #[test]
 fn an_endpoint_that_reports_overload_is_passed_over_before_anything_is_sent() {
     let mut balancer = balancer_with(Settings { health_checks: true, ..settings() }, 8);
-    let owner = endpoint_of(balancer_with(settings(), 8).place(0, request(5, 0)).1);
-    let (session, decision) = balancer.place(0, request(5, 0));
+    let owner = endpoint_of(balancer_with(settings(), 8).place(START, request(5, 0)).1);
+    let (session, decision) = balancer.place(START, request(5, 0));
     assert_eq!(decision, Decision::Wait);
-    assert!(balancer.poll(0).contains(&Action::CheckHealth(owner)));
-    balancer.health_checked(50, owner, AttemptOutcome::Succeeded, 50, 1.2, 0.0);
+    assert!(balancer.poll(START).contains(&Action::CheckHealth(EndpointIndex(owner))));
+    balancer.health_checked(
+        at(ticks(50)),
+        EndpointIndex(owner),
+        AttemptOutcome::Succeeded,
+        ticks(50),
+        1.2,
+        0.0,
+    );
     let asked: Vec<_> =
-        balancer.poll(50).into_iter().filter(|c| matches!(c, Action::CheckHealth(_))).collect();
+        balancer.poll(at(ticks(50))).into_iter().filter(|c| matches!(c, Action::CheckHealth(_))).collect();
     assert!(
-        asked.len() == 1 && asked[0] != Action::CheckHealth(owner),
+        asked.len() == 1 && asked[0] != Action::CheckHealth(EndpointIndex(owner)),
         "the second is checked next: {asked:?}"
     );
-    let late = balancer.poll(SECOND).into_iter().find_map(|c| match c {
+    let late = balancer.poll(at(SECOND)).into_iter().find_map(|c| match c {
         Action::Decided(sess, decision) if sess == session => Some(endpoint_of(decision)),
         _ => None,
     });
@@ -58,19 +72,26 @@
 #[test]
 fn an_endpoint_with_new_sessions_is_checked_soon_and_then_less_often() {
     let mut balancer = balancer_with(Settings { health_checks: true, load_reports: true, ..settings() }, 1);
-    let asked = |balancer: &mut Balancer, from: Timestamp, to: TickDuration| {
-        let rounds = (from * 5..to * 5).map(|n| n * SECOND / 5);
+    let asked = |balancer: &mut Balancer, from: u64, to: u64| {
+        let rounds = (from * 5..to * 5).map(|n| at(n * SECOND / 5));
         let mut checks = 0;
         for now in rounds {
-            let asks = balancer.poll(now).contains(&Action::CheckHealth(0));
+            let asks = balancer.poll(now).contains(&Action::CheckHealth(EndpointIndex(0)));
             checks += u32::from(asks);
             if asks {
-                balancer.health_checked(now, 0, AttemptOutcome::Succeeded, 10, 0.1, 0.0);
+                balancer.health_checked(
+                    now,
+                    EndpointIndex(0),
+                    AttemptOutcome::Succeeded,
+                    ticks(10),
+                    0.1,
+                    0.0,
+                );
             }
         }
         checks
     };
-    let start = SECOND * 10;
+    let start = at(SECOND * 10);
     let (session, decision) = balancer.place(start, request(5, 0));
     assert!(connects_to(after_health_checks(&mut balancer, start, 1, decision), 0));
     balancer.established(start, session);
@@ -82,18 +103,18 @@
 #[test]
 fn an_unanswered_message_leads_to_a_health_check_soon() {
     let mut balancer = balancer_with(Settings { health_checks: true, ..settings() }, 1);
-    let (session, _) = balancer.place(0, request(3, 0));
-    balancer.health_checked(10, 0, AttemptOutcome::Succeeded, 10, 0.0, 0.0);
-    balancer.poll(10);
-    balancer.established(20, session);
+    let (session, _) = balancer.place(START, request(3, 0));
+    balancer.health_checked(at(ticks(10)), EndpointIndex(0), AttemptOutcome::Succeeded, ticks(10), 0.0, 0.0);
+    balancer.poll(at(ticks(10)));
+    balancer.established(at(ticks(20)), session);
     let checks = |from, balancer: &mut Balancer| {
         (from..from + 4)
-            .flat_map(|n| balancer.poll(n * SECOND / 4))
-            .filter(|c| *c == Action::CheckHealth(0))
+            .flat_map(|n| balancer.poll(at(n * SECOND / 4)))
+            .filter(|c| *c == Action::CheckHealth(EndpointIndex(0)))
             .count()
     };
     assert_eq!(checks(4, &mut balancer), 0, "it answered lately");
-    balancer.observe(2 * SECOND, session, Observation::Unresponsive);
+    balancer.observe(at(2 * SECOND), session, Observation::Unresponsive);
     assert!(checks(8, &mut balancer) > 0, "and is suspected now");
 }
 
@@ -103,19 +124,26 @@
     for seed in 0..20 {
         let set = Settings { health_checks: true, ..settings() };
         let mut balancer = seeded_balancer(set, seed, 0..12);
-        let (session, mut decision) = balancer.place(0, request(5, 0));
+        let (session, mut decision) = balancer.place(START, request(5, 0));
         let mut waits = 0;
         while decision == Decision::Wait {
             waits += 1;
             let now = 10 * waits;
             for endpoint in 0..12 {
-                balancer.health_checked(now, endpoint, AttemptOutcome::ConnectFailed, 10, 0.0, 0.0);
+                balancer.health_checked(
+                    at(ticks(now)),
+                    EndpointIndex(endpoint),
+                    AttemptOutcome::ConnectFailed,
+                    ticks(10),
+                    0.0,
+                    0.0,
+                );
             }
             let decided = |action| match action {
                 Action::Decided(handle, decision) if handle == session => Some(decision),
                 _ => None,
             };
-            let actions = balancer.poll(now);
+            let actions = balancer.poll(at(ticks(now)));
             decision = actions.into_iter().find_map(decided).expect("its health check has ended");
         }
         assert_eq!(waits, 3, "seed {seed}");
--- a/crates/larklink-balancer/tests/decisions/load.rs
+++ b/crates/larklink-balancer/tests/decisions/load.rs
@@ -1,8 +1,8 @@
 //! What load an endpoint takes.
-use larklink_balancer::{Action, AttemptOutcome, Decision, Settings};
+use larklink_balancer::{Action, AttemptOutcome, Decision, EndpointIndex, Settings};
 
 use crate::fixture::{
-    SECOND, after_health_checks, balancer_with, connects_to, endpoint_of, request, settings,
+    SECOND, START, after_health_checks, at, balancer_with, connects_to, endpoint_of, request, settings, ticks,
 };
 
 /// Without its load limit it took a session from each of 226 proxies at once, 23 s later.
@@ -10,19 +10,19 @@
 fn an_endpoint_emptied_while_overloaded_is_avoided_for_most_of_a_minute() {
     let opens = |overloaded: bool| {
         let mut balancer = balancer_with(Settings { health_checks: true, ..settings() }, 2);
-        let owner = endpoint_of(balancer_with(settings(), 2).place(0, request(3, 0)).1);
+        let owner = endpoint_of(balancer_with(settings(), 2).place(START, request(3, 0)).1);
         balancer.health_checked(
-            0,
-            owner,
+            START,
+            EndpointIndex(owner),
             AttemptOutcome::Succeeded,
-            if overloaded { 400 } else { 10 },
+            if overloaded { ticks(400) } else { ticks(10) },
             0.0,
             0.0,
         );
         (1..80u64).find(|n| {
-            (0..5).for_each(|part| drop(balancer.poll((n - 1) * SECOND + part * SECOND / 5)));
-            let (session, decision) = balancer.place(n * SECOND, request(3, 0));
-            let decision = after_health_checks(&mut balancer, n * SECOND, 2, decision);
+            (0..5).for_each(|part| drop(balancer.poll(at((n - 1) * SECOND + part * SECOND / 5))));
+            let (session, decision) = balancer.place(at(*n * SECOND), request(3, 0));
+            let decision = after_health_checks(&mut balancer, at(*n * SECOND), 2, decision);
             balancer.client_left(session);
             connects_to(decision, owner)
         })
@@ -35,23 +35,34 @@
 #[test]
 fn where_load_is_reported_it_alone_limits_an_endpoint() {
     let mut balancer = balancer_with(Settings { health_checks: true, load_reports: true, ..settings() }, 1);
-    let (first, _) = balancer.place(0, request(5, 0));
-    balancer.poll(0);
-    balancer.health_checked(400, 0, AttemptOutcome::Succeeded, 400, 0.0, 0.0);
+    let (first, _) = balancer.place(START, request(5, 0));
+    balancer.poll(START);
+    balancer.health_checked(
+        at(ticks(400)),
+        EndpointIndex(0),
+        AttemptOutcome::Succeeded,
+        ticks(400),
+        0.0,
+        0.0,
+    );
     let decided = Action::Decided(
         first,
-        Decision::Connect { endpoint: 0, timeout: 2 * SECOND - 400, send_deadline: 2 * SECOND },
+        Decision::Connect {
+            endpoint: EndpointIndex(0),
+            timeout: 2 * SECOND - ticks(400),
+            send_deadline: at(2 * SECOND),
+        },
     );
-    assert!(balancer.poll(400).contains(&decided), "it is idle, however late its answer");
-    balancer.established(500, first);
-    balancer.health_checked(SECOND, 0, AttemptOutcome::Succeeded, 10, 1.2, 0.0);
+    assert!(balancer.poll(at(ticks(400))).contains(&decided), "it is idle, however late its answer");
+    balancer.established(at(ticks(500)), first);
+    balancer.health_checked(at(SECOND), EndpointIndex(0), AttemptOutcome::Succeeded, ticks(10), 1.2, 0.0);
     assert!(
-        matches!(balancer.place(2 * SECOND, request(5, 0)).1, Decision::Reject { .. }),
+        matches!(balancer.place(at(2 * SECOND), request(5, 0)).1, Decision::Reject { .. }),
         "no more than it has"
     );
-    balancer.health_checked(3 * SECOND, 0, AttemptOutcome::Succeeded, 10, 0.3, 0.0);
+    balancer.health_checked(at(3 * SECOND), EndpointIndex(0), AttemptOutcome::Succeeded, ticks(10), 0.3, 0.0);
     // A proxy that has just started has few sessions there, which is no measure of its capacity.
     for key in 5..9 {
-        endpoint_of(balancer.place(3 * SECOND, request(key, 0)).1);
+        endpoint_of(balancer.place(at(3 * SECOND), request(key, 0)).1);
     }
 }
--- a/crates/larklink-balancer/tests/decisions/migration.rs
+++ b/crates/larklink-balancer/tests/decisions/migration.rs
@@ -1,17 +1,21 @@
 //! Which sessions are migrated, and how many at a time.
-use larklink_balancer::{Action, AttemptOutcome, Balancer, EndpointState, ListScope, Observation, Settings};
+use larklink_balancer::{
+    Action, AttemptOutcome, Balancer, EndpointIndex, EndpointState, ListScope, Observation, Settings,
+};
 
-use crate::fixture::{SECOND, balancer_with, endpoint_of, entry, request, seeded_balancer, settings};
+use crate::fixture::{
+    SECOND, START, at, balancer_with, endpoint_of, entry, request, seeded_balancer, settings, ticks,
+};
 
 #[test]
 fn hundreds_of_proxies_together_migrate_a_few_sessions_off_an_overloaded_endpoint() {
     let mut migrated = 0;
     for seed in 0..200 {
         let mut balancer = seeded_balancer(settings(), seed, 0..2);
-        let (session, _) = balancer.place(0, request(3, 0));
-        balancer.established(10, session);
-        balancer.observe(3 * SECOND, session, Observation::MessageLatency(400));
-        migrated += balancer.poll(3 * SECOND).iter().filter(|c| matches!(c, Action::Migrate(_))).count();
+        let (session, _) = balancer.place(START, request(3, 0));
+        balancer.established(at(ticks(10)), session);
+        balancer.observe(at(3 * SECOND), session, Observation::MessageLatency(ticks(400)));
+        migrated += balancer.poll(at(3 * SECOND)).iter().filter(|c| matches!(c, Action::Migrate(_))).count();
     }
     assert!((5..60).contains(&migrated), "{migrated} of 200 at once");
 }
@@ -20,10 +24,10 @@
 fn new_sessions_on_an_overloaded_endpoint_are_migrated_less_and_less() {
     let (mut balancer, mut migrated) = (balancer_with(settings(), 8), Vec::new());
     for n in 0..60 {
-        let now = n * SECOND / 2;
+        let now = at(n * SECOND / 2);
         let (session, _) = balancer.place(now, request(n + 1, 0));
         balancer.established(now, session);
-        balancer.observe(now, session, Observation::MessageLatency(400));
+        balancer.observe(now, session, Observation::MessageLatency(ticks(400)));
         if balancer.poll(now + SECOND / 4).contains(&Action::Migrate(session)) {
             migrated.push(n);
         }
@@ -37,74 +41,84 @@
 #[test]
 fn an_overloaded_endpoint_gives_up_a_session_and_takes_none_back() {
     let mut balancer = balancer_with(settings(), 2);
-    let placed: Vec<_> = (0..20).map(|_| balancer.place(0, request(3, 0))).collect();
-    placed.iter().for_each(|(session, _)| balancer.established(10, *session));
+    let placed: Vec<_> = (0..20).map(|_| balancer.place(START, request(3, 0))).collect();
+    placed.iter().for_each(|(session, _)| balancer.established(at(ticks(10)), *session));
     let overloaded = endpoint_of(placed[0].1);
-    balancer.observe(20, placed[0].0, Observation::MessageLatency(400));
-    let migrated = balancer.poll(SECOND).into_iter().filter(|c| matches!(c, Action::Migrate(_))).count();
+    balancer.observe(at(ticks(20)), placed[0].0, Observation::MessageLatency(ticks(400)));
+    let migrated = balancer.poll(at(SECOND)).into_iter().filter(|c| matches!(c, Action::Migrate(_))).count();
     assert!((1..=2).contains(&migrated), "migrated {migrated}");
-    assert_ne!(endpoint_of(balancer.place(SECOND, request(3, 0)).1), overloaded);
+    assert_ne!(endpoint_of(balancer.place(at(SECOND), request(3, 0)).1), overloaded);
 }
 
 #[test]
 fn an_endpoint_over_its_capacity_is_checked_soon_and_gives_up_the_excess() {
     let mut balancer = balancer_with(Settings { health_checks: true, load_reports: true, ..settings() }, 2);
-    balancer.update_endpoints(0, ListScope::Changes, &[entry(1, EndpointState::Removed, 0)]);
+    balancer.update_endpoints(START, ListScope::Changes, &[entry(1, EndpointState::Removed, START)]);
     for key in 1..21 {
-        let (session, _) = balancer.place(0, request(key, 0));
-        balancer.poll(0);
-        balancer.health_checked(10, 0, AttemptOutcome::Succeeded, 10, 0.1, 0.0);
-        balancer.poll(10);
-        balancer.established(20, session);
+        let (session, _) = balancer.place(START, request(key, 0));
+        balancer.poll(START);
+        balancer.health_checked(
+            at(ticks(10)),
+            EndpointIndex(0),
+            AttemptOutcome::Succeeded,
+            ticks(10),
+            0.1,
+            0.0,
+        );
+        balancer.poll(at(ticks(10)));
+        balancer.established(at(ticks(20)), session);
         // An answered message with a load shows that the endpoint answers, not that it does so in time.
-        balancer.observe(20, session, Observation::Load(1000.0));
+        balancer.observe(at(ticks(20)), session, Observation::Load(1000.0));
     }
-    let done = balancer.poll(2 * SECOND);
+    let done = balancer.poll(at(2 * SECOND));
     assert!(
-        done.contains(&Action::CheckHealth(0)),
+        done.contains(&Action::CheckHealth(EndpointIndex(0))),
         "an endpoint with many sessions is checked though it answers"
     );
-    balancer.update_endpoints(2 * SECOND, ListScope::Changes, &[entry(1, EndpointState::Ready, 0)]);
-    balancer.health_checked(2 * SECOND, 0, AttemptOutcome::Succeeded, 10, 1.8, 0.0);
+    balancer.update_endpoints(at(2 * SECOND), ListScope::Changes, &[entry(1, EndpointState::Ready, START)]);
+    balancer.health_checked(at(2 * SECOND), EndpointIndex(0), AttemptOutcome::Succeeded, ticks(10), 1.8, 0.0);
     let migrated = |balancer: &mut Balancer, now| {
         balancer.poll(now).iter().filter(|c| matches!(c, Action::Migrate(_))).count()
     };
-    assert!((9..=11).contains(&migrated(&mut balancer, 3 * SECOND)), "half of its load is in excess");
-    assert_eq!(migrated(&mut balancer, 4 * SECOND), 0, "once for each report");
+    assert!((9..=11).contains(&migrated(&mut balancer, at(3 * SECOND))), "half of its load is in excess");
+    assert_eq!(migrated(&mut balancer, at(4 * SECOND)), 0, "once for each report");
 }
 
 #[test]
 fn a_session_that_has_grown_heavy_is_migrated_before_many_light_ones() {
     let mut balancer = balancer_with(Settings { load_reports: true, ..settings() }, 2);
-    let placed: Vec<_> = (1..41).map(|key| balancer.place(0, request(key, 0))).collect();
+    let placed: Vec<_> = (1..41).map(|key| balancer.place(START, request(key, 0))).collect();
     let there: Vec<_> = placed
         .iter()
         .filter(|(_, decision)| endpoint_of(*decision) == 0)
         .map(|(session, _)| *session)
         .collect();
     for (session, _) in &placed {
-        balancer.established(10, *session);
-        balancer.observe(10, *session, Observation::Load(1000.0));
+        balancer.established(at(ticks(10)), *session);
+        balancer.observe(at(ticks(10)), *session, Observation::Load(1000.0));
     }
     let heavy = there[there.len() / 2];
-    balancer.observe(20, heavy, Observation::Load(20_000.0));
-    balancer.health_checked(2 * SECOND, 0, AttemptOutcome::Succeeded, 10, 0.9, 0.0);
+    balancer.observe(at(ticks(20)), heavy, Observation::Load(20_000.0));
+    balancer.health_checked(at(2 * SECOND), EndpointIndex(0), AttemptOutcome::Succeeded, ticks(10), 0.9, 0.0);
     let migrations: Vec<_> =
-        balancer.poll(2 * SECOND).into_iter().filter(|c| matches!(c, Action::Migrate(_))).collect();
+        balancer.poll(at(2 * SECOND)).into_iter().filter(|c| matches!(c, Action::Migrate(_))).collect();
     assert_eq!(migrations, [Action::Migrate(heavy)]);
 }
 
 #[test]
 fn sessions_are_migrated_off_a_draining_endpoint_before_it_stops() {
     let mut balancer = balancer_with(settings(), 2);
-    let placed: Vec<_> = (1..61).map(|key| balancer.place(0, request(key, 0))).collect();
-    placed.iter().for_each(|(session, _)| balancer.established(10, *session));
+    let placed: Vec<_> = (1..61).map(|key| balancer.place(START, request(key, 0))).collect();
+    placed.iter().for_each(|(session, _)| balancer.established(at(ticks(10)), *session));
     let there = placed.iter().filter(|(_, decision)| endpoint_of(*decision) == 0).count();
-    balancer.update_endpoints(SECOND, ListScope::Changes, &[entry(0, EndpointState::Draining, 0)]);
+    balancer.update_endpoints(at(SECOND), ListScope::Changes, &[entry(0, EndpointState::Draining, START)]);
     let (mut migrated, mut most) = (0, 0);
     for n in 5..=18 {
-        let now: Vec<_> =
-            balancer.poll(n * SECOND / 5).into_iter().filter(|c| matches!(c, Action::Migrate(_))).collect();
+        let now: Vec<_> = balancer
+            .poll(at(n * SECOND / 5))
+            .into_iter()
+            .filter(|c| matches!(c, Action::Migrate(_)))
+            .collect();
         now.iter().for_each(|c| {
             if let Action::Migrate(session) = c {
                 balancer.client_left(*session)
--- a/crates/larklink-balancer/tests/decisions/placement.rs
+++ b/crates/larklink-balancer/tests/decisions/placement.rs
@@ -2,11 +2,13 @@
 use std::collections::BTreeSet;
 
 use larklink_balancer::{
-    Balancer, Decision, EndpointEntry, EndpointState, ListScope, Observation, SessionRequest, Settings,
+    Balancer, Decision, EndpointEntry, EndpointIndex, EndpointState, ListScope, Observation, SessionRequest,
+    Settings, TickDuration,
 };
 
 use crate::fixture::{
-    SECOND, balancer_with, endpoint_of, endpoint_of_first_attempt, entry, request, seeded_balancer, settings,
+    SECOND, START, at, balancer_with, endpoint_of, endpoint_of_first_attempt, entry, request,
+    seeded_balancer, settings, ticks,
 };
 
 #[test]
@@ -14,7 +16,7 @@
     let mut balancer = balancer_with(settings(), 8);
     let mut count = [0; 8];
     for _ in 0..80 {
-        count[endpoint_of(balancer.place(0, request(5, 0)).1)] += 1;
+        count[endpoint_of(balancer.place(START, request(5, 0)).1)] += 1;
     }
     assert!(count.iter().max() < Some(&60), "one group stays on one endpoint: {count:?}");
 }
@@ -25,7 +27,7 @@
     let to = |ask: SessionRequest| {
         (0..200).map(move |seed| {
             let mut balancer = seeded_balancer(settings(), seed, 0..8);
-            endpoint_of(balancer.place(0, ask).1)
+            endpoint_of(balancer.place(START, ask).1)
         })
     };
     let owner = to(request(5, 0)).next().expect("200 of them");
@@ -35,10 +37,12 @@
 
 #[test]
 fn an_established_session_goes_to_the_earlier_owner_of_its_bucket() {
-    let (mut balancer, early) =
-        (balancer_with(settings(), 8), endpoint_of(balancer_with(settings(), 8).place(0, request(9, 0)).1));
-    let now = 60 * SECOND;
-    balancer.update_endpoints(now, ListScope::Changes, &[entry(early, EndpointState::Draining, 0)]);
+    let (mut balancer, early) = (
+        balancer_with(settings(), 8),
+        endpoint_of(balancer_with(settings(), 8).place(START, request(9, 0)).1),
+    );
+    let now = at(60 * SECOND);
+    balancer.update_endpoints(now, ListScope::Changes, &[entry(early, EndpointState::Draining, START)]);
     let established = SessionRequest { established: true, ..request(9, 0) };
     assert_eq!(endpoint_of(balancer.place(now + SECOND / 10, established).1), early);
     assert_ne!(endpoint_of(balancer.place(now + SECOND, established).1), early);
@@ -48,9 +52,14 @@
 /// three seconds before.
 #[test]
 fn a_recently_restarted_endpoint_is_not_the_earlier_owner_of_a_bucket() {
-    let (owner, now) = (endpoint_of(balancer_with(settings(), 8).place(0, request(9, 0)).1), 60 * SECOND);
+    let (owner, now) =
+        (endpoint_of(balancer_with(settings(), 8).place(START, request(9, 0)).1), at(60 * SECOND));
     let mut balancer = balancer_with(settings(), 8);
-    balancer.update_endpoints(now, ListScope::Changes, &[entry(owner, EndpointState::Ready, now - SECOND)]);
+    balancer.update_endpoints(
+        now,
+        ListScope::Changes,
+        &[entry(EndpointIndex(owner).0, EndpointState::Ready, now - SECOND)],
+    );
     let established = SessionRequest { established: true, ..request(9, 0) };
     assert_ne!(endpoint_of(balancer.place(now + SECOND, established).1), owner);
     assert_eq!(endpoint_of(balancer.place(now + 20 * SECOND, established).1), owner);
@@ -58,8 +67,8 @@
 
 #[test]
 fn without_endpoints_a_session_is_rejected_at_once() {
-    let mut balancer = Balancer::new(settings(), 7, 0);
-    assert!(matches!(balancer.place(0, request(1, 1)).1, Decision::Reject { .. }));
+    let mut balancer = Balancer::new(settings(), 7, START);
+    assert!(matches!(balancer.place(START, request(1, 1)).1, Decision::Reject { .. }));
 }
 
 #[test]
@@ -67,13 +76,14 @@
     let mut balancer = balancer_with(settings(), 8);
     let mut met = BTreeSet::new();
     for key in 1..41 {
-        let (session, decision) = balancer.place(0, request(key, 0));
-        balancer.established(10, session);
-        balancer.observe(20, session, Observation::MessageLatency(400));
+        let (session, decision) = balancer.place(START, request(key, 0));
+        balancer.established(at(ticks(10)), session);
+        balancer.observe(at(ticks(20)), session, Observation::MessageLatency(ticks(400)));
         met.insert(endpoint_of(decision));
     }
     assert_eq!(met.len(), 8, "all endpoints are overloaded");
-    let small: BTreeSet<_> = (0..8).map(|_| endpoint_of(balancer.place(30, request(50, 0)).1)).collect();
+    let small: BTreeSet<_> =
+        (0..8).map(|_| endpoint_of(balancer.place(at(ticks(30)), request(50, 0)).1)).collect();
     assert!(small.len() <= 3, "one group on {small:?}");
 }
 
@@ -82,13 +92,13 @@
 fn a_large_group_is_spread_over_its_endpoints_by_weight() {
     let mut sent = [0; 8];
     for seed in 0..300 {
-        let mut balancer = Balancer::new(settings(), seed, 0);
+        let mut balancer = Balancer::new(settings(), seed, START);
         let weigh = |s| EndpointEntry {
             weight: if s % 2 == 0 { 4.0 } else { 1.0 },
-            ..entry(s, EndpointState::Ready, 0)
+            ..entry(s, EndpointState::Ready, at(TickDuration::ZERO))
         };
-        balancer.update_endpoints(0, ListScope::Cached, &(0..8).map(weigh).collect::<Vec<_>>());
-        (0..12).for_each(|n| sent[endpoint_of(balancer.place(0, request(3, 0)).1)] += u32::from(n > 5));
+        balancer.update_endpoints(START, ListScope::Cached, &(0..8).map(weigh).collect::<Vec<_>>());
+        (0..12).for_each(|n| sent[endpoint_of(balancer.place(START, request(3, 0)).1)] += u32::from(n > 5));
     }
     let mean = |rest| {
         let met: Vec<_> = (0..8).filter(|s| s % 2 == rest && sent[*s] > 0).map(|s| sent[s]).collect();
@@ -100,12 +110,12 @@
 /// Two sessions that share a group by chance must not be taken for half of all sessions.
 #[test]
 fn two_sessions_of_one_group_do_not_count_as_a_large_group() {
-    let entries: Vec<_> = (0..40).map(|s| entry(s, EndpointState::Ready, 0)).collect();
+    let entries: Vec<_> = (0..40).map(|s| entry(s, EndpointState::Ready, START)).collect();
     let second = |seed| {
-        let mut balancer = Balancer::new(settings(), seed, 0);
-        balancer.update_endpoints(0, ListScope::Cached, &entries);
-        balancer.place(0, request(3, 0));
-        endpoint_of(balancer.place(0, request(3, 0)).1)
+        let mut balancer = Balancer::new(settings(), seed, START);
+        balancer.update_endpoints(START, ListScope::Cached, &entries);
+        balancer.place(START, request(3, 0));
+        endpoint_of(balancer.place(START, request(3, 0)).1)
     };
     let met: BTreeSet<_> = (0..200).map(second).collect();
     assert!(met.len() > 1 && met.len() < 9, "{met:?}");
@@ -118,8 +128,9 @@
         let mut held = [0; 8];
         for seed in 0..150 {
             let mut balancer = seeded_balancer(set.clone(), seed, 0..8);
-            (0..10)
-                .for_each(|n| held[endpoint_of(balancer.place(0, request(group(seed * 10 + n), 0)).1)] += 1);
+            (0..10).for_each(|n| {
+                held[endpoint_of(balancer.place(START, request(group(seed * 10 + n), 0)).1)] += 1
+            });
         }
         held.into_iter().max().unwrap()
     };
@@ -131,7 +142,7 @@
     );
     assert_eq!(
         endpoint_of_first_attempt(None, request(5, 0)),
-        endpoint_of(balancer_with(settings(), 12).place(9, request(5, 0)).1),
+        endpoint_of(balancer_with(settings(), 12).place(at(ticks(9)), request(5, 0)).1),
         "a single session is no large group"
     );
 }
--- a/crates/larklink-balancer/tests/decisions/safety_rules.rs
+++ b/crates/larklink-balancer/tests/decisions/safety_rules.rs
@@ -9,7 +9,9 @@
 use proptest::proptest;
 use proptest::test_runner::{Config, RngSeed};
 
-use crate::fixture::{IDEMPOTENCY_OF_LISTENERS, SECOND, balancer_with, entry, request, settings};
+use crate::fixture::{
+    IDEMPOTENCY_OF_LISTENERS, SECOND, START, at, balancer_with, entry, request, settings, ticks,
+};
 
 #[derive(Clone, Debug)]
 enum Step {
@@ -51,11 +53,11 @@
         4 => (any::<usize>(), any_outcome()).prop_map(|(n, outcome)| Step::EndAttempt(n, outcome)),
         1 => any::<usize>().prop_map(Step::ClientLeaves),
         1 => (0..6usize, state, any::<bool>())
-            .prop_map(|(endpoint, state, restarts)| Step::UpdateEndpoint { endpoint, state, restarts }),
-        1 => (any::<usize>(), 0..2_000u64).prop_map(|(n, d)| Step::MessageLatency(n, d)),
+            .prop_map(|(endpoint, state, restarts)| Step::UpdateEndpoint { endpoint: EndpointIndex(endpoint), state, restarts }),
+        1 => (any::<usize>(), 0..2_000u64).prop_map(|(n, d)| Step::MessageLatency(n, ticks(d))),
         1 => any::<usize>().prop_map(Step::Unresponsive),
-        1 => (0..6usize, any_outcome(), 0.0..1.5f64).prop_map(|(s, outcome, load)| Step::HealthChecked(s, outcome, load)),
-        3 => (1..SECOND).prop_map(Step::Wait),
+        1 => (0..6usize, any_outcome(), 0.0..1.5f64).prop_map(|(s, outcome, load)| Step::HealthChecked(EndpointIndex(s), outcome, load)),
+        3 => (1..SECOND.as_ticks()).prop_map(|count| Step::Wait(ticks(count))),
     ]
 }
 
@@ -88,7 +90,7 @@
             deadline: now + request.dial_timeout,
             attempts: 0,
             in_flight: None,
-            send_deadline: 0,
+            send_deadline: START,
             established: false,
             waiting: false,
             may_have_run: None,
@@ -106,8 +108,8 @@
     /// A session that may have run is retried only within its group and window.
     fn check_retry(&self, now: Timestamp, endpoint: EndpointIndex, send_deadline: Timestamp) {
         let Some(first) = self.may_have_run else { return };
-        let ran_at = entry(first.endpoint, EndpointState::Ready, 0);
-        let retried_at = entry(endpoint, EndpointState::Ready, 0);
+        let ran_at = entry(first.endpoint.0, EndpointState::Ready, at(TickDuration::ZERO));
+        let retried_at = entry(endpoint.0, EndpointState::Ready, at(TickDuration::ZERO));
         match self.idempotency() {
             Idempotency::Idempotent => {}
             Idempotency::OnceOnly => panic!("a once-only session that may have run was retried"),
@@ -149,7 +151,7 @@
     fn new(removal_not_binding: bool) -> Self {
         let set = Settings { health_checks: true, removal_not_binding, ..settings() };
         let balancer = balancer_with(set, 6);
-        Self { balancer, now: 0, open: BTreeMap::new(), notified: BTreeMap::new(), removal_not_binding }
+        Self { balancer, now: START, open: BTreeMap::new(), notified: BTreeMap::new(), removal_not_binding }
     }
 
     /// The four rules, as far as one proxy can break them.
@@ -178,12 +180,12 @@
         let (now, set) = (self.now, settings());
         let session = self.open.get_mut(&handle).expect("an attempt of a session that is over");
         assert!(session.in_flight.is_none() && !session.established, "two attempts in flight");
-        let in_time = now + timeout <= session.deadline && timeout > 0;
+        let in_time = now + timeout <= session.deadline && timeout > TickDuration::ZERO;
         assert!(in_time, "an attempt past the dial timeout");
         let may_be_sent = now <= send_deadline && send_deadline <= session.deadline;
         assert!(may_be_sent, "a send deadline that is over, or after the client gives up");
         if let Some(notified) = self.notified.get(&endpoint) {
-            let within_grace = send_deadline <= notified + set.drain_grace;
+            let within_grace = send_deadline <= *notified + set.drain_grace;
             assert!(within_grace, "an attempt that may be sent past the drain grace");
         }
         session.check_retry(now, endpoint, send_deadline);
@@ -236,7 +238,7 @@
             Step::MessageLatency(n, latency) => self.observe(n, Observation::MessageLatency(latency)),
             Step::Unresponsive(n) => self.observe(n, Observation::Unresponsive),
             Step::HealthChecked(endpoint, outcome, load) => {
-                self.balancer.health_checked(self.now, endpoint, outcome, 10, load, 0.0);
+                self.balancer.health_checked(self.now, endpoint, outcome, ticks(10), load, 0.0);
             }
             Step::Wait(duration) => self.wait(duration),
         }
@@ -270,8 +272,8 @@
     }
 
     fn update_endpoint(&mut self, endpoint: EndpointIndex, state: EndpointState, restarts: bool) {
-        let started_at = if restarts { self.now } else { 0 };
-        let changed = entry(endpoint, state, started_at);
+        let started_at = if restarts { self.now } else { START };
+        let changed = entry(endpoint.0, state, started_at);
         self.balancer.update_endpoints(self.now, ListScope::Changes, &[changed]);
         match state {
             EndpointState::Ready => drop(self.notified.remove(&endpoint)),
@@ -286,7 +288,7 @@
         while self.now < end {
             let connecting = self.open.values().filter(|session| session.is_connecting());
             let next = connecting.map(|session| session.deadline).min().unwrap_or(end);
-            self.now = end.min(self.balancer.next_wakeup()).min(next).max(self.now + 1);
+            self.now = end.min(self.balancer.next_wakeup()).min(next).max(self.now + ticks(1));
             let now = self.now;
             let given_up = |session: &OpenSession| session.is_connecting() && session.deadline <= now;
             while let Some(handle) = self.pick(0, given_up) {
@@ -303,7 +305,7 @@
         for session in self.open.values().filter(|session| !session.established) {
             let notified = session.in_flight.and_then(|attempt| self.notified.get(&attempt.endpoint));
             let grace = settings().drain_grace;
-            let late = notified.is_some_and(|notified| session.send_deadline > notified + grace);
+            let late = notified.is_some_and(|&notified| session.send_deadline > notified + grace);
             assert!(!late, "an attempt that connects late may be sent past the drain grace");
         }
     }
--- a/crates/larklink-balancer/tests/decisions/slow_start.rs
+++ b/crates/larklink-balancer/tests/decisions/slow_start.rs
@@ -2,37 +2,45 @@
 use std::collections::BTreeMap;
 
 use larklink_balancer::{
-    Action, AttemptOutcome, Balancer, Decision, EndpointState, ListScope, SessionRequest, Settings,
-    TickDuration,
+    Action, AttemptOutcome, Balancer, Decision, EndpointIndex, EndpointState, ListScope, SessionRequest,
+    Settings, Timestamp,
 };
 
 use crate::fixture::{
-    SECOND, after_health_checks, balancer_with, connects_to, endpoint_of, entry, request, seeded_balancer,
-    settings,
+    SECOND, START, after_health_checks, at, balancer_with, connects_to, endpoint_of, entry, request,
+    seeded_balancer, settings, ticks,
 };
 
 /// Three endpoints with 80 sessions, and a fourth, of index 0, in slow start.
-fn with_endpoint_in_slow_start() -> (Balancer, TickDuration) {
-    let (mut balancer, now) = (balancer_with(settings(), 4), 60 * SECOND);
-    balancer.update_endpoints(0, ListScope::Changes, &[entry(0, EndpointState::Removed, 0)]);
+fn with_endpoint_in_slow_start() -> (Balancer, Timestamp) {
+    let (mut balancer, now) = (balancer_with(settings(), 4), at(60 * SECOND));
+    balancer.update_endpoints(START, ListScope::Changes, &[entry(0, EndpointState::Removed, START)]);
     for key in 1..81 {
-        balancer.place(0, request(key, 0));
+        balancer.place(START, request(key, 0));
     }
-    balancer.update_endpoints(now, ListScope::Changes, &[entry(0, EndpointState::Ready, now)]);
+    balancer.update_endpoints(
+        now,
+        ListScope::Changes,
+        &[entry(EndpointIndex(0).0, EndpointState::Ready, now)],
+    );
     (balancer, now)
 }
 
 #[test]
 fn hundreds_of_proxies_together_keep_within_the_slow_start_quota() {
-    let (endpoints, proxies, now) = (10, 300, 60 * SECOND);
-    let entries: Vec<_> = (0..endpoints).map(|s| entry(s, EndpointState::Ready, 0)).collect();
+    let (endpoints, proxies, now) = (10, 300, at(60 * SECOND));
+    let entries: Vec<_> = (0..endpoints).map(|s| entry(s, EndpointState::Ready, START)).collect();
     let mut sent = BTreeMap::new();
     for seed in 0..proxies {
-        let mut balancer = Balancer::new(settings(), seed, 0);
-        balancer.update_endpoints(0, ListScope::Cached, &entries);
+        let mut balancer = Balancer::new(settings(), seed, START);
+        balancer.update_endpoints(START, ListScope::Cached, &entries);
         let key = |n: u64| 1 + (seed * 3 + n) % 40;
-        let placed: Vec<_> = (0..3).map(|n| balancer.place(0, request(key(n), 0)).0).collect();
-        balancer.update_endpoints(now, ListScope::Changes, &[entry(0, EndpointState::Ready, now)]);
+        let placed: Vec<_> = (0..3).map(|n| balancer.place(START, request(key(n), 0)).0).collect();
+        balancer.update_endpoints(
+            now,
+            ListScope::Changes,
+            &[entry(EndpointIndex(0).0, EndpointState::Ready, now)],
+        );
         placed.into_iter().for_each(|session| balancer.client_left(session));
         for second in 0..20 {
             for n in 0..3 {
@@ -61,31 +69,49 @@
     in_flight: f64,
     full: bool,
 ) -> (Vec<u32>, impl Fn(usize) -> f64) {
-    let (endpoints, now) = (10, 60 * SECOND);
-    let entries: Vec<_> = (0..endpoints).map(|s| entry(s, EndpointState::Ready, 0)).collect();
+    let (endpoints, now) = (10, at(60 * SECOND));
+    let entries: Vec<_> = (0..endpoints).map(|s| entry(s, EndpointState::Ready, START)).collect();
     let mut sent = vec![0; 20];
     for seed in 0..u64::from(proxies) {
-        let mut balancer = Balancer::new(Settings { proxy_count: proxies, ..settings() }, seed, 0);
-        balancer.update_endpoints(0, ListScope::Cached, &entries);
+        let mut balancer = Balancer::new(Settings { proxy_count: proxies, ..settings() }, seed, START);
+        balancer.update_endpoints(START, ListScope::Cached, &entries);
         if in_flight > 0.0 {
-            balancer.health_checked(0, 1, AttemptOutcome::Succeeded, 10, 0.5, in_flight);
+            balancer.health_checked(
+                START,
+                EndpointIndex(1),
+                AttemptOutcome::Succeeded,
+                ticks(10),
+                0.5,
+                in_flight,
+            );
         } else {
             // Without a count of sessions a load alone says nothing of the capacity.
-            balancer.health_checked(0, 1, AttemptOutcome::Succeeded, 10, 0.5, 0.0);
+            balancer.health_checked(START, EndpointIndex(1), AttemptOutcome::Succeeded, ticks(10), 0.5, 0.0);
             for n in 0..50 {
-                let (session, decision) = balancer.place(0, request(9 + n * 77, 0));
+                let (session, decision) = balancer.place(START, request(9 + n * 77, 0));
                 if endpoint_of(decision) == 0 {
                     balancer.client_left(session);
                 }
             }
         }
-        balancer.update_endpoints(now, ListScope::Changes, &[entry(0, EndpointState::Ready, now)]);
+        balancer.update_endpoints(
+            now,
+            ListScope::Changes,
+            &[entry(EndpointIndex(0).0, EndpointState::Ready, now)],
+        );
         for n in 0..20 * rate {
-            let at = now + n * SECOND / rate;
+            let moment = now + n * SECOND / rate;
             for s in 1..endpoints * usize::from(full) {
-                balancer.health_checked(at, s, AttemptOutcome::Succeeded, 10, 0.9, 45.0);
+                balancer.health_checked(
+                    moment,
+                    EndpointIndex(s),
+                    AttemptOutcome::Succeeded,
+                    ticks(10),
+                    0.9,
+                    45.0,
+                );
             }
-            let (session, decision) = balancer.place(at, request(1 + seed + n * 1000, 0));
+            let (session, decision) = balancer.place(moment, request(1 + seed + n * 1000, 0));
             sent[(n / rate) as usize] += u32::from(connects_to(decision, 0));
             balancer.client_left(session);
         }
@@ -121,12 +147,12 @@
         let set = Settings { proxy_count: 40, overload_multiple, ..settings() };
         let proxy = |seed| {
             let mut balancer = seeded_balancer(set.clone(), seed, 1..10);
-            balancer.health_checked(0, 1, AttemptOutcome::Succeeded, 10, 0.5, 25.0);
-            let now = 60 * SECOND;
+            balancer.health_checked(START, EndpointIndex(1), AttemptOutcome::Succeeded, ticks(10), 0.5, 25.0);
+            let now = at(60 * SECOND);
             balancer.update_endpoints(
                 now,
                 ListScope::Changes,
-                &[entry(0, EndpointState::Ready, now - SECOND)],
+                &[entry(EndpointIndex(0).0, EndpointState::Ready, now - SECOND)],
             );
             let key = seed..;
             key.step_by(40)
@@ -148,21 +174,31 @@
 #[test]
 fn a_session_keeps_its_share_of_the_quota_while_a_health_check_is_in_flight() {
     let set = Settings { health_checks: true, load_reports: true, proxy_count: 10, ..settings() };
-    let (now, mut waited) = (60 * SECOND, 0);
+    let (now, mut waited) = (at(60 * SECOND), 0);
     for seed in 0..100 {
-        let mut balancer = Balancer::new(set.clone(), seed, 0);
+        let mut balancer = Balancer::new(set.clone(), seed, START);
         balancer.update_endpoints(
-            0,
+            START,
             ListScope::Cached,
-            &[entry(0, EndpointState::Ready, now - 10 * SECOND), entry(1, EndpointState::Ready, 0)],
+            &[
+                entry(EndpointIndex(0).0, EndpointState::Ready, now - 10 * SECOND),
+                entry(1, EndpointState::Ready, START),
+            ],
         );
-        balancer.health_checked(0, 1, AttemptOutcome::Succeeded, 10, 0.5, 25.0);
+        balancer.health_checked(START, EndpointIndex(1), AttemptOutcome::Succeeded, ticks(10), 0.5, 25.0);
         let (session, _) = balancer.place(now, request(1 + seed, 0));
-        if balancer.poll(now).contains(&Action::CheckHealth(0)) {
-            balancer.health_checked(now + 100, 0, AttemptOutcome::Succeeded, 100, 0.1, 10.0);
-            let decided = balancer.poll(now + 100);
+        if balancer.poll(now).contains(&Action::CheckHealth(EndpointIndex(0))) {
+            balancer.health_checked(
+                now + ticks(100),
+                EndpointIndex(0),
+                AttemptOutcome::Succeeded,
+                ticks(100),
+                0.1,
+                10.0,
+            );
+            let decided = balancer.poll(now + ticks(100));
             assert!(
-                matches!(decided[..], [Action::Decided(i, Decision::Connect { endpoint: 0, .. })] if i == session),
+                matches!(decided[..], [Action::Decided(i, Decision::Connect { endpoint: EndpointIndex(0), .. })] if i == session),
                 "{decided:?}"
             );
             waited += 1;
@@ -196,10 +232,14 @@
             Settings { overload_multiple, initial_capacity, proxy_count: proxies, ..settings() },
             4,
         );
-        balancer.update_endpoints(SECOND, ListScope::Changes, &[entry(0, EndpointState::Ready, SECOND)]);
+        balancer.update_endpoints(
+            at(SECOND),
+            ListScope::Changes,
+            &[entry(EndpointIndex(0).0, EndpointState::Ready, at(SECOND))],
+        );
         let cold = |key: &u64| {
-            let (session, decision) = balancer.place(SECOND, request(*key, 0));
-            balancer.established(SECOND, session);
+            let (session, decision) = balancer.place(at(SECOND), request(*key, 0));
+            balancer.established(at(SECOND), session);
             endpoint_of(decision) == 0
         };
         let sent = (1..200).filter(cold).count();
@@ -225,24 +265,24 @@
     let sends = |again, others, health_checks| {
         let set = Settings { proxy_count: 200, health_checks, ..settings() };
         let key = (1..)
-            .find(|key| endpoint_of(balancer_with(settings(), 30).place(0, request(*key, 0)).1) == 0)
+            .find(|key| endpoint_of(balancer_with(settings(), 30).place(START, request(*key, 0)).1) == 0)
             .unwrap();
         let proxy = |seed| {
-            let mut balancer = Balancer::new(set.clone(), seed, 0);
-            let listed: Vec<_> = (1..30).map(|s| entry(s, EndpointState::Ready, 0)).collect();
-            balancer.update_endpoints(0, ListScope::Cached, &listed);
+            let mut balancer = Balancer::new(set.clone(), seed, START);
+            let listed: Vec<_> = (1..30).map(|s| entry(s, EndpointState::Ready, START)).collect();
+            balancer.update_endpoints(START, ListScope::Cached, &listed);
             let first = |balancer: &mut Balancer, now, ask| {
                 let (session, decision) = balancer.place(now, ask);
                 let endpoint = endpoint_of(after_health_checks(balancer, now, 30, decision));
                 balancer.established(now, session);
                 endpoint == 0
             };
-            (1..=others).for_each(|n| _ = first(&mut balancer, n, request(1000 * seed + n, 0)));
-            let now = 60 * SECOND;
+            (1..=others).for_each(|n| _ = first(&mut balancer, at(ticks(n)), request(1000 * seed + n, 0)));
+            let now = at(60 * SECOND);
             balancer.update_endpoints(
                 now,
                 ListScope::Changes,
-                &[entry(0, EndpointState::Ready, now - SECOND)],
+                &[entry(EndpointIndex(0).0, EndpointState::Ready, now - SECOND)],
             );
             first(&mut balancer, now + SECOND, SessionRequest { reconnecting: again, ..request(key, 0) })
         };
@@ -268,12 +308,19 @@
 fn an_endpoint_that_failed_unseen_by_the_list_comes_back_in_slow_start() {
     let sent = |how| {
         let mut balancer = balancer_with(settings(), 4);
-        let placed: Vec<_> = (1..81).map(|key| balancer.place(0, request(key, 0))).collect();
-        placed.iter().for_each(|(session, _)| balancer.established(10, *session));
+        let placed: Vec<_> = (1..81).map(|key| balancer.place(START, request(key, 0))).collect();
+        placed.iter().for_each(|(session, _)| balancer.established(at(ticks(10)), *session));
         let on = placed.iter().find(|(_, to)| endpoint_of(*to) == 0).unwrap().0;
-        balancer.attempt_ended(SECOND, on, how, true);
-        balancer.health_checked(2 * SECOND, 0, AttemptOutcome::Succeeded, 10, 0.0, 0.0);
-        let now = 12 * SECOND;
+        balancer.attempt_ended(at(SECOND), on, how, true);
+        balancer.health_checked(
+            at(2 * SECOND),
+            EndpointIndex(0),
+            AttemptOutcome::Succeeded,
+            ticks(10),
+            0.0,
+            0.0,
+        );
+        let now = at(12 * SECOND);
         (100..400).filter(|key| endpoint_of(balancer.place(now, request(*key, 0)).1) == 0).count()
     };
     assert!(
--- a/crates/larklink-balancer/tests/slow_start_fleet.rs
+++ b/crates/larklink-balancer/tests/slow_start_fleet.rs
@@ -2,6 +2,7 @@
 //! endpoints have started lately, one after another, and all clients reconnect within a second, large groups each to
 //! one owner. The killed proxies come back one by one, and each learns of the new endpoints at its own time.
 use std::collections::{BTreeMap, BTreeSet};
+use std::ops::Range;
 
 use larklink_balancer::{
     AttemptOutcome, Balancer, Decision, EndpointEntry, EndpointIndex, EndpointState, Idempotency, ListScope,
@@ -10,8 +11,16 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const SECOND: TickDuration = 10_000;
-const NOW: TickDuration = 100 * SECOND;
+fn ticks(count: u64) -> TickDuration {
+    TickDuration::from_ticks(count)
+}
+
+fn random_duration(rng: &mut ChaCha8Rng, range: Range<TickDuration>) -> TickDuration {
+    ticks(rng.random_range(range.start.as_ticks()..range.end.as_ticks()))
+}
+
+const SECOND: TickDuration = TickDuration::from_secs(1);
+const NOW: Timestamp = Timestamp::from_ticks(1_000_000);
 /// The sessions that an endpoint can take after its slow start, and its mean number.
 const CAPACITY: f64 = 60.0;
 const MEAN_SESSIONS: usize = 25;
@@ -24,8 +33,11 @@
     slow_start_duration: TickDuration,
 }
 
-const USUAL: Allowance =
-    Allowance { overload_multiple: 3.0, overload_window: 2 * SECOND, slow_start_duration: 20 * SECOND };
+const USUAL: Allowance = Allowance {
+    overload_multiple: 3.0,
+    overload_window: TickDuration::from_secs(2),
+    slow_start_duration: TickDuration::from_secs(20),
+};
 
 /// A fleet, and how many sessions share a key.
 #[derive(Clone, Copy)]
@@ -81,23 +93,23 @@
             max_attempts: 3,
             load_reports: true,
             max_dial_timeout: 2 * SECOND,
-            message_objective: 500,
+            message_objective: ticks(500),
             ..Settings::default()
         }
     }
 
     /// What the proxies are told.
     fn settings_of_proxies(&self) -> Settings {
-        let known = if self.budget { self.allowed.slow_start_duration } else { 0 };
+        let known = if self.budget { self.allowed.slow_start_duration } else { TickDuration::ZERO };
         Settings { slow_start_duration: known, ..self.settings() }
     }
 
     /// How many sessions an endpoint of that age may be sent within the overload window.
     fn limit(&self, age: TickDuration) -> f64 {
         let settings = self.settings();
-        let duration = settings.slow_start_duration as f64;
-        let share = settings.initial_capacity + (1.0 - settings.initial_capacity) * age as f64 / duration;
-        let n = settings.overload_multiple * share * CAPACITY / duration * settings.overload_window as f64;
+        let duration = settings.slow_start_duration.as_f64();
+        let share = settings.initial_capacity + (1.0 - settings.initial_capacity) * age.as_f64() / duration;
+        let n = settings.overload_multiple * share * CAPACITY / duration * settings.overload_window.as_f64();
         n + 2.0 * n.sqrt() + 2.0
     }
 }
@@ -106,10 +118,14 @@
     /// `started_at` of every other endpoint; the others started long ago.
     fn new(model: FleetModel, seed: u64, started_at: impl Fn(u64) -> Timestamp) -> Self {
         let entry = |endpoint: usize| EndpointEntry {
-            endpoint,
+            endpoint: EndpointIndex(endpoint),
             id: 77 + 1000 * endpoint as u32,
             state: EndpointState::Ready,
-            started_at: if in_slow_start(endpoint) { started_at(endpoint as u64) } else { 0 },
+            started_at: if in_slow_start(EndpointIndex(endpoint)) {
+                started_at(endpoint as u64)
+            } else {
+                Timestamp::ZERO
+            },
             ..EndpointEntry::default()
         };
         Self {
@@ -126,10 +142,17 @@
     fn add_proxy(&mut self, started: Timestamp, knows_new: bool, reported_at: Timestamp) {
         let seed = self.seed * 1000 + self.proxies.len() as u64;
         let mut balancer = Balancer::new(self.model.settings_of_proxies(), seed, started);
-        let known = |entry: &&EndpointEntry| knows_new || entry.started_at == 0;
+        let known = |entry: &&EndpointEntry| knows_new || entry.started_at == Timestamp::ZERO;
         let listed: Vec<_> = self.entries.iter().filter(known).copied().collect();
         balancer.update_endpoints(started, ListScope::Cached, &listed);
-        balancer.health_checked(reported_at, 1, AttemptOutcome::Succeeded, 10, 0.5, CAPACITY / 2.0);
+        balancer.health_checked(
+            reported_at,
+            EndpointIndex(1),
+            AttemptOutcome::Succeeded,
+            ticks(10),
+            0.5,
+            CAPACITY / 2.0,
+        );
         self.proxies.push(balancer);
     }
 
@@ -165,7 +188,7 @@
     /// last sessions arrive.
     fn overload(&self, endpoint: EndpointIndex, times: &[Timestamp]) -> f64 {
         let Allowance { overload_window, slow_start_duration, .. } = self.model.allowed;
-        let age = |at: Timestamp| at - self.entries[endpoint].started_at;
+        let age = |time: Timestamp| time - self.entries[endpoint.0].started_at;
         let counted: Vec<_> = times.iter().copied().filter(|at| age(*at) < slow_start_duration).collect();
         let sent = |from: Timestamp| {
             counted.iter().filter(|at| (from..from + overload_window).contains(*at)).count() as f64
@@ -176,7 +199,7 @@
 }
 
 fn in_slow_start(endpoint: EndpointIndex) -> bool {
-    endpoint.is_multiple_of(2)
+    endpoint.0.is_multiple_of(2)
 }
 
 /// When a proxy starts, and when it is notified of the new endpoints if it does not know them from the start.
@@ -193,18 +216,22 @@
     let survivors = model.proxies.div_ceil(3);
     let times = proxy_times(&mut run, survivors);
     for time in &times {
-        run.add_proxy(time.starts, time.notified == 0, time.starts.max(NOW - SECOND));
+        run.add_proxy(time.starts, time.notified == Timestamp::ZERO, time.starts.max(NOW - SECOND));
     }
     let sessions = model.endpoints * MEAN_SESSIONS;
     let kept = sessions * 3 / 10;
     for n in 0..kept {
         let proxy = run.rng.random_range(0..survivors);
         let request = run.request(n, false);
-        run.proxies[proxy].adopt_established(NOW - SECOND, request, 1 + 2 * (n % (model.endpoints / 2)));
+        run.proxies[proxy].adopt_established(
+            NOW - SECOND,
+            request,
+            EndpointIndex(1 + 2 * (n % (model.endpoints / 2))),
+        );
     }
     let mut queue = BTreeSet::new();
     for n in kept..sessions {
-        queue.insert((NOW + run.rng.random_range(0..SECOND), n, 0));
+        queue.insert((NOW + random_duration(&mut run.rng, TickDuration::ZERO..SECOND), n, 0));
     }
     let arrived = queue.len();
     let mut notified = BTreeSet::new();
@@ -230,12 +257,16 @@
     let model = run.model;
     let mut times = Vec::new();
     for n in 0..model.proxies {
-        let moment = if model.step { NOW } else { NOW + run.rng.random_range(0..SECOND / 2) };
+        let moment = if model.step {
+            NOW
+        } else {
+            NOW + random_duration(&mut run.rng, TickDuration::ZERO..SECOND / 2)
+        };
         let survives = n < survivors;
         times.push(if survives {
-            ProxyTimes { starts: 0, notified: moment }
+            ProxyTimes { starts: Timestamp::ZERO, notified: moment }
         } else {
-            ProxyTimes { starts: moment, notified: 0 }
+            ProxyTimes { starts: moment, notified: Timestamp::ZERO }
         });
     }
     times
@@ -268,7 +299,7 @@
 fn burst(model: FleetModel, seed: u64) -> RunResult {
     let mut run = Run::new(model, seed, |n| NOW - SECOND + (n * 7 % 16) * SECOND / 4);
     for _ in 0..model.proxies {
-        run.add_proxy(0, false, NOW - 6 * SECOND);
+        run.add_proxy(Timestamp::ZERO, false, NOW - 6 * SECOND);
     }
     let mut queue = BTreeSet::new();
     schedule_list_updates(&mut run, &mut queue);
@@ -276,7 +307,7 @@
     while let Some((now, event)) = queue.pop_first() {
         match event {
             BurstEvent::ListUpdate(proxy, endpoint) => {
-                let changed = &run.entries[endpoint..=endpoint];
+                let changed = &run.entries[endpoint.0..=endpoint.0];
                 run.proxies[proxy].update_endpoints(now, ListScope::Changes, changed);
             }
             BurstEvent::SessionEnds(proxy, handle) => run.proxies[proxy].client_left(handle),
@@ -302,10 +333,10 @@
 
 /// Each proxy is notified of each new endpoint within a fifth of a second.
 fn schedule_list_updates(run: &mut Run, queue: &mut BTreeSet<(Timestamp, BurstEvent)>) {
-    let started: Vec<_> = run.entries.iter().filter(|e| e.started_at > 0).copied().collect();
+    let started: Vec<_> = run.entries.iter().filter(|e| e.started_at > Timestamp::ZERO).copied().collect();
     for entry in started {
         for proxy in 0..run.model.proxies {
-            let at = entry.started_at + run.rng.random_range(0..SECOND / 5);
+            let at = entry.started_at + random_duration(&mut run.rng, TickDuration::ZERO..SECOND / 5);
             queue.insert((at, BurstEvent::ListUpdate(proxy, entry.endpoint)));
         }
     }
@@ -318,10 +349,10 @@
     for (begin, seconds, rate) in [(NOW - 5 * SECOND, 5, MEAN_SESSIONS), (NOW, 4, 3 * MEAN_SESSIONS)] {
         let groups = (endpoints * rate * seconds).div_ceil(group);
         for _ in 0..groups {
-            let moment = begin + run.rng.random_range(0..seconds as u64 * SECOND);
+            let moment = begin + random_duration(&mut run.rng, TickDuration::ZERO..seconds as u64 * SECOND);
             for _ in 0..group {
                 arrived += 1;
-                let at = moment + run.rng.random_range(0..SECOND / 10);
+                let at = moment + random_duration(&mut run.rng, TickDuration::ZERO..SECOND / 10);
                 queue.insert((at, BurstEvent::SessionArrives(arrived, 0)));
             }
         }
@@ -385,7 +416,7 @@
                 };
                 let model = FleetModel { proxies, endpoints, group: 150, allowed, step: false, budget: true };
                 let name = format!(
-                    "{proxies} proxies, multiple {multiple}, span {span}, slow start of {slow_start}"
+                    "{proxies} proxies, multiple {multiple}, span {span:?}, slow start of {slow_start:?}"
                 );
                 for group in [1, 50, 150] {
                     let RunResult { worst_overload, .. } =
