--- a/crates/larklinkctl/src/run.rs
+++ b/crates/larklinkctl/src/run.rs
@@ -4,7 +4,7 @@
 
 use indicatif::style::TemplateError;
 use indicatif::{ProgressBar, ProgressStyle};
-use larklink_simulation::scenario::Scenario;
+use larklink_simulation::scenario::{Scenario, ScenarioProblem};
 use larklink_testbed::TestbedError;
 use larklink_testbed::html_report;
 use larklink_testbed::options::Options;
@@ -49,9 +49,8 @@
 enum RunError {
     #[error("{name}: {source}; `larklinkctl run --list` shows the scenarios that ship")]
     ReadScenario { name: String, source: std::io::Error },
-    /// One line for each problem, with file, line, key and reason.
-    #[error("{}", .problems.join("\nlarklinkctl: "))]
-    InvalidScenario { problems: Vec<String> },
+    #[error("{}", one_line_each(.name, .problems))]
+    InvalidScenario { name: String, problems: Vec<ScenarioProblem> },
     #[error("the path of this program: {0}")]
     OwnPath(std::io::Error),
     #[error("{}: no such program; name the proxy's by --proxy", .0.display())]
@@ -137,7 +136,12 @@
         None => std::fs::read_to_string(name)
             .map_err(|source| RunError::ReadScenario { name: name.to_owned(), source })?,
     };
-    Scenario::parse(&text).map_err(|error| RunError::InvalidScenario {
-        problems: error.problems.iter().map(|problem| format!("{name}:{problem}")).collect(),
-    })
+    Scenario::parse(&text)
+        .map_err(|error| RunError::InvalidScenario { name: name.to_owned(), problems: error.problems })
+}
+
+/// A line for each problem, with file, line, key and reason.
+fn one_line_each(name: &str, problems: &[ScenarioProblem]) -> String {
+    let lines: Vec<_> = problems.iter().map(|problem| format!("{name}:{problem}")).collect();
+    lines.join("\nlarklinkctl: ")
 }
