--- a/crates/larklink-adapter/src/action.rs
+++ b/crates/larklink-adapter/src/action.rs
@@ -1,5 +1,5 @@
 //! The actions of the wire: their codes, and how they are written.
-use larklink_balancer::{TickDuration, Timestamp};
+use larklink_balancer::Timestamp;
 use larklink_engine::engine::ProxyAction;
 
 use crate::wire::Reply;
@@ -26,8 +26,8 @@
 /// Nanoseconds in one tick of a tenth of a millisecond.
 pub(crate) const NANOS_PER_TICK: u64 = 100_000;
 
-/// The bytes of a time or duration, in nanoseconds.
-fn nanos(ticks: TickDuration) -> [u8; 8] {
+/// The bytes of so many ticks, in nanoseconds.
+fn nanos(ticks: u64) -> [u8; 8] {
     (ticks * NANOS_PER_TICK).to_le_bytes()
 }
 
@@ -35,11 +35,12 @@
 pub(crate) fn write(instance: u32, action: ProxyAction, reply: &mut Reply) {
     match action {
         ProxyAction::Connect { session, endpoint, timeout, .. } => {
-            let fields: [&[u8]; 3] = [&session.to_le_bytes(), &endpoint.to_le_bytes(), &nanos(timeout)];
+            let fields: [&[u8]; 3] =
+                [&session.to_le_bytes(), &endpoint.to_le_bytes(), &nanos(timeout.as_ticks())];
             reply.act(CONNECT, instance, &fields);
         }
         ProxyAction::Reject { session, retry_after } => {
-            reply.act(REJECT, instance, &[&session.to_le_bytes(), &nanos(retry_after)]);
+            reply.act(REJECT, instance, &[&session.to_le_bytes(), &nanos(retry_after.as_ticks())]);
         }
         ProxyAction::Fail { session } => reply.act(FAIL, instance, &[&session.to_le_bytes()]),
         ProxyAction::Migrate { session } => reply.act(MIGRATE, instance, &[&session.to_le_bytes()]),
@@ -55,7 +56,8 @@
 
 /// Asks for a wake-up; the time in ticks serves as the timer's id.
 pub(crate) fn write_timer(instance: u32, wakes_at: Timestamp, reply: &mut Reply) {
-    reply.act(SET_TIMER, instance, &[&nanos(wakes_at), &wakes_at.to_le_bytes()]);
+    let ticks = wakes_at.as_ticks();
+    reply.act(SET_TIMER, instance, &[&nanos(ticks), &ticks.to_le_bytes()]);
 }
 
 /// Reports a panic of the decisions.
--- a/crates/larklink-adapter/src/event.rs
+++ b/crates/larklink-adapter/src/event.rs
@@ -1,6 +1,7 @@
 //! The events of the wire: their codes, where their fields stand, and how they are read.
 use larklink_balancer::{
-    AttemptOutcome, EndpointEntry, EndpointState, ListScope, Observation, SessionRequest, TickDuration,
+    AttemptOutcome, EndpointEntry, EndpointIndex, EndpointState, ListScope, Observation, SessionRequest,
+    TickDuration, Timestamp,
 };
 use larklink_engine::engine::{AttemptNumber, EndpointId, SessionId};
 use larklink_engine::units::ticks_from_nanos;
@@ -241,7 +242,7 @@
 fn endpoint_entry(entry: Fields) -> EndpointEntry {
     let started_at = entry.nanos(offset::ENTRY_STARTED_AT);
     EndpointEntry {
-        endpoint: 0,
+        endpoint: EndpointIndex(0),
         id: entry.u32(offset::ENTRY_ID),
         zone: entry.u16(offset::ENTRY_ZONE),
         cell: entry.u16(offset::ENTRY_CELL),
@@ -252,7 +253,11 @@
         },
         weight: f64::from(entry.f32(offset::ENTRY_WEIGHT)),
         // 0 means long ago.
-        started_at: if started_at > 0 { ticks_from_nanos(started_at).max(1) } else { 0 },
+        started_at: if started_at > 0 {
+            Timestamp::ZERO + ticks_from_nanos(started_at).max(TickDuration::from_ticks(1))
+        } else {
+            Timestamp::ZERO
+        },
     }
 }
 
@@ -289,7 +294,7 @@
     let amount = f64::from(event.f32(offset::OBSERVED_AMOUNT));
     match event.u8(offset::OBSERVED_KIND) {
         OBSERVED_LOAD => Some(Observation::Load(amount)),
-        OBSERVED_LATENCY => Some(Observation::MessageLatency((amount * TICKS_PER_MS) as TickDuration)),
+        OBSERVED_LATENCY => Some(Observation::MessageLatency(TickDuration::from_f64(amount * TICKS_PER_MS))),
         _ => None,
     }
 }
--- a/crates/larklink-adapter/src/proxies.rs
+++ b/crates/larklink-adapter/src/proxies.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-use larklink_balancer::Timestamp;
+use larklink_balancer::{TickDuration, Timestamp};
 use larklink_engine::engine::{Engine, ProxyAction};
 use larklink_engine::settings::ProxySettings;
 
@@ -32,7 +32,7 @@
     pub fn answer(&mut self, batch: &Batch) -> Result<Vec<u8>, MalformedFrame> {
         let mut reply = Reply::default();
         let mut touched = BTreeSet::new();
-        let now = batch.clock / NANOS_PER_TICK;
+        let now = Timestamp::from_ticks(batch.clock / NANOS_PER_TICK);
         for event in batch.events() {
             let code = event::code(event);
             let instance = event::instance(event);
@@ -119,7 +119,7 @@
 
     /// Asks for a wake-up, unless one is due that is early enough.
     fn set_timer(&mut self, now: Timestamp, instance: u32, reply: &mut Reply) {
-        let wakes_at = self.engine.next_wakeup().max(now + 1);
+        let wakes_at = self.engine.next_wakeup().max(now + TickDuration::from_ticks(1));
         let is_earlier = self.wakes_at.is_none_or(|set| set <= now || wakes_at < set);
         if wakes_at != Timestamp::MAX && is_earlier {
             self.wakes_at = Some(wakes_at);
--- a/crates/larklink-balancer/src/time.rs
+++ b/crates/larklink-balancer/src/time.rs
@@ -10,6 +10,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TickDuration(u64);
 
+/// Ticks in a millisecond.
+const TICKS_PER_MILLISECOND: u64 = 10;
+
 impl Timestamp {
     /// The origin.
     pub const ZERO: Self = Self(0);
@@ -43,14 +46,24 @@
         Self(ticks)
     }
 
-    /// A duration in milliseconds.
+    /// A duration in milliseconds; [`TickDuration::MAX`] if it is longer than that.
     pub const fn from_millis(millis: u64) -> Self {
-        Self(10 * millis)
+        Self(millis.saturating_mul(TICKS_PER_MILLISECOND))
     }
 
-    /// A duration in seconds.
+    /// A duration in seconds; [`TickDuration::MAX`] if it is longer than that.
     pub const fn from_secs(seconds: u64) -> Self {
-        Self(10_000 * seconds)
+        Self::from_millis(seconds.saturating_mul(1_000))
+    }
+
+    /// A duration in whole milliseconds, rounded up.
+    pub const fn as_millis_rounded_up(self) -> u64 {
+        self.0.div_ceil(TICKS_PER_MILLISECOND)
+    }
+
+    /// What is left of it after `other`; zero if that is longer.
+    pub const fn saturating_sub(self, other: Self) -> Self {
+        Self(self.0.saturating_sub(other.0))
     }
 
     /// How many ticks it has.
@@ -108,6 +121,12 @@
     }
 }
 
+impl AddAssign for TickDuration {
+    fn add_assign(&mut self, other: Self) {
+        *self = *self + other;
+    }
+}
+
 impl Sub for TickDuration {
     type Output = Self;
 
--- a/crates/larklink-coordination/src/lease.rs
+++ b/crates/larklink-coordination/src/lease.rs
@@ -33,7 +33,6 @@
 //! ```
 use std::marker::PhantomData;
 
-use larklink_balancer::{TickDuration, Timestamp};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -41,6 +40,7 @@
 use crate::request::{FencingToken, LeaseRequest, LeaseResponse};
 use crate::safety::{BoundedDrift, SafetyCondition};
 use crate::settings::LeaseSettings;
+use crate::time::{TickDuration, Timestamp};
 
 /// A holder renews so often in its TTL: two renewals may fail before it must stop.
 const RENEWALS_PER_TTL: TickDuration = 3;
--- a/crates/larklink-coordination/src/lib.rs
+++ b/crates/larklink-coordination/src/lib.rs
@@ -7,8 +7,10 @@
 //! - [`request`]: requests to the lease store, its responses, and the fencing token.
 //! - [`safety`]: the inequalities on which the lease rests.
 //! - [`settings`]: the durations on which all candidates agree.
+//! - [`time`]: the unit of all times.
 pub mod lease;
 pub mod record;
 pub mod request;
 pub mod safety;
 pub mod settings;
+pub mod time;
--- a/crates/larklink-coordination/src/record.rs
+++ b/crates/larklink-coordination/src/record.rs
@@ -1,7 +1,8 @@
 //! What the lease store keeps of a lease.
-use larklink_balancer::TickDuration;
 use serde::{Deserialize, Serialize};
 
+use crate::time::TickDuration;
+
 /// One process. A name that is started again is another member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Member {
--- a/crates/larklink-coordination/src/request.rs
+++ b/crates/larklink-coordination/src/request.rs
@@ -1,7 +1,7 @@
 //! Requests to the lease store, its responses, and the fencing token.
-use larklink_balancer::TickDuration;
 
 use crate::record::{LeaseRecord, StoredRecord};
+use crate::time::TickDuration;
 
 /// A request to the lease store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/crates/larklink-coordination/src/safety.rs
+++ b/crates/larklink-coordination/src/safety.rs
@@ -1,8 +1,8 @@
 //! The inequalities on which it rests that no two members act by one lease at once. They stand apart from the state
 //! machine, so that a search can show that it finds mistaken ones.
-use larklink_balancer::{TickDuration, Timestamp};
 
 use crate::settings::LeaseSettings;
+use crate::time::{TickDuration, Timestamp};
 
 /// Millionths in one, the unit of drift.
 const MILLION: TickDuration = 1_000_000;
--- a/crates/larklink-coordination/src/settings.rs
+++ b/crates/larklink-coordination/src/settings.rs
@@ -1,7 +1,8 @@
 //! The durations of a lease, on which all its candidates agree.
-use larklink_balancer::TickDuration;
 use thiserror::Error;
 
+use crate::time::TickDuration;
+
 /// The least ratio of the TTL to the request timeout: renewals need time to fail and be repeated.
 pub const MIN_TTL_PER_REQUEST_TIMEOUT: TickDuration = 10;
 /// The highest drift, in millionths.
--- a/crates/larklink-engine/src/engine.rs
+++ b/crates/larklink-engine/src/engine.rs
@@ -241,7 +241,7 @@
     fn translate(&mut self, action: Action) -> Option<ProxyAction> {
         match action {
             Action::CheckHealth(endpoint) => {
-                Some(ProxyAction::CheckHealth { endpoint: self.endpoint_ids[endpoint] })
+                Some(ProxyAction::CheckHealth { endpoint: self.endpoint_ids[endpoint.0] })
             }
             Action::Migrate(handle) => {
                 let session = self.session_ids[&handle];
@@ -266,7 +266,7 @@
                 let open = self.sessions.get_mut(&session)?;
                 let attempt = open.attempts;
                 open.attempts += 1;
-                let endpoint = self.endpoint_ids[endpoint];
+                let endpoint = self.endpoint_ids[endpoint.0];
                 Some(ProxyAction::Connect { session, attempt, endpoint, timeout, send_deadline })
             }
             Decision::Reject { retry_after } => {
@@ -300,7 +300,7 @@
     fn endpoint_index(&mut self, id: EndpointId) -> EndpointIndex {
         *self.endpoints.entry(id).or_insert_with(|| {
             self.endpoint_ids.push(id);
-            self.endpoint_ids.len() - 1
+            EndpointIndex(self.endpoint_ids.len() - 1)
         })
     }
 }
--- a/crates/larklink-engine/src/settings.rs
+++ b/crates/larklink-engine/src/settings.rs
@@ -1,5 +1,5 @@
 //! The settings of one proxy, read from its settings object.
-use larklink_balancer::{DeduplicationGroup, Idempotency, Listener, Settings, TickDuration, Timestamp};
+use larklink_balancer::{DeduplicationGroup, Idempotency, Listener, Settings, TickDuration};
 use serde::Deserialize;
 
 use crate::units::ticks_from_nanos;
@@ -56,7 +56,7 @@
         let in_flight_position = position(IN_FLIGHT_VALUE);
         let dial_timeouts =
             object.listeners.iter().map(|listener| ticks_from_nanos(listener.dial_timeout_ns));
-        let max_dial_timeout = dial_timeouts.max().unwrap_or(0);
+        let max_dial_timeout = dial_timeouts.max().unwrap_or(TickDuration::ZERO);
         let settings = balancer_settings(&object, load_position.is_some(), max_dial_timeout)?;
         Ok(Self {
             settings,
@@ -95,7 +95,7 @@
         overload_window: ticks_from_nanos(safety.overload_window_ns),
         retry_budget: validation::retry_budget(safety)?,
         availability_nines: validation::availability_nines(&object.availability)?,
-        connect_timeout: ticks_from_nanos(limits.connect_timeout_ns).max(1),
+        connect_timeout: ticks_from_nanos(limits.connect_timeout_ns).max(TickDuration::from_ticks(1)),
         // The number of an attempt is a byte.
         max_attempts: limits.max_attempts.min(u8::MAX.into()),
         max_retry_after: ticks_from_nanos(limits.max_retry_after_ns),
@@ -103,8 +103,12 @@
         health_checks: limits.health_checks,
         load_reports: limits.health_checks && reports_load,
         local_zone: prefers_local_zone(object).then_some(object.zone),
-        max_dial_timeout: if max_dial_timeout > 0 { max_dial_timeout } else { Timestamp::MAX },
-        message_objective: message_objectives.min().unwrap_or(0),
+        max_dial_timeout: if max_dial_timeout > TickDuration::ZERO {
+            max_dial_timeout
+        } else {
+            TickDuration::MAX
+        },
+        message_objective: message_objectives.min().unwrap_or(TickDuration::ZERO),
     })
 }
 
--- a/crates/larklink-engine/src/units.rs
+++ b/crates/larklink-engine/src/units.rs
@@ -6,5 +6,5 @@
 
 /// Nanoseconds as whole ticks of a tenth of a millisecond, rounded down; 0 for a negative number.
 pub fn ticks_from_nanos(nanos: i64) -> TickDuration {
-    u64::try_from(nanos).unwrap_or(0) / NANOS_PER_TICK
+    TickDuration::from_ticks(u64::try_from(nanos).unwrap_or(0) / NANOS_PER_TICK)
 }
--- a/crates/larklink-engine/src/validation.rs
+++ b/crates/larklink-engine/src/validation.rs
@@ -1,5 +1,5 @@
 //! What is checked of a settings object beyond its form: ranges, and values that contradict each other.
-use larklink_balancer::{AvailabilityNines, RetryBudgetSettings};
+use larklink_balancer::{AvailabilityNines, RetryBudgetSettings, TickDuration};
 use thiserror::Error;
 
 use crate::units::ticks_from_nanos;
@@ -121,7 +121,7 @@
         }
     }
     let window = ticks_from_nanos(window_ns);
-    if window == 0 {
+    if window == TickDuration::ZERO {
         let problem = SettingsProblem::RetryWindowTooShort(window_ns);
         return Err(SettingsError::new("safety.counted_over_ns", problem));
     }
--- a/crates/larklink-engine/tests/engine.rs
+++ b/crates/larklink-engine/tests/engine.rs
@@ -24,9 +24,9 @@
         "start_capacity": 0.2}}"#;
 
 /// How long a health check takes in these runs.
-const HEALTH_CHECK_TOOK: TickDuration = 10;
+const HEALTH_CHECK_TOOK: TickDuration = TickDuration::from_ticks(10);
 /// How far in the future a send deadline may lie at most: the drain grace and more.
-const MAX_SEND_DEADLINE: TickDuration = 10_000;
+const MAX_SEND_DEADLINE: TickDuration = TickDuration::from_ticks(10_000);
 
 /// What happens next. A session is drawn by any number, and an attempt by how far it is from the latest; 0 is the latest.
 #[derive(Clone, Debug)]
@@ -59,7 +59,7 @@
     prop::sample::select(vec![
         Observation::Load(900.0),
         Observation::Load(9000.0),
-        Observation::MessageLatency(400),
+        Observation::MessageLatency(TickDuration::from_ticks(400)),
         Observation::Unresponsive,
     ])
 }
@@ -90,7 +90,7 @@
             .prop_map(|(endpoint, outcome, load_report)| Step::HealthChecked { endpoint, outcome, load_report }),
         1 => (endpoint(), endpoint_state())
             .prop_map(|(endpoint, state)| Step::EndpointChanged { endpoint, state }),
-        3 => (1..5_000u64).prop_map(|duration| Step::Wait { duration }),
+        3 => (1..5_000u64).prop_map(|duration| Step::Wait { duration: TickDuration::from_ticks(duration) }),
     ]
 }
 
@@ -114,8 +114,8 @@
 impl Checker {
     fn new() -> Self {
         let settings = ProxySettings::from_json(SETTINGS.as_bytes()).unwrap();
-        let engine = Engine::new(&settings, 5, 0);
-        Self { engine, now: 0, latest_session: 0, open: BTreeMap::new(), listed: Vec::new() }
+        let engine = Engine::new(&settings, 5, Timestamp::ZERO);
+        Self { engine, now: Timestamp::ZERO, latest_session: 0, open: BTreeMap::new(), listed: Vec::new() }
     }
 
     fn check(&mut self, action: ProxyAction) {
@@ -128,7 +128,10 @@
                     send_deadline >= self.now && send_deadline <= self.now + timeout,
                     "a send deadline that has passed, or after the end of the attempt"
                 );
-                assert!(timeout > 0 && self.listed.contains(&endpoint), "an endpoint that was never listed");
+                assert!(
+                    timeout > TickDuration::ZERO && self.listed.contains(&endpoint),
+                    "an endpoint that was never listed"
+                );
                 open.attempts = attempt + 1;
                 open.in_flight = true;
             }
@@ -256,7 +259,12 @@
 }
 
 fn request(listener: usize, client_key: u64) -> SessionRequest {
-    SessionRequest { listener, client_key, dial_timeout: 20_000, ..SessionRequest::default() }
+    SessionRequest {
+        listener,
+        client_key,
+        dial_timeout: TickDuration::from_ticks(20_000),
+        ..SessionRequest::default()
+    }
 }
 
 proptest! {
@@ -279,27 +287,44 @@
 #[test]
 fn a_session_with_hundreds_of_dials_ends_before_their_numbers_do() {
     let text = SETTINGS.replace(r#""send_cap": 3"#, r#""send_cap": 1000"#);
-    let mut engine = Engine::new(&ProxySettings::from_json(text.as_bytes()).unwrap(), 7, 0);
+    let mut engine = Engine::new(&ProxySettings::from_json(text.as_bytes()).unwrap(), 7, Timestamp::ZERO);
     let entry =
         |id| EndpointEntry { id, state: EndpointState::Ready, weight: 1.0, ..EndpointEntry::default() };
-    engine.update_endpoints(0, ListScope::Cached, vec![entry(1), entry(2)]);
-    let request = SessionRequest { client_key: 5, dial_timeout: 1_000_000, ..SessionRequest::default() };
+    engine.update_endpoints(Timestamp::ZERO, ListScope::Cached, vec![entry(1), entry(2)]);
+    let request = SessionRequest {
+        client_key: 5,
+        dial_timeout: TickDuration::from_ticks(1_000_000),
+        ..SessionRequest::default()
+    };
     let is_decision =
         |action: &ProxyAction| matches!(action, ProxyAction::Connect { .. } | ProxyAction::Reject { .. });
     let mut now = 0;
     let mut attempts = Vec::new();
-    let mut action = engine.open_session(0, 9, request);
+    let mut action = engine.open_session(Timestamp::ZERO, 9, request);
     loop {
         now += 1;
-        match action.take().or_else(|| engine.poll(now).into_iter().find(is_decision)) {
+        match action.take().or_else(|| engine.poll(Timestamp::from_ticks(now)).into_iter().find(is_decision))
+        {
             Some(ProxyAction::Connect { attempt, .. }) => {
                 attempts.push(attempt);
-                action = engine.attempt_ended(now, 9, attempt, AttemptOutcome::AtCapacity, false);
+                action = engine.attempt_ended(
+                    Timestamp::from_ticks(now),
+                    9,
+                    attempt,
+                    AttemptOutcome::AtCapacity,
+                    false,
+                );
             }
             Some(_) => break,
-            None => [1, 2]
-                .into_iter()
-                .for_each(|id| engine.health_checked(now, id, AttemptOutcome::Succeeded, 1, &[])),
+            None => [1, 2].into_iter().for_each(|id| {
+                engine.health_checked(
+                    Timestamp::from_ticks(now),
+                    id,
+                    AttemptOutcome::Succeeded,
+                    TickDuration::from_ticks(1),
+                    &[],
+                )
+            }),
         }
     }
     assert!(
--- a/crates/larklink-engine/tests/settings.rs
+++ b/crates/larklink-engine/tests/settings.rs
@@ -1,7 +1,7 @@
 //! The settings object: names, units, defaults, and what is rejected with the path of its field.
 #![expect(clippy::unwrap_used, reason = "a test fails by panicking")]
 
-use larklink_balancer::{AvailabilityNines, Idempotency, RetryBudgetSettings, Settings, Timestamp};
+use larklink_balancer::{AvailabilityNines, Idempotency, RetryBudgetSettings, Settings, TickDuration};
 use larklink_engine::settings::ProxySettings;
 
 const SETTINGS: &str = r#"{
@@ -27,11 +27,14 @@
 fn settings_are_read_by_name_and_units() {
     let proxy = read(SETTINGS);
     let balancer = &proxy.settings;
-    assert_eq!((proxy.listeners.len(), proxy.max_dial_timeout, proxy.passthrough), (2, 30_000, true));
+    assert_eq!(
+        (proxy.listeners.len(), proxy.max_dial_timeout, proxy.passthrough),
+        (2, TickDuration::from_secs(3), true)
+    );
     assert_eq!((proxy.load_position, balancer.load_reports), (Some(1), true));
     assert_eq!(
         (balancer.connect_timeout, balancer.message_objective, balancer.drain_grace),
-        (2_500, 500, 5_000)
+        (TickDuration::from_millis(250), TickDuration::from_millis(50), TickDuration::from_millis(500))
     );
     assert_eq!(balancer.listeners[1].idempotency, Idempotency::OnceOnly);
     assert!(
@@ -41,7 +44,7 @@
     // A limit of 0 would make an endpoint count as failed by any latency reported.
     assert_eq!(
         (balancer.max_dial_timeout, balancer_settings("{}").max_dial_timeout),
-        (30_000, Timestamp::MAX)
+        (TickDuration::from_secs(3), TickDuration::MAX)
     );
     assert!(ProxySettings::from_json(b"[").is_err());
 }
@@ -54,7 +57,7 @@
     );
     assert_eq!(
         all.retry_budget,
-        Some(RetryBudgetSettings { min_retries: 3.0, retry_ratio: 0.05, window: 50_000 })
+        Some(RetryBudgetSettings { min_retries: 3.0, retry_ratio: 0.05, window: TickDuration::from_secs(5) })
     );
     assert_eq!(all.availability_nines, Some(AvailabilityNines { weight: 0.3, max_nines: 3.0 }));
     let none = balancer_settings("{}");
--- a/crates/larklink-engine/tests/sites.rs
+++ b/crates/larklink-engine/tests/sites.rs
@@ -4,7 +4,7 @@
 
 use std::path::{Path, PathBuf};
 
-use larklink_balancer::Idempotency;
+use larklink_balancer::{Idempotency, TickDuration};
 use larklink_engine::settings::ProxySettings;
 use larklink_engine::units::ticks_from_nanos;
 use serde_json::{Map, Value, json};
@@ -124,7 +124,7 @@
     assert_eq!(proxy.listeners, names);
     assert!(balancer.listeners.iter().all(|listener| listener.idempotency == Idempotency::Idempotent
         && listener.priority_weight > 0.0
-        && listener.handshake_objective > 0));
+        && listener.handshake_objective > TickDuration::ZERO));
     assert_eq!(json!(proxy.zones), site.site["net"]["zones"]);
     assert_eq!(json!(balancer.overload_multiple), json!(rules["fall_multiple"].as_f64().unwrap()));
     let ticks = |millis: &Value| ticks_from_nanos(nanos_from_millis(millis));
@@ -133,7 +133,7 @@
     assert_eq!(balancer.connect_timeout, ticks(&site.site["tier"][0]["conn"]["connect_timeout_ms"]));
     assert_eq!(json!(balancer.max_attempts), allow["max_attempts"]);
     assert!(
-        balancer.health_checks && balancer.load_reports && proxy.max_dial_timeout > 0,
+        balancer.health_checks && balancer.load_reports && proxy.max_dial_timeout > TickDuration::ZERO,
         "{name}: load is reported by health checks"
     );
 }
--- a/crates/larklink-proxy/src/clock.rs
+++ b/crates/larklink-proxy/src/clock.rs
@@ -18,7 +18,7 @@
     pub fn start() -> Self {
         // A wall clock before 1970 is wrong, and any other origin is as good then.
         let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { started_at: Instant::now(), start: to_ticks(since_1970) }
+        Self { started_at: Instant::now(), start: Timestamp::ZERO + to_ticks(since_1970) }
     }
 
     /// The time now.
@@ -28,16 +28,16 @@
 
     /// The instant at which the clock shows a time, at the earliest that of its start.
     pub fn to_instant(&self, time: Timestamp) -> Instant {
-        self.started_at + to_duration(time.saturating_sub(self.start))
+        self.started_at + to_duration(time.saturating_since(self.start))
     }
 }
 
 /// A duration in whole ticks, rounded down.
 pub fn to_ticks(duration: Duration) -> TickDuration {
-    (duration.as_micros() / u128::from(MICROSECONDS_PER_TICK)) as TickDuration
+    TickDuration::from_ticks((duration.as_micros() / u128::from(MICROSECONDS_PER_TICK)) as u64)
 }
 
 /// The duration of so many ticks.
 pub fn to_duration(ticks: TickDuration) -> Duration {
-    Duration::from_micros(ticks.saturating_mul(MICROSECONDS_PER_TICK))
+    Duration::from_micros(ticks.as_ticks().saturating_mul(MICROSECONDS_PER_TICK))
 }
--- a/crates/larklink-proxy/src/decision_task.rs
+++ b/crates/larklink-proxy/src/decision_task.rs
@@ -287,7 +287,7 @@
 
     fn check_health(&mut self, now: Timestamp, endpoint: EndpointId) {
         let Some(&address) = self.addresses.get(&endpoint) else {
-            self.engine.health_checked(now, endpoint, AttemptOutcome::ConnectFailed, 0, &[]);
+            self.engine.health_checked(now, endpoint, AttemptOutcome::ConnectFailed, TickDuration::ZERO, &[]);
             return;
         };
         let checker = Rc::clone(&self.health_checker);
--- a/crates/larklink-proxy/src/discovery/schedule.rs
+++ b/crates/larklink-proxy/src/discovery/schedule.rs
@@ -74,7 +74,7 @@
         let long_poll_wait = (to_duration(discovery_deadline) / LONG_POLLS_PER_DEADLINE)
             .clamp(MIN_LONG_POLL_WAIT, MAX_LONG_POLL_WAIT);
         let drain_grace = match drain_grace {
-            0 => INITIAL_BACKOFF * BACKOFFS_PER_DRAIN_GRACE,
+            TickDuration::ZERO => INITIAL_BACKOFF * BACKOFFS_PER_DRAIN_GRACE,
             ticks => to_duration(ticks),
         };
         let max_backoff = (drain_grace / BACKOFFS_PER_DRAIN_GRACE)
--- a/crates/larklink-proxy/src/endpoint_list.rs
+++ b/crates/larklink-proxy/src/endpoint_list.rs
@@ -1,5 +1,5 @@
 //! The endpoint list in the form that discovery has it, and the conversion of its entries for the decisions. Pure.
-use larklink_balancer::{EndpointEntry, EndpointState, TickDuration};
+use larklink_balancer::{EndpointEntry, EndpointIndex, EndpointState, TickDuration, Timestamp};
 use larklink_engine::engine::EndpointId;
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
@@ -51,13 +51,14 @@
     /// The entry as the decisions take it. A zone that is not among `zones` gets the number after the last.
     pub fn to_entry(&self, zones: &[String]) -> EndpointEntry {
         EndpointEntry {
-            endpoint: 0,
+            endpoint: EndpointIndex(0),
             id: endpoint_id(&self.name),
             zone: zones.iter().position(|zone| *zone == self.zone).unwrap_or(zones.len()) as u16,
             cell: self.cell,
             state: self.state(),
             weight: self.weight,
-            started_at: (self.started_at_ms * TICKS_PER_MILLISECOND).round() as TickDuration,
+            started_at: Timestamp::ZERO
+                + TickDuration::from_f64((self.started_at_ms * TICKS_PER_MILLISECOND).round()),
         }
     }
 
--- a/crates/larklink-proxy/src/session/connect.rs
+++ b/crates/larklink-proxy/src/session/connect.rs
@@ -15,7 +15,7 @@
 use super::context::SessionContext;
 use super::reconnect;
 use super::relay::{self, EstablishedAt};
-use super::request::{Request, TICKS_PER_MILLISECOND};
+use super::request::Request;
 use super::send_permit::SendPermit;
 use crate::clock::to_ticks;
 use crate::connection::Connection;
@@ -179,7 +179,7 @@
     async fn reject(&mut self, retry_after: TickDuration) -> EndReason {
         let reason = EndReason::Rejected;
         self.record_rejection(reason);
-        match retry_after.div_ceil(TICKS_PER_MILLISECOND) {
+        match retry_after.as_millis_rounded_up() {
             0 => self.client.answer(BUSY).await,
             milliseconds => self.client.answer(&format!("BUSY {milliseconds}\r\n")).await,
         }
--- a/crates/larklink-proxy/src/session/request.rs
+++ b/crates/larklink-proxy/src/session/request.rs
@@ -4,9 +4,6 @@
 
 use crate::protocol::OpenLine;
 
-/// Ticks of the decisions' clock in a millisecond.
-pub(super) const TICKS_PER_MILLISECOND: TickDuration = 10;
-
 /// A session that a client has requested.
 pub(super) struct Request<'a> {
     /// Its number in this process.
@@ -26,7 +23,7 @@
             listener: self.listener,
             group_key: self.open_line.group_key,
             client_key: self.open_line.client_key,
-            dial_timeout: self.open_line.dial_timeout_ms.saturating_mul(TICKS_PER_MILLISECOND),
+            dial_timeout: TickDuration::from_millis(self.open_line.dial_timeout_ms),
             established: self.open_line.established,
             reconnecting: self.open_line.reconnecting,
             client_retry: self.open_line.client_retry,
--- a/crates/larklink-proxy/src/upstream/message_latency.rs
+++ b/crates/larklink-proxy/src/upstream/message_latency.rs
@@ -5,9 +5,9 @@
 use larklink_engine::engine::EndpointId;
 
 /// An endpoint's latency is reported at most once in this time: one second.
-const REPORT_INTERVAL: TickDuration = 10_000;
+const REPORT_INTERVAL: TickDuration = TickDuration::from_secs(1);
 /// A mean above the message objective divided by this is reported.
-const OBJECTIVE_PER_REPORT_THRESHOLD: TickDuration = 3;
+const OBJECTIVE_PER_REPORT_THRESHOLD: u64 = 3;
 
 /// The messages of one endpoint since its last report.
 #[derive(Default)]
--- a/crates/larklink-proxy/tests/discovery.rs
+++ b/crates/larklink-proxy/tests/discovery.rs
@@ -5,6 +5,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+use larklink_balancer::TickDuration;
 use larklink_proxy::clock::to_duration;
 use larklink_proxy::discovery::schedule::{NOTIFICATION_DEADLINE, PollSchedule, SCHEDULING_MARGIN, backoff};
 use rand::SeedableRng;
@@ -17,6 +18,10 @@
     receive_request, respond, start, start_with_config,
 };
 
+fn ticks(count: u64) -> TickDuration {
+    TickDuration::from_ticks(count)
+}
+
 /// From a tenth of a millisecond to a day, in tenths of a millisecond; and none.
 fn spans() -> impl Iterator<Item = u64> + Clone {
     std::iter::once(0).chain((0..120).map(|n| 1.19_f64.powi(n) as u64)).chain([u64::MAX / 100])
@@ -30,7 +35,7 @@
         spans().flat_map(|deadline| spans().map(move |grace| (deadline, grace)))
     {
         for polled_discovery in [false, true] {
-            let schedule = PollSchedule::new(discovery_deadline, grace, polled_discovery);
+            let schedule = PollSchedule::new(ticks(discovery_deadline), ticks(grace), polled_discovery);
             let of = format!(
                 "discovery_deadline {discovery_deadline}, drain_grace {grace}, {polled_discovery}: {schedule:?}"
             );
@@ -66,7 +71,7 @@
             assert!(
                 polled_discovery
                     || grace < 2_000
-                    || schedule.call_timeout + schedule.max_backoff <= to_duration(grace) * 3 / 4,
+                    || schedule.call_timeout + schedule.max_backoff <= to_duration(ticks(grace)) * 3 / 4,
                 "{of}"
             );
             // Never in a tight loop, and never so short that no response could be read.
@@ -76,7 +81,7 @@
                 "{of}"
             );
             // Pushed lists are polled again within the grace, but for graces under 40 ms.
-            let quarter = to_duration(grace).max(Duration::from_millis(40)) / 4;
+            let quarter = to_duration(ticks(grace)).max(Duration::from_millis(40)) / 4;
             assert!(polled_discovery || grace == 0 || schedule.max_rejection_backoff <= quarter, "{of}");
         }
     }
@@ -141,7 +146,7 @@
 }
 
 fn arrives_in_time(order: [Failure; 3], discovery_deadline: u64, grace: u64, polled_discovery: bool) {
-    let schedule = PollSchedule::new(discovery_deadline, grace, polled_discovery);
+    let schedule = PollSchedule::new(ticks(discovery_deadline), ticks(grace), polled_discovery);
     let ((_listener, at), (agent, discovery)) = (listen(), listen());
     let config = config(&[], discovery, "proxy", 1024)
         .replace(r#""drain_grace_ns":500000000"#, &format!(r#""drain_grace_ns":{grace}00000"#))
@@ -228,7 +233,8 @@
     assert!(receive_request(&mut watch).starts_with("/api/targets?after=43&wait_ms=500"));
     assert!(
         begun.elapsed()
-            < PollSchedule::new(20_000, 5_000, false).max_notification_delay(0, 1) + SCHEDULING_MARGIN,
+            < PollSchedule::new(ticks(20_000), ticks(5_000), false).max_notification_delay(0, 1)
+                + SCHEDULING_MARGIN,
         "{:?}",
         begun.elapsed()
     );
--- a/crates/larklink-proxy/tests/discovery_responses.rs
+++ b/crates/larklink-proxy/tests/discovery_responses.rs
@@ -24,7 +24,7 @@
         (EndpointState::Ready, EndpointState::Draining)
     );
     let started = Endpoint { started_at_ms: 1_796_122_544_461.0, ..one };
-    assert_eq!(started.to_entry(&[]).started_at, 17_961_225_444_610);
+    assert_eq!(started.to_entry(&[]).started_at.as_ticks(), 17_961_225_444_610);
 }
 
 const LIST: &str =
--- a/crates/larklink-proxy/tests/endings.rs
+++ b/crates/larklink-proxy/tests/endings.rs
@@ -8,7 +8,7 @@
 
 use async_executor::LocalExecutor;
 use futures_lite::future;
-use larklink_balancer::SessionRequest;
+use larklink_balancer::{SessionRequest, TickDuration};
 use larklink_proxy::config::Config;
 use larklink_proxy::decision_task::DecisionTask;
 use larklink_proxy::events::{self, DecisionEvent};
@@ -156,7 +156,8 @@
     let (sender, orders) = async_channel::unbounded();
     async_io::block_on(executor.run(async {
         for session in 0..SESSIONS as u32 {
-            let ask = SessionRequest { dial_timeout: 20_000, ..SessionRequest::default() };
+            let ask =
+                SessionRequest { dial_timeout: TickDuration::from_secs(2), ..SessionRequest::default() };
             queue
                 .send(DecisionEvent::OpenSession {
                     session,
--- a/crates/larklink-proxy/tests/wire_fixtures.rs
+++ b/crates/larklink-proxy/tests/wire_fixtures.rs
@@ -8,7 +8,7 @@
 use async_io::Async;
 use larklink_balancer::{
     AvailabilityNines, DeduplicationGroup, EndpointEntry, EndpointState, Idempotency, Listener,
-    RetryBudgetSettings,
+    RetryBudgetSettings, TickDuration,
 };
 use larklink_proxy::config::Config;
 use larklink_proxy::endpoint_list::{Endpoint, EndpointList, endpoint_id};
@@ -132,7 +132,8 @@
     assert_eq!((changes.index, changes.snapshot, changes.endpoints), (7, false, Vec::new()));
     // As the decisions get it.
     let zones = ["a", "b"].map(String::from);
-    let seen = |e: EndpointEntry| (e.endpoint, e.id, (e.zone, e.cell), e.state, e.weight, e.started_at);
+    let seen =
+        |e: EndpointEntry| (e.endpoint.0, e.id, (e.zone, e.cell), e.state, e.weight, e.started_at.as_ticks());
     let entries: Vec<_> = list.endpoints.iter().map(|e| seen(e.to_entry(&zones))).collect();
     assert_eq!(
         entries,
@@ -173,14 +174,17 @@
     assert_eq!(told.zones, ["a", "b", "c"]);
     assert_eq!(told.load_report_names, ["inflight", "q", "x0"]);
     assert_eq!((told.load_position, told.in_flight_position), (Some(2), Some(0)));
-    assert_eq!((told.max_dial_timeout, told.passthrough, told.reports_message_latency), (72_000, true, true));
+    assert_eq!(
+        (told.max_dial_timeout.as_ticks(), told.passthrough, told.reports_message_latency),
+        (72_000, true, true)
+    );
     let s = &told.settings;
     let listener = |idempotency, handshake_objective, priority_weight| Listener {
         idempotency,
-        handshake_objective,
+        handshake_objective: TickDuration::from_ticks(handshake_objective),
         priority_weight,
     };
-    let referenced = |group, window| Idempotency::WithKey { group, window };
+    let referenced = |group, window| Idempotency::WithKey { group, window: TickDuration::from_ticks(window) };
     assert_eq!(
         s.listeners,
         [
@@ -193,19 +197,37 @@
         ]
     );
     assert_eq!((s.proxy_count, s.weighted, s.polled_discovery), (12, true, true));
-    assert_eq!((s.discovery_deadline, s.drain_grace, s.removal_not_binding), (80_000, 5003, true));
     assert_eq!(
-        (s.initial_capacity, s.slow_start_duration, s.overload_multiple, s.overload_window),
+        (s.discovery_deadline.as_ticks(), s.drain_grace.as_ticks(), s.removal_not_binding),
+        (80_000, 5003, true)
+    );
+    assert_eq!(
+        (
+            s.initial_capacity,
+            s.slow_start_duration.as_ticks(),
+            s.overload_multiple,
+            s.overload_window.as_ticks()
+        ),
         (0.12, 200_000, 4.5, 7000)
     );
     assert_eq!(
         s.retry_budget,
-        Some(RetryBudgetSettings { min_retries: 2.5, retry_ratio: 0.2, window: 100_000 })
+        Some(RetryBudgetSettings {
+            min_retries: 2.5,
+            retry_ratio: 0.2,
+            window: TickDuration::from_ticks(100_000)
+        })
     );
     assert_eq!(s.availability_nines, Some(AvailabilityNines { weight: 0.3, max_nines: 5.0 }));
-    assert_eq!((s.connect_timeout, s.max_attempts, s.max_retry_after), (2500, 4, 15_000));
+    assert_eq!(
+        (s.connect_timeout.as_ticks(), s.max_attempts, s.max_retry_after.as_ticks()),
+        (2500, 4, 15_000)
+    );
     assert_eq!((s.retry_after_allowed, s.health_checks, s.load_reports), (true, true, true));
-    assert_eq!((s.local_zone, s.max_dial_timeout, s.message_objective), (Some(1), 72_000, 1000));
+    assert_eq!(
+        (s.local_zone, s.max_dial_timeout.as_ticks(), s.message_objective.as_ticks()),
+        (Some(1), 72_000, 1000)
+    );
 }
 
 #[test]
@@ -221,20 +243,38 @@
         (&vec!["c".to_owned()], 0, 0)
     );
     assert_eq!((told.load_position, told.in_flight_position), (None, None));
-    assert_eq!((told.max_dial_timeout, told.passthrough, told.reports_message_latency), (0, false, false));
+    assert_eq!(
+        (told.max_dial_timeout.as_ticks(), told.passthrough, told.reports_message_latency),
+        (0, false, false)
+    );
     let s = &told.settings;
     assert_eq!(
         s.listeners,
-        [Listener { idempotency: Idempotency::OnceOnly, handshake_objective: 0, priority_weight: 0.0 }]
+        [Listener {
+            idempotency: Idempotency::OnceOnly,
+            handshake_objective: TickDuration::ZERO,
+            priority_weight: 0.0
+        }]
     );
     assert_eq!((s.proxy_count, s.weighted, s.polled_discovery), (0, false, false));
-    assert_eq!((s.discovery_deadline, s.drain_grace, s.removal_not_binding), (100_000, 0, false));
     assert_eq!(
-        (s.initial_capacity, s.slow_start_duration, s.overload_multiple, s.overload_window),
+        (s.discovery_deadline.as_ticks(), s.drain_grace.as_ticks(), s.removal_not_binding),
+        (100_000, 0, false)
+    );
+    assert_eq!(
+        (
+            s.initial_capacity,
+            s.slow_start_duration.as_ticks(),
+            s.overload_multiple,
+            s.overload_window.as_ticks()
+        ),
         (1.0, 0, 1.0, 10_000)
     );
     assert_eq!((s.retry_budget, s.availability_nines), (None, None));
-    assert_eq!((s.connect_timeout, s.max_attempts, s.max_retry_after), (2500, 1, 0));
+    assert_eq!((s.connect_timeout.as_ticks(), s.max_attempts, s.max_retry_after.as_ticks()), (2500, 1, 0));
     assert_eq!((s.retry_after_allowed, s.health_checks, s.load_reports), (false, false, false));
-    assert_eq!((s.local_zone, s.max_dial_timeout, s.message_objective), (None, u64::MAX, 0));
+    assert_eq!(
+        (s.local_zone, s.max_dial_timeout.as_ticks(), s.message_objective.as_ticks()),
+        (None, u64::MAX, 0)
+    );
 }
--- a/crates/larklink-simulation/src/audit.rs
+++ b/crates/larklink-simulation/src/audit.rs
@@ -1,11 +1,11 @@
 //! The audit: joins what clients and servers logged by session id, and judges the four rules. Sessions that went down
 //! with a proxy that was killed are counted apart from losses.
-use larklink_balancer::Timestamp;
 
 use crate::audit::judge::Judge;
 use crate::audit::run_history::RunHistory;
 use crate::event_log::EventLog;
 use crate::scenario::Scenario;
+use crate::time::Timestamp;
 
 mod findings;
 mod intervals;
--- a/crates/larklink-simulation/src/audit/findings.rs
+++ b/crates/larklink-simulation/src/audit/findings.rs
@@ -1,9 +1,10 @@
 //! What the audit finds: violations, and how the sessions came out.
 use std::collections::BTreeMap;
 
-use larklink_balancer::{TickDuration, Timestamp};
 use serde::Serialize;
 
+use crate::time::{TickDuration, Timestamp};
+
 /// What was violated; the names stand in reports and in `docs/testbed.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
--- a/crates/larklink-simulation/src/audit/intervals.rs
+++ b/crates/larklink-simulation/src/audit/intervals.rs
@@ -1,5 +1,5 @@
 //! Intervals of time in which something was so.
-use larklink_balancer::Timestamp;
+use crate::time::Timestamp;
 
 /// One interval; [`Timestamp::MAX`] while it is open.
 struct Interval {
--- a/crates/larklink-simulation/src/audit/judge.rs
+++ b/crates/larklink-simulation/src/audit/judge.rs
@@ -1,5 +1,4 @@
 //! Judges the history of each session by the rules.
-use larklink_balancer::{TickDuration, Timestamp};
 
 use crate::audit::findings::{SessionOutcomes, Violation, ViolationKind};
 use crate::audit::run_history::RunHistory;
@@ -8,6 +7,7 @@
 use crate::duration::{SECOND, TICKS_PER_MS};
 use crate::event_log::{AttemptEnd, ClientResponse, ConnectionEnd};
 use crate::scenario::{ListenerSpec, Scenario, SessionKind};
+use crate::time::{TickDuration, Timestamp};
 
 /// A session that its server ended is to be ended or migrated within this.
 const ENDED_WITHIN: TickDuration = SECOND;
--- a/crates/larklink-simulation/src/audit/run_history.rs
+++ b/crates/larklink-simulation/src/audit/run_history.rs
@@ -1,8 +1,6 @@
 //! The history of a run, joined from the event log: sessions by their ids, and when proxies and servers were away.
 use std::collections::BTreeMap;
 
-use larklink_balancer::Timestamp;
-
 use crate::audit::findings::{Violation, ViolationKind};
 use crate::audit::intervals::Intervals;
 use crate::audit::session_history::{At, AttemptHistory, SessionHistory};
@@ -10,6 +8,7 @@
 use crate::duration::TICKS_PER_MS;
 use crate::event_log::{EventKind, LoggedEvent};
 use crate::scenario::Scenario;
+use crate::time::Timestamp;
 
 /// A proxy and a server, by their numbers.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/larklink-simulation/src/audit/session_history.rs
+++ b/crates/larklink-simulation/src/audit/session_history.rs
@@ -1,8 +1,8 @@
 //! What was logged of one session.
-use larklink_balancer::Timestamp;
 
 use crate::event_log::{AttemptEnd, ClientRequest, ClientResponse, ConnectionEnd};
 use crate::server::ConnectionId;
+use crate::time::Timestamp;
 
 /// Something and when it was logged.
 #[derive(Clone, Copy)]
--- a/crates/larklink-simulation/src/clients.rs
+++ b/crates/larklink-simulation/src/clients.rs
@@ -1,7 +1,6 @@
 //! Clients: when they come, how long they wait, what they send, when they retry, and how long they stay.
 use std::collections::HashMap;
 
-use larklink_balancer::{TickDuration, Timestamp};
 use rand::{Rng, RngExt};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1};
@@ -10,6 +9,7 @@
 use crate::event_log::{ClientRequest, ClientResponse, ConnectionEnd};
 use crate::event_queue::EventQueue;
 use crate::scenario::{ListenerSpec, RetryBehavior};
+use crate::time::{TickDuration, Timestamp};
 
 /// What a client does, for whoever carries it.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/larklink-simulation/src/duration.rs
+++ b/crates/larklink-simulation/src/duration.rs
@@ -1,11 +1,12 @@
 //! Durations as people write them in a scenario.
 use std::fmt;
 
-use larklink_balancer::TickDuration;
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer};
 use thiserror::Error;
 
+use crate::time::TickDuration;
+
 /// One second.
 pub const SECOND: TickDuration = 10_000;
 /// Ticks in a millisecond.
--- a/crates/larklink-simulation/src/endpoint_list.rs
+++ b/crates/larklink-simulation/src/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! The endpoint list as discovery has it: changes show after a lag, and not at all while it is frozen.
-use larklink_balancer::{TickDuration, Timestamp};
 
 use crate::event_queue::EventQueue;
+use crate::time::{TickDuration, Timestamp};
 
 /// The status of a server in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/larklink-simulation/src/event_log.rs
+++ b/crates/larklink-simulation/src/event_log.rs
@@ -2,10 +2,10 @@
 //! The proxy that is judged records nothing. Each word of the file is mapped here, once.
 use std::fmt;
 
-use larklink_balancer::{TickDuration, Timestamp};
 use serde::Serialize;
 
 use crate::server::ConnectionId;
+use crate::time::{TickDuration, Timestamp};
 
 /// The events for which memory is reserved at once: growing a log by a copy would hold a run on sockets up for tens of
 /// milliseconds, and memory that is not written to costs nothing.
--- a/crates/larklink-simulation/src/event_queue.rs
+++ b/crates/larklink-simulation/src/event_queue.rs
@@ -1,7 +1,7 @@
 //! What happens later, in the order of time.
 use std::collections::BTreeMap;
 
-use larklink_balancer::Timestamp;
+use crate::time::Timestamp;
 
 /// When an entry is due; entries of the same time are in the order in which they were added.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/larklink-simulation/src/external_load_balancer.rs
+++ b/crates/larklink-simulation/src/external_load_balancer.rs
@@ -1,6 +1,6 @@
 //! The external load balancer: distributes connections among the proxies of their zone, in turn. It uses a proxy once
 //! that has answered, and goes on sending to one that has died until it notices.
-use larklink_balancer::{TickDuration, Timestamp};
+use crate::time::{TickDuration, Timestamp};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProxyStatus {
--- a/crates/larklink-simulation/src/faults.rs
+++ b/crates/larklink-simulation/src/faults.rs
@@ -1,9 +1,9 @@
 //! The faults of a scenario as single events in the order of time; their targets are drawn from the seed.
-use larklink_balancer::{TickDuration, Timestamp};
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
 
 use crate::scenario::{FaultKind, FaultSpec, Scenario};
+use crate::time::{TickDuration, Timestamp};
 
 /// What happens to a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/larklink-simulation/src/goodput.rs
+++ b/crates/larklink-simulation/src/goodput.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use larklink_balancer::{TickDuration, Timestamp};
 use serde::Serialize;
 
 use crate::duration::SECOND;
 use crate::event_log::{ClientResponse, EventKind, EventLog, LoggedEvent};
 use crate::scenario::Scenario;
+use crate::time::{TickDuration, Timestamp};
 
 /// Goodput is measured over windows of this length.
 const WINDOW: TickDuration = 2 * SECOND;
--- a/crates/larklink-simulation/src/lease_model.rs
+++ b/crates/larklink-simulation/src/lease_model.rs
@@ -1,6 +1,5 @@
 //! Candidates for one lease, on links that lose, delay and reorder messages to the lease store, with clocks that run fast
 //! and slow. A request may take effect at any time, also long after its candidate stopped to wait for the response.
-use larklink_balancer::{TickDuration, Timestamp};
 use larklink_coordination::lease::Lease;
 use larklink_coordination::record::{LeaseRecord, Member, StoredRecord};
 use larklink_coordination::request::{FencingToken, LeaseRequest, LeaseResponse};
@@ -9,6 +8,7 @@
 
 use crate::lease_store::LeaseStore;
 use crate::state_search::StateModel;
+use crate::time::{TickDuration, Timestamp};
 
 /// The rate of a clock that runs true.
 const MILLION: TickDuration = 1_000_000;
--- a/crates/larklink-simulation/src/lib.rs
+++ b/crates/larklink-simulation/src/lib.rs
@@ -22,4 +22,5 @@
 pub mod session_store;
 pub mod simulate;
 pub mod state_search;
+pub mod time;
 pub mod world;
--- a/crates/larklink-simulation/src/scenario.rs
+++ b/crates/larklink-simulation/src/scenario.rs
@@ -1,11 +1,11 @@
 //! A scenario: fleet, listeners, traffic, faults by time, and what must hold. TOML; what is left out has a default,
 //! what is unknown is rejected, and everything wrong is reported at once with its line.
-use larklink_balancer::Timestamp;
 use serde::Deserialize;
 use toml::Spanned;
 
 use crate::duration::{ConfigDuration, SECOND};
 use crate::scenario::validation::{FaultTargets, Findings};
+use crate::time::Timestamp;
 
 mod error;
 mod fault;
--- a/crates/larklink-simulation/src/server.rs
+++ b/crates/larklink-simulation/src/server.rs
@@ -3,12 +3,11 @@
 //! what it has just accepted.
 use std::collections::BTreeMap;
 
-use larklink_balancer::{TickDuration, Timestamp};
-
 use crate::event_queue::EventQueue;
 use crate::server::load_meter::{LoadMeter, SessionLoad};
 use crate::server::overload::OverloadDetector;
 use crate::session_store::SessionStore;
+use crate::time::{TickDuration, Timestamp};
 
 mod load_meter;
 mod load_report;
--- a/crates/larklink-simulation/src/server/load_meter.rs
+++ b/crates/larklink-simulation/src/server/load_meter.rs
@@ -1,8 +1,8 @@
 //! The load reports of a server.
-use larklink_balancer::{TickDuration, Timestamp};
 
 use crate::duration::SECOND;
 use crate::server::load_report::LoadReport;
+use crate::time::{TickDuration, Timestamp};
 
 /// Measures the load of one server, and makes a report from time to time.
 pub(super) struct LoadMeter {
--- a/crates/larklink-simulation/src/server/overload.rs
+++ b/crates/larklink-simulation/src/server/overload.rs
@@ -1,9 +1,8 @@
 //! Detects that a server in slow start is sent more than it can bear.
 use std::collections::VecDeque;
 
-use larklink_balancer::{TickDuration, Timestamp};
-
 use crate::duration::SECOND;
+use crate::time::{TickDuration, Timestamp};
 
 /// The least capacity by which work is divided, microseconds.
 const MIN_CAPACITY: f64 = 1e-9;
--- a/crates/larklink-simulation/src/session_store.rs
+++ b/crates/larklink-simulation/src/session_store.rs
@@ -1,8 +1,8 @@
 //! The session store that all servers share: it serves calls one after another at a rate, may be slowed down, and fails
 //! calls that would wait for too long. It also serves calls whose sessions have been abandoned.
-use larklink_balancer::{TickDuration, Timestamp};
 
 use crate::duration::SECOND;
+use crate::time::{TickDuration, Timestamp};
 
 /// The least slowdown.
 const MIN_SLOWDOWN: f64 = 1e-3;
--- a/crates/larklink-simulation/src/simulate.rs
+++ b/crates/larklink-simulation/src/simulate.rs
@@ -1,12 +1,12 @@
 //! The world in simulated time, with the decisions of real proxies between clients and servers: no socket and no clock,
 //! and the same seed writes the same event log. Each message takes one hop.
-use larklink_balancer::Timestamp;
 
 use crate::audit::{Findings, audit};
 use crate::event_log::EventLog;
 use crate::goodput::{Recovery, recovery};
 use crate::scenario::Scenario;
 use crate::simulate::simulation::Simulation;
+use crate::time::Timestamp;
 
 mod connections;
 mod proxy;
--- a/crates/larklink-simulation/src/simulate/connections.rs
+++ b/crates/larklink-simulation/src/simulate/connections.rs
@@ -1,10 +1,10 @@
 //! The connections from proxies to servers that are open.
 use std::collections::BTreeMap;
 
-use larklink_balancer::Timestamp;
 use larklink_engine::engine::{AttemptNumber, SessionId};
 
 use crate::server::ConnectionId;
+use crate::time::Timestamp;
 
 /// An attempt of a session.
 #[derive(Clone, Copy)]
--- a/crates/larklink-simulation/src/simulate/proxy.rs
+++ b/crates/larklink-simulation/src/simulate/proxy.rs
@@ -1,19 +1,29 @@
 //! A proxy of a simulation, and the sessions that it has.
 use std::collections::BTreeMap;
 
-use larklink_balancer::{TickDuration, Timestamp};
 use larklink_engine::engine::{Engine, SessionId};
 
 use crate::duration::SECOND;
 use crate::event_log::ClientRequest;
 use crate::server::ConnectionId;
+use crate::time::{TickDuration, Timestamp};
 
 /// The time of the decisions starts here, so that no server starts at 0, which means long ago.
-const ORIGIN: TickDuration = 100 * SECOND;
+const ORIGIN: u64 = 100 * SECOND;
 
 /// The proxy's time at a time of the run.
-pub(super) fn engine_time(now: Timestamp) -> Timestamp {
-    ORIGIN + now
+pub(super) fn engine_time(now: Timestamp) -> larklink_balancer::Timestamp {
+    larklink_balancer::Timestamp::from_ticks(ORIGIN + now)
+}
+
+/// A duration in the engine's type.
+pub(super) fn engine_duration(duration: TickDuration) -> larklink_balancer::TickDuration {
+    larklink_balancer::TickDuration::from_ticks(duration)
+}
+
+/// A time of the engine as simulated time.
+fn simulated_time(time: larklink_balancer::Timestamp) -> Timestamp {
+    time.as_ticks().saturating_sub(ORIGIN)
 }
 
 /// A session that a proxy has not answered for good.
@@ -71,6 +81,6 @@
 
     /// When its engine has to be polled next, in the time of the run; never, if it is dead.
     pub(super) fn next_wakeup(&self) -> Timestamp {
-        if self.alive { self.engine.next_wakeup().saturating_sub(ORIGIN) } else { Timestamp::MAX }
+        if self.alive { simulated_time(self.engine.next_wakeup()) } else { Timestamp::MAX }
     }
 }
--- a/crates/larklink-simulation/src/simulate/settings_object.rs
+++ b/crates/larklink-simulation/src/simulate/settings_object.rs
@@ -1,8 +1,8 @@
 //! The settings object of a scenario's proxies.
-use larklink_balancer::TickDuration;
 use serde_json::{Value, json};
 
 use crate::scenario::{ListenerSpec, Scenario, SessionKind};
+use crate::time::TickDuration;
 
 /// Nanoseconds in one tick of [`TickDuration`], a tenth of a millisecond.
 const NANOS_PER_TICK: u64 = 100_000;
--- a/crates/larklink-simulation/src/simulate/shutdown.rs
+++ b/crates/larklink-simulation/src/simulate/shutdown.rs
@@ -1,10 +1,10 @@
 //! The graceful shutdown of a proxy.
-use larklink_balancer::{TickDuration, Timestamp};
 
 use crate::duration::SECOND;
 use crate::event_log::ClientResponse;
 use crate::simulate::scheduled_event::{ClientMessage, ScheduledEvent};
 use crate::simulate::state::SimulationState;
+use crate::time::{TickDuration, Timestamp};
 
 /// A proxy that shuts down takes at least this time, and as much longer as its longest dial timeout, as the daemon does.
 const MIN_SHUTDOWN: TickDuration = SECOND * 6 / 10;
--- a/crates/larklink-simulation/src/simulate/simulation.rs
+++ b/crates/larklink-simulation/src/simulate/simulation.rs
@@ -1,5 +1,5 @@
 //! The simulation: carries messages between the clients and servers of a world and the engines of its proxies.
-use larklink_balancer::{AttemptOutcome, Observation, SessionRequest, TickDuration, Timestamp};
+use larklink_balancer::{AttemptOutcome, Observation, SessionRequest};
 
 use crate::clients::ClientAction;
 use crate::duration::{SECOND, TICKS_PER_MS};
@@ -8,10 +8,11 @@
 use crate::scenario::Scenario;
 use crate::server::{ConnectionId, ServerMessage};
 use crate::simulate::connections::{Attempt, HealthCheck, OpenConnection, Purpose};
-use crate::simulate::proxy::{Proxy, ProxySession, engine_time};
+use crate::simulate::proxy::{Proxy, ProxySession, engine_duration, engine_time};
 use crate::simulate::scheduled_event::{ClientMessage, ScheduledEvent};
 use crate::simulate::shutdown;
 use crate::simulate::state::{HOP, SimulationState, endpoint_of};
+use crate::time::{TickDuration, Timestamp};
 use crate::world::{World, WorldAction};
 
 /// How often an endpoint list that is out of reach is tried again.
@@ -259,7 +260,13 @@
         };
         let took = now + HOP - check.sent_at;
         let engine = &mut self.state.proxies[check.proxy].engine;
-        engine.health_checked(engine_time(now), endpoint_of(server), outcome, took, &load_report);
+        engine.health_checked(
+            engine_time(now),
+            endpoint_of(server),
+            outcome,
+            engine_duration(took),
+            &load_report,
+        );
     }
 
     fn attempt_message(
@@ -317,7 +324,13 @@
                 self.state.connections.close(connection);
                 let took = now - check.sent_at;
                 let engine = &mut self.state.proxies[check.proxy].engine;
-                engine.health_checked(engine_time(now), endpoint_of(server), outcome, took, &[]);
+                engine.health_checked(
+                    engine_time(now),
+                    endpoint_of(server),
+                    outcome,
+                    engine_duration(took),
+                    &[],
+                );
             }
         }
     }
@@ -361,7 +374,7 @@
         listener: request.listener,
         group_key: request.group,
         client_key: request.key,
-        dial_timeout: request.patience,
+        dial_timeout: engine_duration(request.patience),
         established: false,
         reconnecting: request.reconnecting,
         client_retry: request.retry,
--- a/crates/larklink-simulation/src/simulate/state.rs
+++ b/crates/larklink-simulation/src/simulate/state.rs
@@ -1,7 +1,7 @@
 //! The state of a simulation, and what its proxies do by themselves.
 use std::collections::BTreeMap;
 
-use larklink_balancer::{EndpointEntry, EndpointState, ListScope, TickDuration, Timestamp};
+use larklink_balancer::{EndpointEntry, EndpointIndex, EndpointState, ListScope};
 use larklink_engine::engine::{Engine, ProxyAction, SessionId};
 use larklink_engine::settings::ProxySettings;
 
@@ -15,6 +15,7 @@
 use crate::simulate::proxy::{Proxy, ProxySession, engine_time};
 use crate::simulate::scheduled_event::{ClientMessage, ScheduledEvent};
 use crate::simulate::settings_object::settings;
+use crate::time::{TickDuration, Timestamp};
 use crate::world::World;
 
 /// From one end of a connection to the other.
@@ -146,10 +147,10 @@
             ProxyAction::Connect { session, attempt, endpoint, timeout, .. } => {
                 let Some(&id) = self.proxies[proxy].sessions.get(&session) else { return };
                 let attempt = Attempt { proxy, session, number: attempt, id };
-                self.start_attempt(now, attempt, server_of(endpoint), timeout);
+                self.start_attempt(now, attempt, server_of(endpoint), timeout.as_ticks());
             }
             ProxyAction::Reject { session, retry_after } => {
-                let retry_after_ms = retry_after.div_ceil(TICKS_PER_MS);
+                let retry_after_ms = retry_after.as_millis_rounded_up();
                 self.answer(now, proxy, session, ClientResponse::Rejected(retry_after_ms));
             }
             ProxyAction::Fail { session } => self.answer(now, proxy, session, ClientResponse::Failed),
@@ -220,7 +221,7 @@
 
 fn endpoint_entry(entry: &EndpointListEntry, weight: f64, zones: usize) -> EndpointEntry {
     EndpointEntry {
-        endpoint: 0,
+        endpoint: EndpointIndex(0),
         id: endpoint_of(entry.server),
         zone: (entry.server % zones) as u16,
         cell: 0,
@@ -230,6 +231,10 @@
             EndpointStatus::Removed => EndpointState::Removed,
         },
         weight,
-        started_at: if entry.started == 0 { 0 } else { engine_time(entry.started) },
+        started_at: if entry.started == 0 {
+            larklink_balancer::Timestamp::ZERO
+        } else {
+            engine_time(entry.started)
+        },
     }
 }
--- a/crates/larklink-simulation/src/world.rs
+++ b/crates/larklink-simulation/src/world.rs
@@ -3,7 +3,6 @@
 use std::iter::Peekable;
 use std::vec::IntoIter;
 
-use larklink_balancer::{TickDuration, Timestamp};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
@@ -18,6 +17,7 @@
 use crate::scenario::{Scenario, ServerGroup};
 use crate::server::{ConnectionId, Server, ServerMessage, ServerOutput, ServerProfile};
 use crate::session_store::SessionStore;
+use crate::time::{TickDuration, Timestamp};
 
 /// The longest that a message may be on its way, with what sockets may be late.
 const MAX_MESSAGE_DELAY: TickDuration = SECOND + SECOND / 20;
--- a/crates/larklink-simulation/tests/lease.rs
+++ b/crates/larklink-simulation/tests/lease.rs
@@ -1,10 +1,10 @@
 //! No two members act by one lease at once: every interleaving up to a depth, long drawn ones beyond, and three
 //! mistaken safety conditions that both must find.
-use larklink_balancer::{TickDuration, Timestamp};
 use larklink_coordination::safety::{BoundedDrift, SafetyCondition};
 use larklink_coordination::settings::LeaseSettings;
 use larklink_simulation::lease_model::{LeaseModel, ModelStep};
 use larklink_simulation::state_search::{SearchResult, StateModel, search};
+use larklink_simulation::time::{TickDuration, Timestamp};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/larklink-testbed/src/context.rs
+++ b/crates/larklink-testbed/src/context.rs
@@ -9,10 +9,10 @@
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use hdrhistogram::Histogram;
-use larklink_balancer::{TickDuration, Timestamp};
 use larklink_simulation::faults::ProxyFault;
 use larklink_simulation::scenario::Scenario;
 use larklink_simulation::server::{ConnectionId, ServerMessage};
+use larklink_simulation::time::{TickDuration, Timestamp};
 use larklink_simulation::world::World;
 
 use crate::histogram::new_histogram;
--- a/crates/larklink-testbed/src/dispatch.rs
+++ b/crates/larklink-testbed/src/dispatch.rs
@@ -4,10 +4,10 @@
 
 use async_channel::Receiver;
 use async_io::Timer;
-use larklink_balancer::TickDuration;
 use larklink_simulation::clients::ClientAction;
 use larklink_simulation::faults::ProxyFault;
 use larklink_simulation::server::ServerMessage;
+use larklink_simulation::time::TickDuration;
 use larklink_simulation::world::WorldAction;
 
 use crate::clients;
--- a/crates/larklink-testbed/src/html_report.rs
+++ b/crates/larklink-testbed/src/html_report.rs
@@ -2,7 +2,7 @@
 use std::error::Error;
 use std::fmt::Write;
 
-use larklink_balancer::Timestamp;
+use larklink_simulation::time::Timestamp;
 use plotters::coord::Shift;
 use plotters::prelude::{
     ChartBuilder, Color, DrawingArea, IntoDrawingArea, LineSeries, Palette, Palette99, PathElement, RED,
--- a/crates/larklink-testbed/src/protocol.rs
+++ b/crates/larklink-testbed/src/protocol.rs
@@ -7,9 +7,9 @@
 use async_channel::Receiver;
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt, future};
-use larklink_balancer::Timestamp;
 use larklink_simulation::event_log::{ClientRequest, ClientResponse};
 use larklink_simulation::server::{LoadReport, ServerMessage};
+use larklink_simulation::time::Timestamp;
 use socket2::{Domain, SockRef, Socket, Type};
 
 /// The longest line, in bytes.
--- a/crates/larklink-testbed/src/sample.rs
+++ b/crates/larklink-testbed/src/sample.rs
@@ -1,7 +1,7 @@
 //! The state of a run at one moment, for plots and progress.
-use larklink_balancer::{TickDuration, Timestamp};
 use larklink_simulation::event_log::{ClientResponse, EventKind};
 use larklink_simulation::server::Server;
+use larklink_simulation::time::{TickDuration, Timestamp};
 use larklink_simulation::world::World;
 use serde::Serialize;
 
--- a/crates/larklink-testbed/src/supervisor.rs
+++ b/crates/larklink-testbed/src/supervisor.rs
@@ -6,8 +6,8 @@
 use async_channel::Receiver;
 use async_io::Timer;
 use futures_lite::FutureExt;
-use larklink_balancer::TickDuration;
 use larklink_simulation::faults::ProxyFault;
+use larklink_simulation::time::TickDuration;
 use rustix::process::Signal;
 
 use crate::admin_client;
