--- a/crates/larklink-proxy/tests/wire_fixtures.rs
+++ b/crates/larklink-proxy/tests/wire_fixtures.rs
@@ -8,7 +8,7 @@
 use async_io::Async;
 use larklink_balancer::{
     AvailabilityNines, DeduplicationGroup, EndpointEntry, EndpointState, Idempotency, Listener,
-    RetryBudgetSettings, TickDuration,
+    RetryBudgetSettings, Settings, TickDuration,
 };
 use larklink_proxy::config::Config;
 use larklink_proxy::endpoint_list::{Endpoint, EndpointList, endpoint_id};
@@ -178,7 +178,10 @@
         (told.max_dial_timeout.as_ticks(), told.passthrough, told.reports_message_latency),
         (72_000, true, true)
     );
-    let s = &told.settings;
+    check_balancer_settings(&told.settings);
+}
+
+fn check_balancer_settings(s: &Settings) {
     let listener = |idempotency, handshake_objective, priority_weight| Listener {
         idempotency,
         handshake_objective: TickDuration::from_ticks(handshake_objective),
