--- a/crates/larklink-proxy/tests/stage/mod.rs
+++ b/crates/larklink-proxy/tests/stage/mod.rs
@@ -22,6 +22,9 @@
 pub(crate) mod peer;
 use peer::{Peer, WAIT_TIMEOUT, open_line};
 
+/// As that of the standard library.
+const LISTEN_BACKLOG: i32 = 128;
+
 /// A proxy that runs in a thread of its own.
 pub(crate) struct Proxy {
     pub(crate) address: SocketAddr,
@@ -117,13 +120,25 @@
     }
 }
 
-/// A listener that plays a server, and its address.
+/// A listener that plays a server, and its address. The port stays taken when it is closed: a proxy that still shuts down
+/// would go on polling discovery there, at the listener of another test.
 pub(crate) fn listen() -> (TcpListener, SocketAddr) {
-    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let placeholder = port_sharing_socket();
+    placeholder.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+    let address = placeholder.local_addr().unwrap();
+    std::mem::forget(placeholder);
+    let listener = port_sharing_socket();
+    listener.bind(&address).unwrap();
+    listener.listen(LISTEN_BACKLOG).unwrap();
     // A connection that must come and does not fails the test instead of holding it up.
-    socket2::SockRef::from(&listener).set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
-    let address = listener.local_addr().unwrap();
-    (listener, address)
+    listener.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
+    (listener.into(), address.as_socket().unwrap())
+}
+
+fn port_sharing_socket() -> socket2::Socket {
+    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+    socket.set_reuse_port(true).unwrap();
+    socket
 }
 
 /// An address that refuses connections, and is kept from other tests.
