--- a/crates/larklink-proxy/tests/kit/mod.rs
+++ b/crates/larklink-proxy/tests/kit/mod.rs
@@ -70,7 +70,7 @@
 /// time. The proxy can't know; one that does so by itself does it in each run. With a fault
 /// planted the first run that had its time counts.
 fn held_up(report: &Report) -> bool {
-    report.violations.len() == 1 && report.violations[0].kind == ViolationKind::ToldTooLong
+    report.violations.len() == 1 && report.violations[0].kind == ViolationKind::TimeoutTooLong
 }
 
 pub(crate) fn clean(report: &Report) {
--- a/crates/larklink-proxy/tests/scenarios.rs
+++ b/crates/larklink-proxy/tests/scenarios.rs
@@ -99,14 +99,14 @@
 #[test]
 fn each_planted_fault_is_found_and_the_daemon_alone_is_clean() {
     let of = |planted| match planted {
-        PlantedFault::RespondsTwice => ViolationKind::TwoAnswers,
-        PlantedFault::SwallowsResponses => ViolationKind::NoAnswer,
-        PlantedFault::AttemptsTwo => ViolationKind::TwoDialsOut,
-        PlantedFault::AttemptsDraining => ViolationKind::AfterDrain,
+        PlantedFault::RespondsTwice => ViolationKind::ExtraResponse,
+        PlantedFault::SwallowsResponses => ViolationKind::NoResponse,
+        PlantedFault::AttemptsTwo => ViolationKind::ConcurrentAttempts,
+        PlantedFault::AttemptsDraining => ViolationKind::AttemptAfterDrainGrace,
         PlantedFault::RetriesFailed => ViolationKind::MayRunTwice,
-        PlantedFault::Cuts => ViolationKind::CutWithoutMove,
-        PlantedFault::OverloadsSlowStart => ViolationKind::ColdRushed,
-        PlantedFault::DropsQueued => ViolationKind::NoAnswer,
+        PlantedFault::Cuts => ViolationKind::BrokenWithoutMigration,
+        PlantedFault::OverloadsSlowStart => ViolationKind::SlowStartOverloaded,
+        PlantedFault::DropsQueued => ViolationKind::NoResponse,
         PlantedFault::StallsTestbed | PlantedFault::CountsTwice => unreachable!("they break no rule"),
     };
     // Sent again is what was torn down, a few of some 400 sessions: one run in ten had none that could be.
--- a/crates/larklink-simulation/src/audit/findings.rs
+++ b/crates/larklink-simulation/src/audit/findings.rs
@@ -1,5 +1,6 @@
 //! What the audit finds: violations, and how the sessions came out.
 use std::collections::BTreeMap;
+use std::fmt;
 
 use larklink_balancer::{TickDuration, Timestamp};
 use serde::Serialize;
@@ -9,66 +10,111 @@
 #[serde(rename_all = "snake_case")]
 pub enum ViolationKind {
     /// A session had no final response.
-    NoAnswer,
+    #[serde(rename = "no_answer")]
+    NoResponse,
     /// Something came after the final response.
-    TwoAnswers,
+    #[serde(rename = "two_answers")]
+    ExtraResponse,
     /// The response came after the client's patience.
-    LateAnswer,
+    #[serde(rename = "late_answer")]
+    LateResponse,
     /// The client received what is no response.
-    NotAnAnswer,
+    #[serde(rename = "not_an_answer")]
+    MalformedResponse,
     /// Two attempts of a session were in flight at once.
-    TwoDialsOut,
+    #[serde(rename = "two_dials_out")]
+    ConcurrentAttempts,
     /// A session was sent again that may have run, though it must run once only.
     MayRunTwice,
     /// A session was rejected that may have run.
-    RefusedThoughItMayHaveRun,
+    #[serde(rename = "refused_though_it_may_have_run")]
+    RejectedThoughMayHaveRun,
     /// A session was accepted that no server had.
-    AcceptedByNobody,
+    #[serde(rename = "accepted_by_nobody")]
+    AcceptedWithoutAttempt,
     /// A session had more attempts than allowed.
-    TooManyDials,
+    #[serde(rename = "too_many_dials")]
+    TooManyAttempts,
     /// A server was given more time than the client had.
-    ToldTooLong,
+    #[serde(rename = "told_too_long")]
+    TimeoutTooLong,
     /// An attempt was made after the drain grace of its endpoint.
-    AfterDrain,
+    #[serde(rename = "after_drain")]
+    AttemptAfterDrainGrace,
     /// A server in slow start was overloaded.
-    ColdRushed,
+    #[serde(rename = "cold_rushed")]
+    SlowStartOverloaded,
     /// An established session was broken without a migration.
-    CutWithoutMove,
+    #[serde(rename = "cut_without_move")]
+    BrokenWithoutMigration,
     /// A message was held for too long on its way.
-    LineHeld,
+    #[serde(rename = "line_held")]
+    MessageDelayed,
     /// A message was altered on its way.
-    LineChanged,
+    #[serde(rename = "line_changed")]
+    MessageAltered,
     /// A client was notified too late that its server had ended the session.
-    EndedLate,
+    #[serde(rename = "ended_late")]
+    EndNotifiedLate,
     /// A connection was silent for too long.
     SilentTooLong,
     /// A server was removed while sessions were established there.
-    LeftBehind,
+    #[serde(rename = "left_behind")]
+    SessionsLeftBehind,
 }
 
 impl ViolationKind {
     /// The rule that it violates, from 1 to 4, or 0 for what is asked of sockets besides.
     pub fn rule(self) -> u8 {
         match self {
-            Self::NoAnswer
-            | Self::TwoAnswers
-            | Self::LateAnswer
-            | Self::NotAnAnswer
-            | Self::AcceptedByNobody => 1,
-            Self::TwoDialsOut | Self::MayRunTwice | Self::RefusedThoughItMayHaveRun | Self::TooManyDials => 2,
-            Self::AfterDrain => 3,
-            Self::ColdRushed => 4,
-            Self::ToldTooLong
-            | Self::CutWithoutMove
-            | Self::LineHeld
-            | Self::LineChanged
-            | Self::EndedLate
+            Self::NoResponse
+            | Self::ExtraResponse
+            | Self::LateResponse
+            | Self::MalformedResponse
+            | Self::AcceptedWithoutAttempt => 1,
+            Self::ConcurrentAttempts
+            | Self::MayRunTwice
+            | Self::RejectedThoughMayHaveRun
+            | Self::TooManyAttempts => 2,
+            Self::AttemptAfterDrainGrace => 3,
+            Self::SlowStartOverloaded => 4,
+            Self::TimeoutTooLong
+            | Self::BrokenWithoutMigration
+            | Self::MessageDelayed
+            | Self::MessageAltered
+            | Self::EndNotifiedLate
             | Self::SilentTooLong
-            | Self::LeftBehind => 0,
+            | Self::SessionsLeftBehind => 0,
         }
     }
 }
 
+/// As tables name it: in the words of the report.
+impl fmt::Display for ViolationKind {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(match self {
+            Self::NoResponse => "NoAnswer",
+            Self::ExtraResponse => "TwoAnswers",
+            Self::LateResponse => "LateAnswer",
+            Self::MalformedResponse => "NotAnAnswer",
+            Self::ConcurrentAttempts => "TwoDialsOut",
+            Self::MayRunTwice => "MayRunTwice",
+            Self::RejectedThoughMayHaveRun => "RefusedThoughItMayHaveRun",
+            Self::AcceptedWithoutAttempt => "AcceptedByNobody",
+            Self::TooManyAttempts => "TooManyDials",
+            Self::TimeoutTooLong => "ToldTooLong",
+            Self::AttemptAfterDrainGrace => "AfterDrain",
+            Self::SlowStartOverloaded => "ColdRushed",
+            Self::BrokenWithoutMigration => "CutWithoutMove",
+            Self::MessageDelayed => "LineHeld",
+            Self::MessageAltered => "LineChanged",
+            Self::EndNotifiedLate => "EndedLate",
+            Self::SilentTooLong => "SilentTooLong",
+            Self::SessionsLeftBehind => "LeftBehind",
+        })
+    }
+}
+
 /// One violation: whose session, when, and what was observed.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Violation {
--- a/crates/larklink-simulation/src/audit/judge.rs
+++ b/crates/larklink-simulation/src/audit/judge.rs
@@ -50,14 +50,14 @@
 
     fn judge_responses(&mut self, id: u64, session: &SessionHistory, outcomes: &mut SessionOutcomes) {
         if let Some(at) = session.malformed_at {
-            self.violation(ViolationKind::NotAnAnswer, id, at, "a line that is no answer");
+            self.violation(ViolationKind::MalformedResponse, id, at, "a line that is no answer");
         }
         if let Some(at) = session.extra_message_at {
-            self.violation(ViolationKind::TwoAnswers, id, at, "something came after the final answer");
+            self.violation(ViolationKind::ExtraResponse, id, at, "something came after the final answer");
         }
         if let [_, At { at, value: second }, ..] = session.responses[..] {
             let observed = format!("{second} after the final answer");
-            self.violation(ViolationKind::TwoAnswers, id, at, observed);
+            self.violation(ViolationKind::ExtraResponse, id, at, observed);
         }
         let Some(&response) = session.responses.first() else {
             return self.judge_without_response(id, session, outcomes);
@@ -67,7 +67,7 @@
             let late = (response.at - session.opened_at) / TICKS_PER_MS;
             let allowed = patience / TICKS_PER_MS;
             let observed = format!("{} after {late} ms, {allowed} allowed", response.value);
-            self.violation(ViolationKind::LateAnswer, id, response.at, observed);
+            self.violation(ViolationKind::LateResponse, id, response.at, observed);
         }
         match response.value {
             ClientResponse::Accepted => {
@@ -99,7 +99,7 @@
                 Some(end) => format!("the connection ended ({}) without one", end.value),
                 None => format!("none within {} ms", session.request.patience / TICKS_PER_MS),
             };
-            self.violation(ViolationKind::NoAnswer, id, until, observed);
+            self.violation(ViolationKind::NoResponse, id, until, observed);
         }
     }
 
@@ -108,7 +108,7 @@
         let may_run_again = |attempt: &&AttemptHistory| !is_safe_to_repeat(listener, attempt, rejected_at);
         if let Some(attempt) = session.attempts.iter().find(may_run_again) {
             let observed = format!("refused though the dial of server {} may have run", attempt.server);
-            self.violation(ViolationKind::RefusedThoughItMayHaveRun, id, rejected_at, observed);
+            self.violation(ViolationKind::RejectedThoughMayHaveRun, id, rejected_at, observed);
         }
     }
 
@@ -123,7 +123,7 @@
         let Some(attempt) = session.attempts.iter().rev().find(|attempt| attempt.started_at <= accepted_at)
         else {
             let observed = "no server was dialled";
-            return self.violation(ViolationKind::AcceptedByNobody, id, accepted_at, observed);
+            return self.violation(ViolationKind::AcceptedWithoutAttempt, id, accepted_at, observed);
         };
         let server_ended = attempt
             .end
@@ -139,7 +139,7 @@
                     || proxy_away.overlap(accepted_at, at + TOLERANCE);
                 if !excused {
                     let observed = format!("{how} while server {} answered", attempt.server);
-                    self.violation(ViolationKind::CutWithoutMove, id, at, observed);
+                    self.violation(ViolationKind::BrokenWithoutMigration, id, at, observed);
                 }
             }
             Some(At { value: ConnectionEnd::Left, .. }) | None => {}
@@ -150,7 +150,7 @@
             if client_ended_at > until && !proxy_away.overlap(accepted_at, until) {
                 let late = (client_ended_at - ended_at) / TICKS_PER_MS;
                 let observed = format!("its server ended it {late} ms before its client heard");
-                self.violation(ViolationKind::EndedLate, id, client_ended_at, observed);
+                self.violation(ViolationKind::EndNotifiedLate, id, client_ended_at, observed);
             }
         }
     }
@@ -161,7 +161,7 @@
         if attempts.len() > allowed as usize {
             let observed = format!("{} dials, {allowed} allowed", attempts.len());
             let last_at = attempts.last().map_or(0, |attempt| attempt.started_at);
-            self.violation(ViolationKind::TooManyDials, id, last_at, observed);
+            self.violation(ViolationKind::TooManyAttempts, id, last_at, observed);
         }
         let answer_by = session.opened_at + session.request.patience + TOLERANCE;
         for (index, attempt) in attempts.iter().enumerate() {
@@ -173,7 +173,7 @@
                     attempt.timeout_ms,
                     left / TICKS_PER_MS
                 );
-                self.violation(ViolationKind::ToldTooLong, id, attempt.started_at, observed);
+                self.violation(ViolationKind::TimeoutTooLong, id, attempt.started_at, observed);
             }
             for earlier in &attempts[..index] {
                 self.judge_repeat(id, self.listener(session), earlier, attempt);
@@ -192,7 +192,7 @@
         let at = attempt.started_at;
         let between = format!("server {} while that of server {}", attempt.server, earlier.server);
         if earlier.end.is_none_or(|end| end.at > at + TOLERANCE) {
-            self.violation(ViolationKind::TwoDialsOut, id, at, format!("a dial of {between} was out"));
+            self.violation(ViolationKind::ConcurrentAttempts, id, at, format!("a dial of {between} was out"));
         }
         if !is_safe_to_repeat(listener, earlier, at) {
             self.violation(ViolationKind::MayRunTwice, id, at, format!("dial of {between} may have run"));
--- a/crates/larklink-simulation/src/audit/run_history.rs
+++ b/crates/larklink-simulation/src/audit/run_history.rs
@@ -107,11 +107,11 @@
             EventKind::MessageDelayed { id, direction, took } => {
                 let observed =
                     format!("{direction:?}: {} ms between one end and the other", took / TICKS_PER_MS);
-                self.violation(ViolationKind::LineHeld, *id, at, observed);
+                self.violation(ViolationKind::MessageDelayed, *id, at, observed);
             }
             EventKind::MessageAltered { id } => {
                 let observed = "a line came other than it went".into();
-                self.violation(ViolationKind::LineChanged, *id, at, observed);
+                self.violation(ViolationKind::MessageAltered, *id, at, observed);
             }
             EventKind::ConnectionSilent { id, duration } => {
                 let observed = format!("{} ms without a line", duration / TICKS_PER_MS);
@@ -129,11 +129,11 @@
                 let group = self.scenario.each_server().nth(server);
                 let allowed = group.map_or(0.0, |group| group.overload_multiple);
                 let observed = format!("server {server}: {ratio:.1} times what it can do, {allowed} allowed");
-                self.violation(ViolationKind::ColdRushed, 0, at, observed);
+                self.violation(ViolationKind::SlowStartOverloaded, 0, at, observed);
             }
             EventKind::SessionsLeftBehind { server, sessions } => {
                 let observed = format!("server {server} went with {sessions} sessions standing");
-                self.violation(ViolationKind::LeftBehind, 0, at, observed);
+                self.violation(ViolationKind::SessionsLeftBehind, 0, at, observed);
             }
             EventKind::ServerDied { server } | EventKind::ServerSilent { server, .. } => {
                 self.servers_away[server].begin(at);
@@ -169,7 +169,7 @@
             let observed = format!(
                 "server {server} dialled {after} ms after proxy {proxy} was told it drains or is gone"
             );
-            self.violation(ViolationKind::AfterDrain, id, at, observed);
+            self.violation(ViolationKind::AttemptAfterDrainGrace, id, at, observed);
         }
     }
 }
--- a/crates/larklink-simulation/src/faults.rs
+++ b/crates/larklink-simulation/src/faults.rs
@@ -2,6 +2,7 @@
 use larklink_balancer::{TickDuration, Timestamp};
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
+use serde::Serialize;
 
 use crate::scenario::{FaultKind, FaultSpec, Scenario};
 
@@ -96,8 +97,23 @@
     },
 }
 
-/// A fault as a band, for plots: from when, to when, and its name. In a report it is an array of the three.
-pub type FaultBand = (Timestamp, Timestamp, String);
+/// A fault as a band, for plots. In a report it is an array of its fields.
+#[derive(Clone, Debug, PartialEq, Serialize)]
+#[serde(into = "(Timestamp, Timestamp, String)")]
+pub struct FaultBand {
+    /// When it begins.
+    pub from: Timestamp,
+    /// When it ends.
+    pub to: Timestamp,
+    /// The name of the fault.
+    pub name: String,
+}
+
+impl From<FaultBand> for (Timestamp, Timestamp, String) {
+    fn from(band: FaultBand) -> Self {
+        (band.from, band.to, band.name)
+    }
+}
 
 /// A fault and its time.
 #[derive(Clone, Debug, PartialEq)]
@@ -131,7 +147,8 @@
             };
             let last_at = at + delay(targets.len().saturating_sub(1));
             let band_end = last_at + fault.duration.unwrap_or_default().0;
-            timeline.bands.push((at, band_end, band_name(fault.kind).to_owned()));
+            let name = band_name(fault.kind).to_owned();
+            timeline.bands.push(FaultBand { from: at, to: band_end, name });
             for (index, &target) in targets.iter().enumerate() {
                 add_fault(scenario, fault, at + delay(index), target, &mut timeline.faults);
             }
--- a/crates/larklink-simulation/tests/audit.rs
+++ b/crates/larklink-simulation/tests/audit.rs
@@ -87,22 +87,22 @@
         broken(all)
     };
     assert_eq!(at(3049, vec![]), []);
-    assert_eq!(at(3051, vec![]), [ViolationKind::LateAnswer]);
-    assert_eq!(at(10, vec![(11, answered(ClientResponse::Rejected(0)))]), [ViolationKind::TwoAnswers]);
-    assert_eq!(at(10, vec![(11, EventKind::ExtraMessage { id: ID })]), [ViolationKind::TwoAnswers]);
-    assert_eq!(broken(vec![(0, opened(0))]), [ViolationKind::NoAnswer]);
-    assert_eq!(broken(vec![(0, opened(0)), (5, ended(ConnectionEnd::Closed))]), [ViolationKind::NoAnswer]);
+    assert_eq!(at(3051, vec![]), [ViolationKind::LateResponse]);
+    assert_eq!(at(10, vec![(11, answered(ClientResponse::Rejected(0)))]), [ViolationKind::ExtraResponse]);
+    assert_eq!(at(10, vec![(11, EventKind::ExtraMessage { id: ID })]), [ViolationKind::ExtraResponse]);
+    assert_eq!(broken(vec![(0, opened(0))]), [ViolationKind::NoResponse]);
+    assert_eq!(broken(vec![(0, opened(0)), (5, ended(ConnectionEnd::Closed))]), [ViolationKind::NoResponse]);
     assert_eq!(
         broken(vec![
             (0, opened(0)),
             (5, EventKind::MalformedResponse { id: ID }),
             (5, ended(ConnectionEnd::Closed))
         ]),
-        [ViolationKind::NoAnswer, ViolationKind::NotAnAnswer]
+        [ViolationKind::NoResponse, ViolationKind::MalformedResponse]
     );
     assert_eq!(
         broken(vec![(0, opened(0)), (9, answered(ClientResponse::Accepted))]),
-        [ViolationKind::AcceptedByNobody]
+        [ViolationKind::AcceptedWithoutAttempt]
     );
     // Its client left, or the run ended before it had to be answered.
     assert_eq!(broken(vec![(0, opened(0)), (5, ended(ConnectionEnd::Left))]), []);
@@ -117,7 +117,7 @@
     };
     assert_eq!(with(false).listeners[0].lost_with_proxy, 1);
     assert!(with(false).violations.is_empty());
-    assert_eq!(with(true).violations[0].kind, ViolationKind::NoAnswer);
+    assert_eq!(with(true).violations[0].kind, ViolationKind::NoResponse);
     let nobody = judge(vec![(0, opened(0)), (1, EventKind::ProxyUnreachable { id: ID, proxy: 0 })]);
     assert_eq!((nobody.listeners[0].proxy_unreachable, nobody.violations.len()), (1, 0));
 }
@@ -152,7 +152,7 @@
             (90, answered(ClientResponse::Accepted)),
         ])
     };
-    assert_eq!((out(79), out(81)), (vec![], vec![ViolationKind::TwoDialsOut]));
+    assert_eq!((out(79), out(81)), (vec![], vec![ViolationKind::ConcurrentAttempts]));
     let refused = |listener, first, at| {
         broken(vec![
             (0, opened(listener)),
@@ -162,14 +162,14 @@
         ])
     };
     assert_eq!(refused(1, AttemptEnd::Rejected, 30), []);
-    assert_eq!(refused(1, AttemptEnd::Failed, 30), [ViolationKind::RefusedThoughItMayHaveRun]);
+    assert_eq!(refused(1, AttemptEnd::Failed, 30), [ViolationKind::RejectedThoughMayHaveRun]);
     assert_eq!(refused(2, AttemptEnd::Failed, 30), []);
-    assert_eq!(refused(2, AttemptEnd::Failed, 1100), [ViolationKind::RefusedThoughItMayHaveRun]);
+    assert_eq!(refused(2, AttemptEnd::Failed, 1100), [ViolationKind::RejectedThoughMayHaveRun]);
     let many = (0..5).flat_map(|n| {
         [(n * 10, attempt(n as usize)), (n * 10 + 1, attempt_ended(n as usize, AttemptEnd::Failed))]
     });
     let many = std::iter::once((0, opened(0))).chain(many).chain([(60, answered(ClientResponse::Failed))]);
-    assert_eq!(broken(many.collect()), [ViolationKind::TooManyDials]);
+    assert_eq!(broken(many.collect()), [ViolationKind::TooManyAttempts]);
 }
 
 #[test]
@@ -184,7 +184,7 @@
             (at + 1, answered(ClientResponse::Failed)),
         ])
     };
-    assert_eq!((attempted(549), attempted(551)), (vec![], vec![ViolationKind::AfterDrain]));
+    assert_eq!((attempted(549), attempted(551)), (vec![], vec![ViolationKind::AttemptAfterDrainGrace]));
     // Of two notifications the first counts; after one that it is up again, none does.
     let back = vec![
         (0, notified(false)),
@@ -198,11 +198,11 @@
     assert_eq!(broken(back), []);
     assert_eq!(
         broken(vec![(0, EventKind::Overloaded { server: 0, ratio: 5.0 })]),
-        [ViolationKind::ColdRushed]
+        [ViolationKind::SlowStartOverloaded]
     );
     assert_eq!(
         broken(vec![(0, EventKind::SessionsLeftBehind { server: 0, sessions: 3 })]),
-        [ViolationKind::LeftBehind]
+        [ViolationKind::SessionsLeftBehind]
     );
 }
 
@@ -214,12 +214,15 @@
         all.extend(rest);
         broken(all)
     };
-    assert_eq!(established(vec![(500, ended(ConnectionEnd::Closed))]), [ViolationKind::CutWithoutMove]);
+    assert_eq!(
+        established(vec![(500, ended(ConnectionEnd::Closed))]),
+        [ViolationKind::BrokenWithoutMigration]
+    );
     assert_eq!(established(vec![(500, ended(ConnectionEnd::Migrated))]), []);
     let cut = |client| {
         established(vec![(500, attempt_ended(0, AttemptEnd::Reset)), (client, ended(ConnectionEnd::Broken))])
     };
-    assert_eq!((cut(501), cut(1540), cut(1560)), (vec![], vec![], vec![ViolationKind::EndedLate]));
+    assert_eq!((cut(501), cut(1540), cut(1560)), (vec![], vec![], vec![ViolationKind::EndNotifiedLate]));
     assert_eq!(
         established(vec![(499, EventKind::ServerDied { server: 0 }), (500, ended(ConnectionEnd::Broken))]),
         []
@@ -229,9 +232,9 @@
             5,
             EventKind::MessageDelayed { id: ID, direction: Direction::ToClient, took: 11_000 }
         )]),
-        [ViolationKind::LineHeld]
+        [ViolationKind::MessageDelayed]
     );
-    assert_eq!(established(vec![(5, EventKind::MessageAltered { id: ID })]), [ViolationKind::LineChanged]);
+    assert_eq!(established(vec![(5, EventKind::MessageAltered { id: ID })]), [ViolationKind::MessageAltered]);
     assert_eq!(
         established(vec![(5, EventKind::ConnectionSilent { id: ID, duration: 71_000 })]),
         [ViolationKind::SilentTooLong]
@@ -244,7 +247,7 @@
         (2, attempt_ended(0, AttemptEnd::Accepted)),
         (3, answered(ClientResponse::Accepted)),
     ];
-    assert_eq!(broken(notified), [ViolationKind::ToldTooLong]);
+    assert_eq!(broken(notified), [ViolationKind::TimeoutTooLong]);
 }
 
 #[test]
--- a/crates/larklink-simulation/tests/format_fixtures.rs
+++ b/crates/larklink-simulation/tests/format_fixtures.rs
@@ -7,24 +7,24 @@
 
 /// What can be broken, in the order of its numbers, and the rule that it breaks.
 const BROKEN: [(ViolationKind, u8); 18] = [
-    (ViolationKind::NoAnswer, 1),
-    (ViolationKind::TwoAnswers, 1),
-    (ViolationKind::LateAnswer, 1),
-    (ViolationKind::NotAnAnswer, 1),
-    (ViolationKind::TwoDialsOut, 2),
+    (ViolationKind::NoResponse, 1),
+    (ViolationKind::ExtraResponse, 1),
+    (ViolationKind::LateResponse, 1),
+    (ViolationKind::MalformedResponse, 1),
+    (ViolationKind::ConcurrentAttempts, 2),
     (ViolationKind::MayRunTwice, 2),
-    (ViolationKind::RefusedThoughItMayHaveRun, 2),
-    (ViolationKind::AcceptedByNobody, 1),
-    (ViolationKind::TooManyDials, 2),
-    (ViolationKind::ToldTooLong, 0),
-    (ViolationKind::AfterDrain, 3),
-    (ViolationKind::ColdRushed, 4),
-    (ViolationKind::CutWithoutMove, 0),
-    (ViolationKind::LineHeld, 0),
-    (ViolationKind::LineChanged, 0),
-    (ViolationKind::EndedLate, 0),
+    (ViolationKind::RejectedThoughMayHaveRun, 2),
+    (ViolationKind::AcceptedWithoutAttempt, 1),
+    (ViolationKind::TooManyAttempts, 2),
+    (ViolationKind::TimeoutTooLong, 0),
+    (ViolationKind::AttemptAfterDrainGrace, 3),
+    (ViolationKind::SlowStartOverloaded, 4),
+    (ViolationKind::BrokenWithoutMigration, 0),
+    (ViolationKind::MessageDelayed, 0),
+    (ViolationKind::MessageAltered, 0),
+    (ViolationKind::EndNotifiedLate, 0),
     (ViolationKind::SilentTooLong, 0),
-    (ViolationKind::LeftBehind, 0),
+    (ViolationKind::SessionsLeftBehind, 0),
 ];
 
 fn answers() -> SessionOutcomes {
@@ -70,6 +70,20 @@
     assert_eq!(ShapeOutcomes::NAMES, ["old", "moved"]);
 }
 
+/// The word of a report in the form of tables: `two_answers` is `TwoAnswers`.
+fn camel_case(word: &str) -> String {
+    let parts = word.split('_').map(|part| part[..1].to_uppercase() + &part[1..]);
+    parts.collect()
+}
+
+#[test]
+fn tables_name_violations_in_the_words_of_reports() {
+    for (kind, _) in BROKEN {
+        let word = serde_json::to_value(kind).unwrap();
+        assert_eq!(kind.to_string(), camel_case(word.as_str().unwrap()));
+    }
+}
+
 /// One of each kind of event, with each value that it can have.
 fn events_of_sessions(id: u64) -> Vec<EventKind> {
     let ask = |again, retry| ClientRequest {
--- a/crates/larklink-simulation/tests/world.rs
+++ b/crates/larklink-simulation/tests/world.rs
@@ -115,7 +115,7 @@
         let run = run(&s, seed);
         for l in &run.findings.listeners {
             let ends = l.accepted + l.rejected + l.failed + l.lost_with_proxy + l.proxy_unreachable + l.open;
-            let without = run.findings.counts().get(&ViolationKind::NoAnswer).copied().unwrap_or(0);
+            let without = run.findings.counts().get(&ViolationKind::NoResponse).copied().unwrap_or(0);
             prop_assert_eq!(l.opened, ends + without as u64);
         }
         prop_assert!(run.findings.violations.iter().all(|b| b.rule == 0), "{:?}", run.findings.violations.first());
--- a/crates/larklink-testbed/src/html_report.rs
+++ b/crates/larklink-testbed/src/html_report.rs
@@ -133,7 +133,7 @@
     for violation in report.violations.iter().take(MAX_LISTED) {
         let _ = write!(
             table,
-            "<tr><td>{:?}<td>{}<td>{}<td>{:.3}<td>{}</tr>",
+            "<tr><td>{}<td>{}<td>{}<td>{:.3}<td>{}</tr>",
             violation.kind,
             violation.rule,
             violation.session,
@@ -198,9 +198,9 @@
         .y_label_area_size(48)
         .build_cartesian_2d(0.0..right, 0.0..top)?;
     chart.configure_mesh().light_line_style(WHITE).x_desc("seconds").draw()?;
-    for (from, to, _) in &report.fault_bands {
-        let from = seconds(*from);
-        let to = seconds(*to).max(from + MIN_BAND_SECONDS);
+    for fault in &report.fault_bands {
+        let from = seconds(fault.from);
+        let to = seconds(fault.to).max(from + MIN_BAND_SECONDS);
         let band = Rectangle::new([(from, 0.0), (to.min(right), top)], RED.mix(0.08).filled());
         chart.draw_series(std::iter::once(band))?;
     }
--- a/crates/larklink-testbed/tests/format_fixtures.rs
+++ b/crates/larklink-testbed/tests/format_fixtures.rs
@@ -2,6 +2,7 @@
 #![expect(clippy::unwrap_used, reason = "helpers of a test fail it by a panic")]
 use hdrhistogram::Histogram;
 use larklink_simulation::audit::{Findings, SessionOutcomes, ShapeOutcomes, Violation, ViolationKind};
+use larklink_simulation::faults::FaultBand;
 use larklink_simulation::goodput::{GoodputRate, Recovery};
 use larklink_simulation::scenario::Scenario;
 use larklink_simulation::world::World;
@@ -99,7 +100,7 @@
         timer_delay: TimerDelay { p999_us: 44, max_us: 45 },
         testbed_late: true,
         samples: vec![sample()],
-        fault_bands: vec![(46, 47, "server silent".into())],
+        fault_bands: vec![FaultBand { from: 46, to: 47, name: "server silent".into() }],
     }
 }
 
--- a/crates/larklinkctl/src/tables.rs
+++ b/crates/larklinkctl/src/tables.rs
@@ -116,7 +116,7 @@
     for finding in report.violations.iter().take(FINDINGS_PRINTED) {
         let at_s = finding.at as f64 / TICKS_PER_SECOND;
         println!(
-            "rule {} {:?} at {at_s:.3} s, session {}: {}",
+            "rule {} {} at {at_s:.3} s, session {}: {}",
             finding.rule, finding.kind, finding.session, finding.observed
         );
     }
