--- a/crates/larklink-simulation/src/audit/findings.rs
+++ b/crates/larklink-simulation/src/audit/findings.rs
@@ -2,9 +2,10 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use larklink_balancer::{TickDuration, Timestamp};
 use serde::Serialize;
 
+use crate::time::{TickDuration, Timestamp};
+
 /// What was violated; the names stand in reports and in `docs/testbed.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
