--- a/crates/larklink-engine/src/engine.rs
+++ b/crates/larklink-engine/src/engine.rs
@@ -218,7 +218,8 @@
             let value = position.and_then(|position| load_report.get(position));
             value.copied().unwrap_or(0.0)
         };
-        let (load, in_flight) = (value(self.load_position), value(self.in_flight_position));
+        let load = value(self.load_position);
+        let in_flight = value(self.in_flight_position);
         self.balancer.health_checked(now, endpoint, outcome, took, load, in_flight);
     }
 
--- a/crates/larklink-simulation/src/lease_model.rs
+++ b/crates/larklink-simulation/src/lease_model.rs
@@ -216,7 +216,9 @@
     fn deliver(&mut self, message: usize) {
         let message = self.messages.remove(message);
         let now = self.clock(message.candidate);
-        if let (false, Some(response)) = (message.abandoned, message.response) {
+        if !message.abandoned
+            && let Some(response) = message.response
+        {
             self.candidates[message.candidate].lease.response_received(now, response);
         }
     }
--- a/crates/larklink-simulation/src/simulate/shutdown.rs
+++ b/crates/larklink-simulation/src/simulate/shutdown.rs
@@ -77,7 +77,8 @@
 fn answer_at_shutdown(state: &mut SimulationState, now: Timestamp, id: u64) {
     let session = &state.sessions[&id];
     let may_have_run = session.may_have_run || session.connection.is_some();
-    let (proxy, number) = (session.proxy, session.session);
+    let proxy = session.proxy;
+    let number = session.session;
     state.close_connection(now, id);
     state.proxies[proxy].engine.client_left(number);
     let response = if may_have_run { ClientResponse::Failed } else { ClientResponse::Rejected(0) };
@@ -86,7 +87,8 @@
 
 pub(super) fn migrate_at_shutdown(state: &mut SimulationState, now: Timestamp, id: u64) {
     let Some(session) = state.sessions.get(&id) else { return };
-    let (proxy, number) = (session.proxy, session.session);
+    let proxy = session.proxy;
+    let number = session.session;
     if state.proxies[proxy].sessions.remove(&number).is_some() {
         state.proxies[proxy].engine.client_left(number);
         state.close_connection(now, id);
