--- a/crates/larklink-balancer/src/action.rs
+++ b/crates/larklink-balancer/src/action.rs
@@ -35,7 +35,7 @@
     Decided(SessionHandle, Decision),
     /// The attempt in flight may be sent only up to this time, which is earlier than its decision said.
     LimitSendDeadline(SessionHandle, Timestamp),
-    /// Migrate an established session: its client is told to reconnect.
+    /// Migrate an established session: its client is asked to reconnect.
     Migrate(SessionHandle),
     /// Poll the endpoint list, and subscribe to its changes.
     PollEndpointList,
@@ -57,6 +57,7 @@
     AttemptsLimited,
 }
 
+// The text that `larklink-adapter` sends. `larklink-proxy` words its own log lines (`decision_task::log`).
 impl std::fmt::Display for LogEvent {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
--- a/crates/larklink-balancer/src/balancer.rs
+++ b/crates/larklink-balancer/src/balancer.rs
@@ -141,7 +141,7 @@
         session.end_attempt(outcome);
         self.release(&ended);
         if matches!(outcome, AttemptOutcome::Failed | AttemptOutcome::TimedOut) {
-            // Counts as long as can be: the session store works on it still.
+            // Counted with the whole dial timeout, since the session store still processes it.
             self.record_attempt(now, &ended, outcome, ended.request().dial_timeout);
         }
         let endpoint = &mut self.endpoints[ended.endpoint()];
@@ -182,7 +182,7 @@
         let Some(session) = self.sessions.get_mut(handle) else { return };
         let endpoint = &mut self.endpoints[session.endpoint()];
         match observation {
-            Observation::Unresponsive => endpoint.outlier.suspect(),
+            Observation::Unresponsive => endpoint.outlier.record_late_message(),
             Observation::Load(load) => {
                 let load = self.session_loads.record(session.request().listener, load);
                 endpoint.load.change_session_load(session.set_load(load));
@@ -282,7 +282,7 @@
         }
     }
 
-    /// Looks after each endpoint, once a connect timeout.
+    /// Maintenance of each endpoint, once a connect timeout: decay, health checks and migrations.
     fn maintain(&mut self, now: Timestamp) {
         let elapsed = self.settings.connect_timeout;
         self.migration_budget.replenish(elapsed);
@@ -309,7 +309,7 @@
             &endpoint.load,
             &mut self.rng,
         );
-        let is_of_use = endpoint.load.sessions() > 0 || endpoint.outlier.has_failed();
+        let is_of_use = endpoint.load.sessions() > 0 || endpoint.outlier.has_consecutive_failures();
         let may_check = self.settings.health_checks && !endpoint.is_closed(&self.settings);
         if may_check && is_of_use && due_at <= now {
             endpoint.health_check.start(now);
@@ -361,7 +361,7 @@
         Some(session)
     }
 
-    /// An attempt or a connection of the session is no more.
+    /// An attempt or a connection of the session has ended.
     fn release(&mut self, session: &Session) {
         if session.state() == SessionState::Connecting {
             self.concurrency_limit.attempt_left_flight();
--- a/crates/larklink-balancer/src/discovery_schedule.rs
+++ b/crates/larklink-balancer/src/discovery_schedule.rs
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub(crate) struct DiscoverySchedule {
     polled: bool,
-    /// How long after a failed poll the proxy counts as notified of what it could not hear.
+    /// How long after a failed poll the proxy counts as notified of changes that it did not receive.
     deadline: TickDuration,
     next_poll_at: Timestamp,
 }
--- a/crates/larklink-balancer/src/health_check.rs
+++ b/crates/larklink-balancer/src/health_check.rs
@@ -52,9 +52,9 @@
 
     /// When the next check is due, if the endpoint is to be checked at all.
     ///
-    /// Checks that report load are sent however lately sessions were answered: sooner at first, as a crowd may
-    /// have come with our own sessions. The interval of a failing endpoint is random, as all proxies check a
-    /// lost zone.
+    /// Checks that report load are sent however lately sessions were answered: sooner at first, as other
+    /// proxies may have sent sessions at the same time. The interval of a failing endpoint is random, as all
+    /// proxies check a lost zone.
     pub(crate) fn next_check_at(
         &self,
         settings: &Settings,
@@ -64,7 +64,7 @@
     ) -> Timestamp {
         let last_sent_at = self.last_sent_at.unwrap_or(Timestamp::ZERO);
         let min_interval = settings.connect_timeout * MIN_INTERVAL;
-        if outlier.has_failed() {
+        if outlier.has_consecutive_failures() {
             let doubled = 1 << outlier.failures_beyond_ejection().min(u64::BITS / 2);
             let longest = min_interval * MAX_BACKOFF_FACTOR.min(doubled);
             return outlier.last_alive_at().max(last_sent_at) + random_duration(longest / 2..=longest, rng);
@@ -82,8 +82,8 @@
 
     /// Whether the session has to wait for a check before its first attempt at this endpoint.
     ///
-    /// With hundreds of proxies none learns from its own few sessions what an endpoint bears, so it checks an
-    /// endpoint on which it has none.
+    /// With hundreds of proxies none learns from its own few sessions what an endpoint can take, so it checks
+    /// an endpoint on which it has none.
     pub(crate) fn must_precede_attempt(
         &self,
         now: Timestamp,
@@ -102,6 +102,6 @@
 
     fn has_fresh_success(&self, now: Timestamp, outlier: &OutlierState) -> bool {
         let fresh = self.last_sent_at.is_some_and(|sent_at| now < sent_at + RESULT_VALIDITY);
-        fresh && !self.pending && !outlier.has_failed()
+        fresh && !self.pending && !outlier.has_consecutive_failures()
     }
 }
--- a/crates/larklink-balancer/src/lib.rs
+++ b/crates/larklink-balancer/src/lib.rs
@@ -57,7 +57,7 @@
 //! let (handle, decision) = balancer.place(start, request);
 //! let Decision::Connect { endpoint: first, .. } = decision else { panic!("{decision:?}") };
 //!
-//! // The connection is refused: the session is retried on the other endpoint.
+//! // The connection fails: the session is retried on the other endpoint.
 //! let decision = balancer.attempt_ended(start + SECOND / 1_000, handle, AttemptOutcome::ConnectFailed, false);
 //! let Some(Decision::Connect { endpoint: second, .. }) = decision else { panic!("{decision:?}") };
 //! assert_ne!(first, second);
@@ -69,7 +69,7 @@
 //!
 //! `balancer` calls the others in order. `bucket_table` ranks the endpoints, `placement` walks down the ranking;
 //! `outlier`, `health_check`, `load`, `slow_start` and `endpoint` know the endpoints; `concurrency_limit`,
-//! `retry_budget` and `retry_policy` limit attempts; `migration` moves established sessions; `discovery_schedule`
+//! `retry_budget` and `retry_policy` limit attempts; `migration` migrates established sessions; `discovery_schedule`
 //! polls the endpoint list. `docs/capacity.md` lists the constants of all of them.
 
 mod action;
--- a/crates/larklink-balancer/src/load.rs
+++ b/crates/larklink-balancer/src/load.rs
@@ -36,7 +36,7 @@
     total: f64,
     /// Since when it has had sessions without a break.
     occupied_since: Timestamp,
-    /// The most load that it bears, learned from overload, in mean session loads.
+    /// The most load that it can take, learned from overload, in mean session loads.
     limit: f64,
     overload: Overload,
 }
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Its process has started anew: what was learned of the old one is void.
+    /// Its process has restarted: the overload and the load limit of the old one are discarded.
     pub(crate) fn record_restart(&mut self) {
         self.overload.until = Timestamp::ZERO;
         self.limit = f64::INFINITY;
@@ -107,8 +107,8 @@
 
     /// A health check succeeded and reported `utilization`, load over capacity; 0 where it reports none.
     ///
-    /// `slow` says that the answer took long; it counts only where no load is reported, as it may tell of the
-    /// network alone.
+    /// `slow` says that the answer took long; it counts only where no load is reported, as it may come from
+    /// the network alone.
     pub(crate) fn record_health_check(
         &mut self,
         now: Timestamp,
@@ -121,13 +121,13 @@
             self.limit = self.limit.min(self.total).max(MIN_LOAD_LIMIT);
         } else if load_reports {
             // Every proxy may add in proportion, even one that has had little there so far.
-            let bearable = (self.total + LIMIT_HEADROOM) * OVERLOAD_UTILIZATION / utilization;
-            self.limit = self.limit.max(bearable);
+            let sustainable = (self.total + LIMIT_HEADROOM) * OVERLOAD_UTILIZATION / utilization;
+            self.limit = self.limit.max(sustainable);
         }
         self.overload.excess = self.overload.excess.max(1.0 - TARGET_UTILIZATION / utilization);
     }
 
-    /// Sessions with `migrated` load were told to leave. The limit keeps new ones from taking their place.
+    /// Sessions with `migrated` load are being migrated off it. The limit keeps new ones from taking their place.
     pub(crate) fn record_relief(&mut self, now: Timestamp, migrated: f64) {
         self.overload.last_relieved_at = now;
         self.overload.excess = 0.0;
@@ -249,7 +249,7 @@
         self.used_weight += utilization * weight - self.used_weight / CAPACITY_REPORTS;
     }
 
-    /// The sessions of one of `proxy_count` proxies that an endpoint of weight 1 bears at full load; none if
+    /// The sessions of one of `proxy_count` proxies that an endpoint of weight 1 can take at full load; none if
     /// nothing was reported or the number of proxies is unknown (0).
     pub(crate) fn sessions_per_weight(&self, proxy_count: u32) -> Option<f64> {
         let sessions = self.sessions / self.used_weight / f64::from(proxy_count);
--- a/crates/larklink-balancer/src/migration.rs
+++ b/crates/larklink-balancer/src/migration.rs
@@ -130,8 +130,9 @@
 
     /// The fraction of the ready endpoints that are neither overloaded nor failing.
     fn fraction_with_capacity(&self, now: Timestamp) -> f64 {
-        let has_capacity =
-            |endpoint: &&Endpoint| !endpoint.load.is_overloaded(now) && !endpoint.outlier.has_failed();
+        let has_capacity = |endpoint: &&Endpoint| {
+            !endpoint.load.is_overloaded(now) && !endpoint.outlier.has_consecutive_failures()
+        };
         let with_capacity = self.endpoints.ready().filter(has_capacity).count();
         with_capacity as f64 / self.endpoints.ready().count() as f64
     }
--- a/crates/larklink-balancer/src/outlier.rs
+++ b/crates/larklink-balancer/src/outlier.rs
@@ -41,7 +41,8 @@
     alpha: f64,
     /// Failures, the prior included.
     beta: f64,
-    /// Failures since the last sign of life; one more once the ejection has been reported.
+    /// Failures since the last sign of life, at least 1 after a late message; one more once the ejection has been
+    /// reported.
     consecutive_failures: u32,
     /// A connection to it has failed, and it gave no sign of life since.
     connection_failed: bool,
@@ -66,7 +67,8 @@
         }
     }
 
-    /// Its process has started anew: the failures of the old one are void.
+    /// Its process has restarted: the failures of the old one are discarded. Alpha is kept, and so is all else
+    /// but the last sign of life.
     pub(crate) fn record_restart(&mut self, now: Timestamp) {
         self.beta = PRIOR;
         self.consecutive_failures = 0;
@@ -117,8 +119,9 @@
         }
     }
 
-    /// A message is late: no failure yet, but a reason to check the endpoint soon.
-    pub(crate) fn suspect(&mut self) {
+    /// A message is late. It counts as one consecutive failure unless there are some already, so that the
+    /// endpoint is checked soon; one more consecutive failure ejects it. Alpha and beta do not change.
+    pub(crate) fn record_late_message(&mut self) {
         self.consecutive_failures = self.consecutive_failures.max(1);
     }
 
@@ -148,8 +151,8 @@
         just_ejected
     }
 
-    /// Whether it has failed since its last sign of life.
-    pub(crate) fn has_failed(&self) -> bool {
+    /// Whether it had a consecutive failure, or a late message, since its last sign of life.
+    pub(crate) fn has_consecutive_failures(&self) -> bool {
         self.consecutive_failures > 0
     }
 
--- a/crates/larklink-balancer/src/placement.rs
+++ b/crates/larklink-balancer/src/placement.rs
@@ -14,8 +14,8 @@
 use crate::slow_start::SlowStartRequest;
 use crate::time::Timestamp;
 
-/// Endpoints at capacity that a session passes before the walk ends: each endpoint that has any session of a
-/// group pays for it, so a crowd must not scatter its groups.
+/// Endpoints at capacity that a session passes before the walk ends. The sessions of a group share work, which
+/// each endpoint that has any of them does again, so overload must not scatter a group.
 const MAX_ENDPOINTS_PASSED: usize = 3;
 /// Load-based spillover: an endpoint is passed if its load is this many times the mean for its weight,
 const SPILLOVER_FACTOR: f64 = 1.3;
@@ -153,9 +153,9 @@
         }
     }
 
-    /// Whether the endpoint is overloaded or has clearly more load than the mean. A client that reconnects tells
-    /// of a crowd that this proxy has not met: where no load is reported, some of them pass an endpoint of which
-    /// it knows nothing.
+    /// Whether the endpoint is overloaded or has clearly more load than the mean. A client that reconnects may
+    /// belong to a mass reconnect that this proxy has not seen: where no load is reported, some of them pass an
+    /// endpoint of which it knows nothing.
     fn is_loaded(
         &mut self,
         now: Timestamp,
@@ -165,13 +165,13 @@
     ) -> bool {
         let load = &self.endpoints[index].load;
         let most = SPILLOVER_FACTOR * ready.load / ready.weight * self.weight(index) + SPILLOVER_ALLOWANCE;
-        let may_be_crowded = session.request().reconnecting
+        let may_be_mass_reconnect = session.request().reconnecting
             && session.attempts() == 0
             && load.sessions() == 0
             && !self.settings.load_reports;
         load.is_overloaded(now)
             || load.total() >= most
-            || may_be_crowded
+            || may_be_mass_reconnect
                 && self.rng.random_bool(RECONNECTING_SPILLOVER * self.migration_budget.remaining())
     }
 
--- a/crates/larklink-balancer/src/retry_policy.rs
+++ b/crates/larklink-balancer/src/retry_policy.rs
@@ -77,9 +77,9 @@
     if resumes_established { send_deadline(session, endpoint, settings) } else { now }
 }
 
-/// How long an attempt may take: all the time that its client has left, as the session store still works on
-/// what an attempt that timed out had asked of it. Only an endpoint that has failed gets no more than the
-/// handshake objective, which leaves time for another.
+/// How long an attempt may take: all the time that its client has left, as the session store still processes
+/// the handshake of an attempt that timed out. Only an endpoint for which `has_consecutive_failures` is true
+/// gets no more than the handshake objective, which leaves time for another.
 pub(crate) fn attempt_timeout(
     now: Timestamp,
     session: &Session,
@@ -87,7 +87,7 @@
     settings: &Settings,
 ) -> TickDuration {
     let time_left = session.time_left(now);
-    if endpoint.outlier.has_failed() {
+    if endpoint.outlier.has_consecutive_failures() {
         listener_of(session, settings).handshake_objective.min(time_left)
     } else {
         time_left
--- a/crates/larklink-balancer/src/session.rs
+++ b/crates/larklink-balancer/src/session.rs
@@ -12,10 +12,16 @@
 /// Health checks that one session may wait for.
 const MAX_HEALTH_CHECKS: u32 = 3;
 
-/// Where a session stands.
+/// The state of a session.
 ///
-/// `Queued` -> `AwaitingHealthCheck` -> `Connecting` -> `Established`; each of the last two returns to `Queued`
-/// when an attempt or a connection ends and the session may be retried.
+/// - `Queued` -> `Connecting` -> `Established`: an attempt without a health check before it.
+/// - `Queued` -> `AwaitingHealthCheck` -> `Connecting`: the check comes first. After it the endpoint is chosen
+///   again, so another check may follow, up to `MAX_HEALTH_CHECKS`.
+/// - `Connecting` -> `Queued`: the attempt ended without success, and the session is not over.
+/// - `Established` -> `Queued`: the connection ended, and the caller reports that the session is not over
+///   (`session_over` is false in [`Balancer::attempt_ended`](crate::Balancer::attempt_ended)).
+///
+/// A session that is over, or has its final answer, is removed from the table in any state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SessionState {
     /// It has no endpoint; a decision is due.
--- a/crates/larklink-balancer/src/settings.rs
+++ b/crates/larklink-balancer/src/settings.rs
@@ -72,7 +72,7 @@
     pub weighted: bool,
     /// Whether the endpoint list has to be polled; otherwise it is pushed.
     pub polled_discovery: bool,
-    /// How long after a failed poll the proxy counts as notified of what it could not hear.
+    /// How long after a failed poll the proxy counts as notified of changes that it did not receive.
     pub discovery_deadline: TickDuration,
     /// How long after the notification of a drain new sessions may still be sent to the endpoint.
     pub drain_grace: TickDuration,
--- a/crates/larklink-balancer/src/slow_start.rs
+++ b/crates/larklink-balancer/src/slow_start.rs
@@ -3,6 +3,17 @@
 //! An endpoint in slow start takes only a growing fraction of its capacity. All proxies share that: the part of
 //! each is earned over time, and a session goes there when a whole one has been earned. Where sessions rarely
 //! come, chance decides, so that the sum over all proxies is right.
+//!
+//! Example: the initial capacity is 0.2, slow start takes 40 s, the overload multiple is 2 and the overload
+//! window 10 s. A warm endpoint of weight 1 has 160 sessions of all proxies. An endpoint of weight 1 that
+//! started 15 s ago may have 0.2 + 0.8 * 15 / 40 = 0.5 of that, and all proxies may send it 2 * 80 / 40 = 4
+//! sessions a second, or n = 40 in a window.
+//!
+//! - 4 proxies have 40 sessions each on the warm one. Each may have 20 on the other, and earns 4 / 4 = 1
+//!   session a second: they send in turn, so nothing is kept free.
+//! - 40 proxies have 4 sessions each on the warm one. Each may have 2 on the other. Chance counts with a
+//!   factor of 1 - 4 / 40 = 0.9, so each earns 4 / 40 / (1 + sqrt(0.9 / 40)) = 0.1 / 1.15 sessions a second,
+//!   one in 11.5 s.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -62,7 +73,7 @@
     /// This proxy's load on the endpoint, in mean session loads.
     pub(crate) endpoint_load: f64,
     pub(crate) ready: ReadyTotals,
-    /// Sessions that endpoints report to bear for a weight of 1, of one proxy's; none if unknown.
+    /// The sessions of one proxy that an endpoint of weight 1 can take, by the load reports; none if unknown.
     pub(crate) reported_capacity: Option<f64>,
     /// The estimated fraction of all sessions that share this session's group; 0 if it has no group.
     pub(crate) group_share: f64,
@@ -92,7 +103,7 @@
     }
 
     /// The load that an endpoint may have from this proxy at its age, in mean session loads. What a warm one
-    /// bears is taken from reports, else from what warm ones have of this proxy's sessions.
+    /// can take is taken from reports, else from what warm ones have of this proxy's sessions.
     fn present_capacity(&self, request: &SlowStartRequest) -> f64 {
         let initial = self.settings.initial_capacity;
         let age = request.endpoint_age.as_f64();
--- a/crates/larklink-balancer/src/time.rs
+++ b/crates/larklink-balancer/src/time.rs
@@ -2,7 +2,7 @@
 
 use std::ops::{Add, AddAssign, Div, Mul, Sub};
 
-/// A point in time, in ticks since an origin that the caller chooses. The zero timestamp stands for "long ago".
+/// A point in time, in ticks since an origin that the caller chooses. The zero timestamp means "long ago".
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Timestamp(u64);
 
