--- a/crates/larklink-proxy/src/discovery/schedule.rs
+++ b/crates/larklink-proxy/src/discovery/schedule.rs
@@ -1,7 +1,8 @@
 //! When the endpoint list is polled again, and how long a poll may take. Pure.
 //!
 //! Polls are long polls: discovery holds its response until the list changes or a wait that the request names has
-//! passed. A poll is called a *call* here where it asks for no such wait.
+//! passed. The *response timeout* limits the rest of a response that has begun and, after a failed poll, the time beyond
+//! that wait until the response is complete.
 use std::time::Duration;
 
 use larklink_balancer::TickDuration;
@@ -24,16 +25,16 @@
 /// How long the response to a long poll may take beyond its wait.
 const LONG_POLL_MARGIN: Duration = Duration::from_millis(400);
 
-/// How long a call may take: the least, the default, and the most.
-const MIN_CALL_TIMEOUT: Duration = Duration::from_millis(100);
-const DEFAULT_CALL_TIMEOUT: Duration = Duration::from_millis(400);
-const MAX_CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// After so many polls in a row that connected and timed out, the call timeout doubles with each further one: the
+/// The response timeout: the least, the default, and the most.
+const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(100);
+const DEFAULT_RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
+const MAX_RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
+/// After so many polls in a row that connected and timed out, the response timeout doubles with each further one: the
 /// service or this machine is too busy. Polls that did not connect are not counted, since nothing listens there, and
 /// the service's return has to be noticed early.
-const CALL_TIMEOUTS_BEFORE_DOUBLING: u32 = 3;
-/// Further doublings would overflow or exceed [`MAX_CALL_TIMEOUT`].
-const MAX_CALL_TIMEOUT_DOUBLINGS: u32 = 8;
+const RESPONSE_TIMEOUTS_BEFORE_DOUBLING: u32 = 3;
+/// Further doublings would overflow or exceed [`MAX_RESPONSE_TIMEOUT`].
+const MAX_RESPONSE_TIMEOUT_DOUBLINGS: u32 = 8;
 
 /// Upper bound of the random backoff after a first failure; it doubles with each further one.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(400);
@@ -55,8 +56,8 @@
 pub struct PollSchedule {
     /// How long discovery may hold its response to a long poll while no poll has failed.
     pub long_poll_wait: Duration,
-    /// How long a call may take, and the rest of any response that has begun, while few polls have timed out.
-    pub call_timeout: Duration,
+    /// The response timeout while few polls have timed out, and how long connecting may take.
+    pub response_timeout: Duration,
     /// The maximum backoff after a poll that got no response.
     pub max_backoff: Duration,
     /// The maximum backoff after a poll that was rejected, or whose response cannot be used.
@@ -80,13 +81,13 @@
         let max_backoff = (drain_grace / BACKOFFS_PER_DRAIN_GRACE)
             .min(long_poll_wait / 2)
             .clamp(MIN_MAX_BACKOFF, INITIAL_BACKOFF);
-        let call_timeout = if polled_discovery {
-            DEFAULT_CALL_TIMEOUT
+        let response_timeout = if polled_discovery {
+            DEFAULT_RESPONSE_TIMEOUT
         } else {
-            (max_backoff * 2).clamp(MIN_CALL_TIMEOUT, DEFAULT_CALL_TIMEOUT)
+            (max_backoff * 2).clamp(MIN_RESPONSE_TIMEOUT, DEFAULT_RESPONSE_TIMEOUT)
         };
         let max_rejection_backoff = if polled_discovery { long_poll_wait / 2 } else { max_backoff };
-        Self { long_poll_wait, call_timeout, max_backoff, max_rejection_backoff }
+        Self { long_poll_wait, response_timeout, max_backoff, max_rejection_backoff }
     }
 
     /// How long discovery may hold its response after so many failures in a row. It is short after any failure: the
@@ -95,19 +96,18 @@
         if failures == 0 { self.long_poll_wait } else { MIN_LONG_POLL_WAIT }
     }
 
-    /// How long a call may take, and the rest of any response that has begun, after so many polls in a row that
-    /// connected and timed out.
-    pub fn call_timeout_after(&self, timeouts: u32) -> Duration {
+    /// The response timeout after so many polls in a row that connected and timed out.
+    pub fn response_timeout_after(&self, timeouts: u32) -> Duration {
         let doublings =
-            timeouts.saturating_sub(CALL_TIMEOUTS_BEFORE_DOUBLING).min(MAX_CALL_TIMEOUT_DOUBLINGS);
-        (self.call_timeout * 2_u32.pow(doublings)).min(MAX_CALL_TIMEOUT)
+            timeouts.saturating_sub(RESPONSE_TIMEOUTS_BEFORE_DOUBLING).min(MAX_RESPONSE_TIMEOUT_DOUBLINGS);
+        (self.response_timeout * 2_u32.pow(doublings)).min(MAX_RESPONSE_TIMEOUT)
     }
 
     /// How long a poll may take in all after so many failures in a row, of which `timeouts` connected and timed out.
     pub fn total_timeout(&self, failures: u32, timeouts: u32) -> Duration {
         let beyond_wait = match failures {
             0 => LONG_POLL_MARGIN,
-            _ => self.call_timeout_after(timeouts),
+            _ => self.response_timeout_after(timeouts),
         };
         self.long_poll_wait_after(failures) + beyond_wait
     }
@@ -120,7 +120,7 @@
     ///   nothing had failed before;
     /// - for each failed poll its total timeout and the longest backoff; at worst the first is a long poll that has
     ///   just begun and hangs, and the others are rejections;
-    /// - the call timeout of the poll that succeeds.
+    /// - the response timeout of the poll that succeeds.
     ///
     /// For any `n`, `max_notification_delay(n, 1)` is what a poll in flight at that moment can cost, and
     /// `max_notification_delay(0, 3)` what three failures in a row can, in any order.
@@ -132,7 +132,7 @@
                 self.total_timeout(earlier, earlier) + self.longest_backoff(failures_before, earlier)
             })
             .sum();
-        rests + failed_polls + self.call_timeout_after(failures)
+        rests + failed_polls + self.response_timeout_after(failures)
     }
 
     /// The longest backoff after a poll that fails after `earlier` others in a row, `failures_before` of them before
--- a/crates/larklink-proxy/src/discovery/watch_state.rs
+++ b/crates/larklink-proxy/src/discovery/watch_state.rs
@@ -75,8 +75,8 @@
     /// How long the parts of the next poll may take.
     pub(crate) fn part_timeouts(&self, schedule: &PollSchedule) -> PartTimeouts {
         PartTimeouts {
-            connect: schedule.call_timeout,
-            response: schedule.call_timeout_after(self.counts.timeouts),
+            connect: schedule.response_timeout,
+            response: schedule.response_timeout_after(self.counts.timeouts),
         }
     }
 
--- a/crates/larklink-proxy/tests/discovery.rs
+++ b/crates/larklink-proxy/tests/discovery.rs
@@ -56,14 +56,14 @@
                     let longest =
                         if rejected { schedule.max_rejection_backoff } else { schedule.max_backoff };
                     let call = if rejected {
-                        schedule.call_timeout_after(failed)
+                        schedule.response_timeout_after(failed)
                     } else {
                         schedule.total_timeout(failed, failed)
                     };
                     all += call + backoff(rejections.max(1), longest, &mut rng);
                 }
                 assert!(
-                    all + schedule.call_timeout_after(3) <= schedule.max_notification_delay(0, 3),
+                    all + schedule.response_timeout_after(3) <= schedule.max_notification_delay(0, 3),
                     "{of}, order {order:03b}"
                 );
             }
@@ -71,12 +71,12 @@
             assert!(
                 polled_discovery
                     || grace < 2_000
-                    || schedule.call_timeout + schedule.max_backoff <= to_duration(ticks(grace)) * 3 / 4,
+                    || schedule.response_timeout + schedule.max_backoff <= to_duration(ticks(grace)) * 3 / 4,
                 "{of}"
             );
             // Never in a tight loop, and never so short that no response could be read.
             assert!(
-                schedule.call_timeout >= Duration::from_millis(100)
+                schedule.response_timeout >= Duration::from_millis(100)
                     && schedule.max_backoff >= Duration::from_millis(10),
                 "{of}"
             );
