--- a/crates/larklink-proxy/src/proxy.rs
+++ b/crates/larklink-proxy/src/proxy.rs
@@ -88,9 +88,10 @@
     let endpoints = initial_endpoints(cached_endpoints, predecessor.as_ref());
     let first_list = spawn_decisions(&config, endpoints, &queue, events, &limiter, &metrics, &executor);
     spawn_discovery(&config, options.discovery_addresses, &queue, &executor);
-    let (listener_open, listener_closed) = async_channel::bounded(1);
+    let (accepting_open, accepting_closed) = async_channel::bounded(1);
     let session_shutdown = Shutdown::new(shutdown.clone(), shutdown_grace(&config));
-    let context = new_session_context(&config, &queue, &limiter, &metrics, session_shutdown, listener_closed);
+    let context =
+        new_session_context(&config, &queue, &limiter, &metrics, session_shutdown, accepting_closed);
     // While a predecessor accepts connections, this process does not.
     let accepts_at_start = predecessor.is_none();
     let (accepting, accepting_changes) = async_channel::bounded(1);
@@ -121,7 +122,7 @@
     acceptor.accept_queued().await;
     tracing::info!("shutting down, no more connections accepted");
     drop(acceptor);
-    drop(listener_open);
+    drop(accepting_open);
     if let Some(server) = handover_server {
         server.close_listener();
     }
@@ -203,7 +204,7 @@
     limiter: &Rc<ConnectionLimiter>,
     metrics: &Arc<Metrics>,
     shutdown: Shutdown,
-    listener_closed: Receiver<Infallible>,
+    accepting_closed: Receiver<Infallible>,
 ) -> Rc<SessionContext> {
     Rc::new(SessionContext {
         queue: queue.clone(),
@@ -213,7 +214,7 @@
         passthrough: config.settings.passthrough,
         rng: new_rng(config.seed, SESSION_RNG_STREAM).into(),
         shutdown,
-        listener_closed,
+        accepting_closed,
         limiter: Rc::clone(limiter),
         sessions: SessionRegistry::default(),
         successor: Rc::default(),
@@ -255,7 +256,7 @@
         }
         None => list_ready.await,
     }
-    // Before it is ready: whoever waits for that may start the next process at once.
+    // Before it is ready: the supervisor may then start the next process at once.
     let socket = server.bind();
     metrics.set_ready(true);
     let served = async { server.run(socket?, executor).await };
--- a/crates/larklink-proxy/src/session/connect.rs
+++ b/crates/larklink-proxy/src/session/connect.rs
@@ -64,6 +64,16 @@
     send_deadline: Instant,
 }
 
+/// How an attempt ends.
+enum AttemptEnd {
+    /// The endpoint has accepted the session on this connection.
+    Accepted(Connection),
+    /// The endpoint has not accepted it; the outcome is reported to the decisions.
+    NotAccepted(AttemptOutcome),
+    /// The session ends before its attempt does.
+    SessionOver(EndReason),
+}
+
 /// A session that waits for its answer.
 struct PendingSession<'a> {
     context: &'a SessionContext,
@@ -87,9 +97,11 @@
                 Ok(SessionCommand::Connect { attempt, endpoint, address, deadline, send_deadline }) => {
                     let command = ConnectCommand { attempt, endpoint, address, deadline, send_deadline };
                     match self.attempt(&command).await {
-                        Ok(Ok(connection)) => return self.establish(&command, connection).await,
-                        Ok(Err(outcome)) => self.report_attempt(attempt, outcome).await,
-                        Err(reason) => return self.abandon(reason).await,
+                        AttemptEnd::Accepted(connection) => {
+                            return self.establish(&command, connection).await;
+                        }
+                        AttemptEnd::NotAccepted(outcome) => self.report_attempt(attempt, outcome).await,
+                        AttemptEnd::SessionOver(reason) => return self.abandon(reason).await,
                     }
                 }
                 Ok(SessionCommand::Reject { retry_after }) => return self.reject(retry_after).await,
@@ -109,11 +121,8 @@
         command.or(client_left).or(self.context.shutdown.last_answer_due()).await
     }
 
-    /// Makes an attempt: the connection if it was accepted, else its outcome; or why the session ends meanwhile.
-    async fn attempt(
-        &mut self,
-        command: &ConnectCommand,
-    ) -> Result<Result<Connection, AttemptOutcome>, EndReason> {
+    /// Makes an attempt.
+    async fn attempt(&mut self, command: &ConnectCommand) -> AttemptEnd {
         let context = self.context;
         let remaining = command.deadline.saturating_duration_since(Instant::now());
         let dial_timeout_ms = remaining.as_millis().max(1).to_string();
@@ -133,26 +142,41 @@
         let may_send = || is_client_waiting() && permit.try_use();
         let send = async {
             context.limiter.evictions_done().await;
-            let Some(address) = command.address else { return Ok(Err(AttemptOutcome::ConnectFailed)) };
+            let Some(address) = command.address else {
+                return AttemptEnd::NotAccepted(AttemptOutcome::ConnectFailed);
+            };
             let attempt = Attempt {
                 address,
                 deadline: command.deadline,
                 connect_timeout: context.connect_timeout,
                 metrics: &context.metrics,
             };
-            Ok(attempt.send(&mut line, may_connect, may_send).await)
+            match attempt.send(&mut line, may_connect, may_send).await {
+                Ok(connection) => AttemptEnd::Accepted(connection),
+                Err(outcome) => AttemptEnd::NotAccepted(outcome),
+            }
+        };
+        let expired = async { AttemptEnd::NotAccepted(permit.expired(&self.commands).await) };
+        let client_left = async {
+            let Err(reason) = watch_client::<Infallible>(stream, buffer, open_line.established).await;
+            AttemptEnd::SessionOver(reason)
+        };
+        let last_answer_due = async {
+            let Err(reason) = context.shutdown.last_answer_due::<Infallible>().await;
+            AttemptEnd::SessionOver(reason)
         };
-        let expired = async { Ok(Err(permit.expired(&self.commands).await)) };
-        let client_left = watch_client(stream, buffer, open_line.established);
-        let result = expired.or(client_left).or(send).or(context.shutdown.last_answer_due()).await;
-        let never_ran = matches!(&result, Ok(Err(outcome)) if outcome.never_ran());
+        // The futures are polled in this order, and the first one that is ready wins. `expired` reads the commands
+        // that bring the send deadline forward, and `client_left` notices that the client is gone: both come before
+        // `send`, which may send the first byte. An answer that comes with the last moment of a shutdown counts.
+        let end = expired.or(client_left).or(send).or(last_answer_due).await;
+        let never_ran = matches!(&end, AttemptEnd::NotAccepted(outcome) if outcome.never_ran());
         self.may_have_run |= permit.is_used() && !never_ran;
-        match result {
-            Ok(Err(AttemptOutcome::NotSent)) if !is_client_waiting() => {
+        match end {
+            AttemptEnd::NotAccepted(AttemptOutcome::NotSent) if !is_client_waiting() => {
                 let Err(reason) = watch_client::<Infallible>(stream, buffer, open_line.established).await;
-                Err(reason)
+                AttemptEnd::SessionOver(reason)
             }
-            result => result,
+            end => end,
         }
     }
 
--- a/crates/larklink-proxy/src/session/context.rs
+++ b/crates/larklink-proxy/src/session/context.rs
@@ -32,7 +32,7 @@
     /// Whether the proxy is to stop, and by when.
     pub(crate) shutdown: Shutdown,
     /// Closes when no more connections are accepted.
-    pub(crate) listener_closed: Receiver<Infallible>,
+    pub(crate) accepting_closed: Receiver<Infallible>,
     /// Counts the descriptors.
     pub(crate) limiter: Rc<ConnectionLimiter>,
     /// The open sessions.
--- a/crates/larklink-proxy/src/session/handler.rs
+++ b/crates/larklink-proxy/src/session/handler.rs
@@ -138,24 +138,13 @@
 /// Waits for the first line of a session.
 async fn receive_open_line(context: &SessionContext, client: &mut Client) -> Result<Vec<u8>, EndReason> {
     let evicted = until_evicted(&client.permit);
-    let listener_closed = async {
-        let _ = context.listener_closed.recv().await;
+    let accepting_closed = async {
+        let _ = context.accepting_closed.recv().await;
         Timer::after(LAST_ANSWER_MARGIN).await;
         Err(EndReason::Shutdown)
     };
-    let received = read_open_line(client).or(evicted).or(listener_closed).await;
-    // A line that has come by now is answered like any other: nobody sends it again. So is one of which a shutdown finds a
-    // part, as long as the rest may still come.
-    let has_line = client.connection.has_complete_line();
-    let has_part = matches!(received, Err(EndReason::Shutdown)) && client.connection.has_input();
-    let may_be_late = matches!(
-        received,
-        Err(EndReason::Shutdown
-            | EndReason::HealthCheck
-            | EndReason::OpenLineTimeout
-            | EndReason::NoDescriptors)
-    );
-    if may_be_late && (has_line || has_part) && client.permit.keep_if_not_evicted() {
+    let received = read_open_line(client).or(evicted).or(accepting_closed).await;
+    if has_late_line(&received, &mut client.connection) && client.permit.keep_if_not_evicted() {
         let evicted = until_evicted(&client.permit);
         let last_answer_due = context.shutdown.last_answer_due();
         return read_open_line(client).or(evicted).or(last_answer_due).await;
@@ -163,6 +152,19 @@
     received
 }
 
+/// Whether the rest of a line is read and answered though the wait for it has ended. A line that has come by now is
+/// answered like any other: nobody sends it again. So is one of which a shutdown finds a part, as long as the rest may
+/// still come.
+fn has_late_line(received: &Result<Vec<u8>, EndReason>, connection: &mut Connection) -> bool {
+    // This reads what the kernel has received, which happens however the wait ended.
+    let has_line = connection.has_complete_line();
+    match received {
+        Err(EndReason::Shutdown) => has_line || connection.has_input(),
+        Err(EndReason::HealthCheck | EndReason::OpenLineTimeout | EndReason::NoDescriptors) => has_line,
+        _ => false,
+    }
+}
+
 fn until_evicted<T>(permit: &ConnectionPermit) -> impl Future<Output = Result<T, EndReason>> + use<T> {
     let evicted = permit.evicted();
     async move {
