--- a/crates/larklink-engine/src/engine.rs
+++ b/crates/larklink-engine/src/engine.rs
@@ -1,7 +1,7 @@
 //! The balancer of one proxy behind ids: what the proxy observes goes in, [`ProxyAction`]s come out.
 //!
-//! Whoever holds an [`Engine`] hands each event to it with the time, carries out the actions that it returns in their
-//! order, and calls [`Engine::poll`] after each batch of events and when [`Engine::next_wakeup`] has come.
+//! The caller hands each event to its [`Engine`] with the time, carries out the actions that it returns in their order,
+//! and calls [`Engine::poll`] after each batch of events and when [`Engine::next_wakeup`] has come.
 use std::collections::HashMap;
 
 use larklink_balancer::{
--- a/crates/larklink-proxy/src/config.rs
+++ b/crates/larklink-proxy/src/config.rs
@@ -57,7 +57,7 @@
 }
 
 /// The endpoint list as this proxy last had it, which may be outdated. Unreadable entries are left out: discovery has
-/// the list, and a process that refused to start would serve no client.
+/// the list, and a process that did not start would serve no client.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(from = "Value")]
 pub struct CachedEndpoints {
--- a/crates/larklink-proxy/src/events.rs
+++ b/crates/larklink-proxy/src/events.rs
@@ -8,7 +8,7 @@
 
 use crate::endpoint_list::Endpoint;
 
-/// The most events that wait in the queue; whoever sends a further one waits until there is space.
+/// The most events that wait in the queue; the sender of a further one waits until there is space.
 pub const QUEUE_CAPACITY: usize = 1024;
 
 /// The most commands that wait for a session: an attempt, a limit of it and a migration.
--- a/crates/larklink-proxy/src/handover/mod.rs
+++ b/crates/larklink-proxy/src/handover/mod.rs
@@ -6,10 +6,10 @@
 //! A successor that ends before its predecessor was asked to stop has given everything back; a predecessor that ends has
 //! left everything to its successor.
 //!
-//! - [`messages`]: what the two say to each other, and its form on the wire
+//! - [`messages`]: the messages between the two, and their form on the wire
 //! - [`channel`]: messages and attached descriptors over a Unix socket
-//! - [`predecessor`]: the new process's side
-//! - `successor`: the side of the process that serves
+//! - [`predecessor`]: runs in the new process, and holds its connection to the old one
+//! - `successor`: runs in the old process, and holds its connection to the new one
 pub mod channel;
 pub mod messages;
 pub mod predecessor;
--- a/crates/larklink-proxy/src/handover/predecessor.rs
+++ b/crates/larklink-proxy/src/handover/predecessor.rs
@@ -1,4 +1,4 @@
-//! The new process's side of a handover: meets the predecessor, takes over from it, and continues its sessions.
+//! Runs in the new process: connects to the predecessor, takes over from it, and continues its sessions.
 use std::io::Result;
 use std::net::{TcpListener, TcpStream};
 use std::os::unix::net::UnixStream;
--- a/crates/larklink-proxy/src/handover/successor.rs
+++ b/crates/larklink-proxy/src/handover/successor.rs
@@ -1,5 +1,5 @@
-//! The side of the process that serves: offers its listener and endpoint list to each new process, lets one of them take
-//! over, and hands established sessions over to it.
+//! Runs in the old process: offers its listener and endpoint list to each new process, lets one of them take over, and
+//! hands established sessions over to it.
 use std::cell::RefCell;
 use std::io::Result;
 use std::net::{TcpListener, TcpStream};
@@ -84,7 +84,7 @@
     /// Opens the socket at which new processes meet this one.
     ///
     /// # Errors
-    /// The socket cannot be bound or moved to its path.
+    /// The socket cannot be bound or renamed to its path.
     pub(crate) fn bind(&self) -> Result<Async<UnixListener>> {
         // Under a name of its own first: a process that looks meanwhile finds the old socket or this one, complete.
         let path = &self.context.socket_path;
@@ -173,7 +173,7 @@
         Self { server, reader, writer, granted: false, shutdown_announced: false, reported_descriptors: 0 }
     }
 
-    /// Runs until the other process ends, or has been turned down.
+    /// Runs until the other process ends, or its takeover is denied.
     async fn run(mut self) -> Result<()> {
         self.send_offer().await?;
         loop {
--- a/crates/larklink-proxy/src/lib.rs
+++ b/crates/larklink-proxy/src/lib.rs
@@ -7,7 +7,7 @@
 //! - [`upstream`] makes attempts and health checks at endpoints; [`discovery`] follows the endpoint list.
 //! - [`handover`] takes over from a predecessor process, and hands over to a successor.
 //! - [`limiter`] counts file descriptors; [`metrics`], [`admin`] and [`log`] report.
-//! - [`config`], [`reload`], [`protocol`] and [`endpoint_list`] hold the forms in which others speak to it.
+//! - [`config`], [`reload`], [`protocol`] and [`endpoint_list`] hold the external formats.
 mod accept;
 pub mod admin;
 pub mod clock;
--- a/crates/larklink-proxy/src/log.rs
+++ b/crates/larklink-proxy/src/log.rs
@@ -32,7 +32,7 @@
     ClientWriteTimeout,
     /// The session was served to its end.
     Completed,
-    /// Its endpoint told the client to reconnect.
+    /// Its endpoint asked the client to reconnect.
     ServerMigrated,
     /// Its endpoint closed it within the session.
     ServerClosed,
@@ -40,7 +40,7 @@
     ServerReset,
     /// Its endpoint answered nothing for too long.
     Unresponsive,
-    /// The decisions moved its client to another endpoint.
+    /// The decisions migrated its client.
     Migrated,
     /// The proxy stops.
     Shutdown,
--- a/crates/larklink-proxy/src/session/relay/client_writer.rs
+++ b/crates/larklink-proxy/src/session/relay/client_writer.rs
@@ -53,7 +53,7 @@
         self.written.get()
     }
 
-    /// Starts anew after the written bytes were taken out of the endpoint's buffer.
+    /// Starts again after the written bytes were taken out of the endpoint's buffer.
     pub(super) fn reset_written(&self) {
         self.written.set(0);
     }
--- a/crates/larklink-proxy/src/session/relay/migration.rs
+++ b/crates/larklink-proxy/src/session/relay/migration.rs
@@ -35,7 +35,7 @@
         return EndReason::ClientWriteTimeout;
     }
     if state.has_final_line.get() {
-        // The session is over: a client told to reconnect after that would be served twice.
+        // The session is over: a client that reconnects after that would be served twice.
         return future::pending().await;
     }
     if !state.client.write_own_line(MOVE, started).await {
--- a/crates/larklink-proxy/src/session/relay/state.rs
+++ b/crates/larklink-proxy/src/session/relay/state.rs
@@ -18,7 +18,8 @@
 /// An established session, and where it is established.
 pub(in crate::session) struct EstablishedAt<'a> {
     pub(in crate::session) session: SessionId,
-    /// The attempt that was accepted; 0 if it was established before.
+    /// The number of the attempt that was accepted: 0 for the first one, and also 0 if the session was established
+    /// before this process got it.
     pub(in crate::session) attempt: AttemptNumber,
     pub(in crate::session) endpoint: EndpointId,
     /// The session's first line, with the CRLF.
