--- a/crates/larklink-adapter/src/action.rs
+++ b/crates/larklink-adapter/src/action.rs
@@ -1,6 +1,7 @@
 //! The actions of the wire: their codes, and how they are written.
 use larklink_balancer::Timestamp;
 use larklink_engine::engine::ProxyAction;
+use larklink_engine::units::NANOS_PER_TICK;
 
 use crate::wire::Reply;
 
@@ -23,9 +24,6 @@
 /// Migrate a session.
 const MIGRATE: u16 = 1120;
 
-/// Nanoseconds in one tick of a tenth of a millisecond.
-pub(crate) const NANOS_PER_TICK: u64 = 100_000;
-
 /// The bytes of so many ticks, in nanoseconds.
 fn nanos(ticks: u64) -> [u8; 8] {
     (ticks * NANOS_PER_TICK).to_le_bytes()
--- a/crates/larklink-adapter/src/proxies.rs
+++ b/crates/larklink-adapter/src/proxies.rs
@@ -6,8 +6,9 @@
 use larklink_balancer::{TickDuration, Timestamp};
 use larklink_engine::engine::{Engine, ProxyAction};
 use larklink_engine::settings::ProxySettings;
+use larklink_engine::units::NANOS_PER_TICK;
 
-use crate::action::{self, NANOS_PER_TICK};
+use crate::action;
 use crate::error::{MalformedFrame, SettingsReadError};
 use crate::event::{self, Event, ProxyStart};
 use crate::wire::{Batch, Fields, Reply};
--- a/crates/larklink-engine/src/units.rs
+++ b/crates/larklink-engine/src/units.rs
@@ -2,7 +2,7 @@
 use larklink_balancer::TickDuration;
 
 /// Nanoseconds in one tick of [`TickDuration`], a tenth of a millisecond.
-const NANOS_PER_TICK: u64 = 100_000;
+pub const NANOS_PER_TICK: u64 = 100_000;
 
 /// Nanoseconds as whole ticks of a tenth of a millisecond, rounded down; 0 for a negative number.
 pub fn ticks_from_nanos(nanos: i64) -> TickDuration {
--- a/crates/larklink-simulation/src/simulate/settings_object.rs
+++ b/crates/larklink-simulation/src/simulate/settings_object.rs
@@ -1,11 +1,10 @@
 //! The settings object of a scenario's proxies.
+use larklink_engine::units::NANOS_PER_TICK;
 use serde_json::{Value, json};
 
 use crate::scenario::{ListenerSpec, Scenario, SessionKind};
 use crate::time::TickDuration;
 
-/// Nanoseconds in one tick of [`TickDuration`], a tenth of a millisecond.
-const NANOS_PER_TICK: u64 = 100_000;
 /// What a placement in another zone costs at a proxy of the moved shape: more than a migration.
 const CROSS_ZONE_COST: f64 = 0.06;
 /// What a migration costs there.
--- a/crates/larklink-testbed/src/context.rs
+++ b/crates/larklink-testbed/src/context.rs
@@ -9,6 +9,7 @@
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use hdrhistogram::Histogram;
+use larklink_simulation::duration::TICKS_PER_MS;
 use larklink_simulation::faults::ProxyFault;
 use larklink_simulation::scenario::Scenario;
 use larklink_simulation::server::{ConnectionId, ServerMessage};
@@ -19,8 +20,6 @@
 
 /// Microseconds in a tick.
 const US_PER_TICK: u64 = 100;
-/// Ticks in a millisecond.
-const TICKS_PER_MS: u64 = 10;
 
 /// The wall time that a number of ticks takes.
 pub(crate) fn duration_of(ticks: TickDuration) -> Duration {
--- a/crates/larklink-testbed/src/html_report.rs
+++ b/crates/larklink-testbed/src/html_report.rs
@@ -2,6 +2,7 @@
 use std::error::Error;
 use std::fmt::Write;
 
+use larklink_simulation::duration::SECOND;
 use larklink_simulation::time::Timestamp;
 use plotters::coord::Shift;
 use plotters::prelude::{
@@ -19,8 +20,6 @@
 const MAX_LISTED: usize = 200;
 /// A plot with more series has no legend.
 const MAX_LEGEND: usize = 12;
-/// Ticks (0.1 ms each) in a second.
-const TICKS_PER_SECOND: f64 = 10_000.0;
 /// A fault is drawn at least this wide.
 const MIN_BAND_SECONDS: f64 = 0.1;
 /// Space above the highest value, as a factor.
@@ -61,7 +60,7 @@
 }
 
 fn seconds(at: Timestamp) -> f64 {
-    at as f64 / TICKS_PER_SECOND
+    at as f64 / SECOND as f64
 }
 
 /// A self-contained page.
--- a/crates/larklink-testbed/src/protocol.rs
+++ b/crates/larklink-testbed/src/protocol.rs
@@ -7,6 +7,7 @@
 use async_channel::Receiver;
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt, future};
+use larklink_simulation::duration::TICKS_PER_MS;
 use larklink_simulation::event_log::{ClientRequest, ClientResponse};
 use larklink_simulation::server::{LoadReport, ServerMessage};
 use larklink_simulation::time::Timestamp;
@@ -16,8 +17,6 @@
 const MAX_LINE_BYTES: usize = 4096;
 /// Connections that the kernel queues for a listener.
 const LISTEN_BACKLOG: i32 = 1024;
-/// Ticks (0.1 ms each) in a millisecond.
-const TICKS_PER_MS: u64 = 10;
 
 /// A connection that is read line by line.
 pub(crate) struct LineStream {
--- a/crates/larklink-testbed/src/report.rs
+++ b/crates/larklink-testbed/src/report.rs
@@ -1,6 +1,7 @@
 //! What a run found, as plain values that can be printed, written as JSON and plotted.
 use hdrhistogram::Histogram;
 use larklink_simulation::audit::{Findings, SessionOutcomes, ShapeOutcomes, Violation};
+use larklink_simulation::duration::TICKS_PER_MS;
 use larklink_simulation::faults::FaultBand;
 use larklink_simulation::goodput::{Recovery, recovery};
 use larklink_simulation::scenario::Scenario;
@@ -12,9 +13,6 @@
 use crate::sample::Sample;
 use crate::timer_delay::TimerDelay;
 
-/// Ticks (0.1 ms each) in a millisecond.
-const TICKS_PER_MS: f64 = 10.0;
-
 /// How long something took, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Quantiles {
@@ -34,13 +32,13 @@
     /// Those of values in ticks.
     #[must_use]
     pub fn of(ticks: &Histogram<u64>) -> Self {
-        let at = |quantile| ticks.value_at_quantile(quantile) as f64 / TICKS_PER_MS;
+        let at = |quantile| ticks.value_at_quantile(quantile) as f64 / TICKS_PER_MS as f64;
         Self {
             count: ticks.len(),
             p50: at(0.5),
             p99: at(0.99),
             p999: at(0.999),
-            max: ticks.max() as f64 / TICKS_PER_MS,
+            max: ticks.max() as f64 / TICKS_PER_MS as f64,
         }
     }
 }
@@ -222,7 +220,7 @@
         unmet.extend(finding.map(|finding| format!("{finding}, {within} asked for")));
     }
     let slowest = rows.iter().map(|row| row.response_ms.p99).fold(0.0, f64::max);
-    if let Some(most) = must.answer_p99.filter(|most| slowest > most.0 as f64 / TICKS_PER_MS) {
+    if let Some(most) = must.answer_p99.filter(|most| slowest > most.0 as f64 / TICKS_PER_MS as f64) {
         unmet.push(format!("answers within {slowest} ms for 99 in 100, {most} asked for"));
     }
     unmet
--- a/crates/larklinkctl/src/tables.rs
+++ b/crates/larklinkctl/src/tables.rs
@@ -1,12 +1,11 @@
 //! The report of a run as tables and lines for a terminal.
 use comfy_table::{Table, presets::UTF8_HORIZONTAL_ONLY};
 use larklink_simulation::audit::ShapeOutcomes;
+use larklink_simulation::duration::SECOND;
 use larklink_testbed::report::{ListenerReport, Report};
 
 /// Findings that are printed; the JSON has them all.
 const FINDINGS_PRINTED: usize = 20;
-/// Ticks (0.1 ms each) in a second.
-const TICKS_PER_SECOND: f64 = 10_000.0;
 /// Kilobytes in a megabyte.
 const KB_PER_MB: f64 = 1024.0;
 /// Microseconds in a millisecond.
@@ -114,7 +113,7 @@
 /// Broken rules, then requirements of the scenario that were not met.
 fn print_findings(report: &Report) {
     for finding in report.violations.iter().take(FINDINGS_PRINTED) {
-        let at_s = finding.at as f64 / TICKS_PER_SECOND;
+        let at_s = finding.at as f64 / SECOND as f64;
         println!(
             "rule {} {} at {at_s:.3} s, session {}: {}",
             finding.rule, finding.kind, finding.session, finding.observed
