--- a/crates/larklink-coordination/src/lease.rs
+++ b/crates/larklink-coordination/src/lease.rs
@@ -1,12 +1,12 @@
-//! The lease: one process at a time does a task for the whole fleet.
+//! The state machine of a lease, by which one process at a time performs a task for the whole fleet.
 //!
-//! Make one [`Lease`] for each task and process. Carry out the [`LeaseRequest`] that [`Lease::next_request`] returns, one
-//! at a time, and hand back what became of it by [`Lease::response_received`] or [`Lease::request_timed_out`]; call
-//! `next_request` again after each and when [`Lease::next_request_at`] has come. Right before an act call
-//! [`Lease::may_act`], let the act carry its fencing token, and call it again afterwards.
+//! Create one [`Lease`] per task and process. Send the [`LeaseRequest`] that [`Lease::next_request`] returns, one at a
+//! time, and report its outcome with [`Lease::response_received`] or [`Lease::request_timed_out`]. Call `next_request`
+//! again after each outcome and at [`Lease::next_request_at`]. Call [`Lease::may_act`] immediately before each operation
+//! that the lease protects, send the returned fencing token with the operation, and call `may_act` again afterwards.
 //!
-//! Times are those of a clock that goes on while the machine sleeps and is never set. That no two members act at once
-//! rests on two things: a holder counts from before its request, and a candidate from after the response.
+//! Timestamps come from a monotonic clock that keeps running while the machine is suspended. No two members act at once
+//! because a holder measures the TTL from before its request, and a candidate from after the response it received.
 //!
 //! ```
 //! use larklink_coordination::lease::Lease;
@@ -21,7 +21,7 @@
 //! let member = Member { name: "proxy-1".into(), incarnation: 7 };
 //! let mut lease: Lease<BoundedDrift> = Lease::new(member, settings, Some(1));
 //!
-//! // The lease store has no record yet: the lease can be acquired at once.
+//! // The lease store has no record yet, so the lease can be acquired immediately.
 //! assert!(matches!(lease.next_request(0), Some(LeaseRequest::Read { .. })));
 //! lease.response_received(10, LeaseResponse::Current(None));
 //! assert!(matches!(lease.next_request(10), Some(LeaseRequest::Write { expected_index: 0, .. })));
@@ -42,27 +42,27 @@
 use crate::settings::LeaseSettings;
 use crate::time::{TickDuration, Timestamp};
 
-/// A holder renews so often in its TTL: two renewals may fail before it must stop.
+/// Renewals attempted per TTL, so that two in a row may fail before the lease expires.
 const RENEWALS_PER_TTL: TickDuration = 3;
-/// The longest pause after a request without a response is this part of the TTL, the shortest half as long; it is drawn,
-/// so that hundreds of candidates do not retry in step.
-const RETRIES_PER_TTL: TickDuration = 10;
+/// The TTL divided by this is the longest delay before an unanswered request is retried. The delay is drawn at random
+/// from the upper half of the range, so that hundreds of candidates do not retry at the same time.
+const MIN_RETRIES_PER_TTL: TickDuration = 10;
 
-/// The latest that was observed of the record.
+/// The state of the record when it was last read or written.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ObservedRecord {
     index: u64,
     record: Option<LeaseRecord>,
-    /// When this index was first observed.
+    /// When this index was first observed by this process.
     first_observed_at: Timestamp,
 }
 
-/// Writes without a response, which may have taken effect or may yet.
+/// Unanswered writes, which may have taken effect or may still do so.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct UnresolvedWrite {
-    /// The index that they expected.
+    /// The index that the writes expect.
     expected_index: u64,
-    /// When the earliest of them was requested.
+    /// When the earliest of the writes was sent.
     requested_at: Timestamp,
 }
 
@@ -71,7 +71,7 @@
     may_act_until: Timestamp,
     token: FencingToken,
     term: u64,
-    /// When the latest renewal that was confirmed was requested.
+    /// When the last confirmed renewal was sent.
     renewed_at: Timestamp,
 }
 
@@ -81,29 +81,29 @@
     requested_at: Timestamp,
 }
 
-/// Why a lease was acquired or lost, for one log line.
+/// A change of whether this process holds the lease, to be logged.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum LeaseChange {
-    /// This process holds it now.
+    /// This process acquired the lease.
     Acquired {
-        /// The new term.
+        /// The term that began.
         term: u64,
     },
-    /// This process holds it no more.
+    /// This process no longer holds the lease.
     Lost {
-        /// Its new holder; none if it is unknown.
-        to: Option<Member>,
+        /// The new holder, if it is known.
+        new_holder: Option<Member>,
     },
-    /// This process gave it back.
+    /// This process is releasing the lease.
     Released,
 }
 
-/// How long a holder may act.
+/// How long this process may act on the lease it holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseValidity {
-    /// The time from which on it may not act any more, unless the lease is renewed.
+    /// The time from which this process may no longer act unless the lease is renewed.
     pub until: Timestamp,
-    /// Its term.
+    /// The current term.
     pub term: u64,
 }
 
@@ -112,11 +112,11 @@
 pub struct LeaseHolder<'a> {
     /// The member that holds the lease.
     pub member: &'a Member,
-    /// Its term.
+    /// The term in which it holds the lease.
     pub term: u64,
 }
 
-/// The state machine of one process and one lease.
+/// The state machine of one lease in one process.
 #[derive(Clone, Debug)]
 pub struct Lease<S = BoundedDrift> {
     member: Member,
@@ -126,19 +126,21 @@
     unresolved_write: Option<UnresolvedWrite>,
     held: Option<HeldLease>,
     outstanding: Option<OutstandingRequest>,
-    /// What was observed is not enough: the next request is a read.
+    /// Whether the next request must be a read because `observed` may be out of date.
     must_read: bool,
     resigning: bool,
-    /// No request before this time.
+    /// No request is sent before this time.
     retry_not_before: Timestamp,
-    /// No acquisition before this time: somebody may hold a lease that the lease store has forgotten.
+    /// The lease is not acquired before this time, since the lease store lost its data and another member may still
+    /// hold the lease.
     acquire_not_before: Timestamp,
     change: Option<LeaseChange>,
     safety: PhantomData<S>,
 }
 
 impl<S: SafetyCondition> Lease<S> {
-    /// The lease of a member that knows nothing of it yet. Without a seed there are no pauses, for models.
+    /// Creates the state machine with no knowledge of the lease store. Without a seed there are no retry delays, which
+    /// keeps state-space models deterministic.
     pub fn new(member: Member, settings: LeaseSettings, seed: Option<u64>) -> Self {
         Self {
             member,
@@ -157,24 +159,25 @@
         }
     }
 
-    /// The fencing token to act with now; none if this process may not act. Call it right before each act, and again
-    /// afterwards: an act that a pause of the process carried beyond the end is late, and only the far side can
-    /// reject it.
+    /// The fencing token to act with now, or `None` if this process may not act.
+    ///
+    /// Call it immediately before each operation, and again afterwards to detect an operation that finished after the
+    /// lease expired because the process was paused. Only the receiver of the operation can reject it, by its token.
     pub fn may_act(&self, now: Timestamp) -> Option<FencingToken> {
-        self.valid(now).map(|held| held.token)
+        self.valid_lease(now).map(|held| held.token)
     }
 
-    /// Until when this process may act, and in which term; none if it may not act now.
+    /// Until when and in which term this process may act, or `None` if it may not act now.
     pub fn validity(&self, now: Timestamp) -> Option<LeaseValidity> {
-        self.valid(now).map(|held| LeaseValidity { until: held.may_act_until, term: held.term })
+        self.valid_lease(now).map(|held| LeaseValidity { until: held.may_act_until, term: held.term })
     }
 
-    fn valid(&self, now: Timestamp) -> Option<&HeldLease> {
+    fn valid_lease(&self, now: Timestamp) -> Option<&HeldLease> {
         self.held.as_ref().filter(|held| now < held.may_act_until && !self.resigning)
     }
 
-    /// All state that decides what comes next, as a text; for models that compare states. What is drawn by chance is
-    /// not in it.
+    /// All state that determines future behavior, as text, by which models compare states. The state of the random
+    /// number generator is not included.
     pub fn state_key(&self) -> String {
         format!(
             "{:?} {:?} {:?} {:?} {} {} {} {}",
@@ -189,18 +192,18 @@
         )
     }
 
-    /// The lease holder, as last observed.
+    /// The lease holder according to the last observed record.
     pub fn holder(&self) -> Option<LeaseHolder<'_>> {
         let record = self.observed.as_ref()?.record.as_ref()?;
         record.holder.as_ref().map(|member| LeaseHolder { member, term: record.term })
     }
 
-    /// The latest change since this was last called.
+    /// Returns and clears the latest change since the previous call.
     pub fn take_change(&mut self) -> Option<LeaseChange> {
         self.change.take()
     }
 
-    /// Releases the lease, if it is held, and is no candidate any more.
+    /// Stops being a candidate, and releases the lease if this process holds it.
     pub fn resign(&mut self) {
         if !self.resigning && self.held.is_some() {
             self.change = Some(LeaseChange::Released);
@@ -208,28 +211,30 @@
         self.resigning = true;
     }
 
-    /// Whether there is nothing more to request after [`Lease::resign`]: what was held is released.
+    /// Whether [`Lease::resign`] is complete: the lease is released and no further request is needed.
     pub fn is_released(&self) -> bool {
-        self.resigning && self.outstanding.is_none() && !self.must_read && !self.is_mine()
+        self.resigning && self.outstanding.is_none() && !self.must_read && !self.holder_is_self()
     }
 
-    /// When [`Lease::next_request`] has to be called next; [`Timestamp::MAX`] while a request is outstanding.
+    /// When to call [`Lease::next_request`] next; [`Timestamp::MAX`] while a request is outstanding or after the lease was
+    /// released.
     pub fn next_request_at(&self) -> Timestamp {
         if self.outstanding.is_some() || self.is_released() {
             return Timestamp::MAX;
         }
-        // A candidate watches the record until it may overtake: it requests at once.
-        let renewal = self.held.as_ref().filter(|_| self.is_mine() && !self.must_read && !self.resigning);
+        // Only a renewal is delayed. Any other request is due immediately; a candidate waits in a long poll.
+        let renewal =
+            self.held.as_ref().filter(|_| self.holder_is_self() && !self.must_read && !self.resigning);
         let due_at = renewal.map_or(0, |held| held.renewed_at + self.settings.ttl / RENEWALS_PER_TTL);
         due_at.max(self.retry_not_before)
     }
 
-    /// What to request of the lease store now; nothing while a request is outstanding or before one is due.
+    /// The request to send to the lease store now, or `None` while a request is outstanding or before one is due.
     pub fn next_request(&mut self, now: Timestamp) -> Option<LeaseRequest> {
         if now < self.next_request_at() {
             return None;
         }
-        let request = self.wanted_request(now)?;
+        let request = self.build_request(now)?;
         if let LeaseRequest::Write { expected_index, .. } = &request {
             let earlier =
                 self.unresolved_write.as_ref().filter(|write| write.expected_index == *expected_index);
@@ -241,19 +246,19 @@
         Some(request)
     }
 
-    fn wanted_request(&self, now: Timestamp) -> Option<LeaseRequest> {
+    fn build_request(&self, now: Timestamp) -> Option<LeaseRequest> {
         let Some(observed) = self.observed.as_ref().filter(|_| !self.must_read) else {
             return Some(LeaseRequest::Read { newer_than: None, max_wait: 0 });
         };
         let term = observed.record.as_ref().map_or(0, |record| record.term);
-        if self.is_mine() {
+        if self.holder_is_self() {
             let holder = if self.resigning { None } else { Some(self.member.clone()) };
             return Some(self.write_request(observed.index, holder, term));
         }
         if self.resigning {
             return None;
         }
-        let acquire_at = self.may_overtake_at(observed).max(self.acquire_not_before);
+        let acquire_at = self.may_take_over_at(observed).max(self.acquire_not_before);
         if now < acquire_at {
             return Some(LeaseRequest::Read { newer_than: Some(observed.index), max_wait: acquire_at - now });
         }
@@ -265,8 +270,8 @@
         LeaseRequest::Write { expected_index, record }
     }
 
-    /// From when on the observed record may be overtaken: at once, if nobody holds it.
-    fn may_overtake_at(&self, observed: &ObservedRecord) -> Timestamp {
+    /// When the lease in the observed record may be taken over; immediately if nobody holds it.
+    fn may_take_over_at(&self, observed: &ObservedRecord) -> Timestamp {
         match &observed.record {
             Some(LeaseRecord { holder: Some(_), ttl, .. }) => {
                 S::may_overtake_at(observed.first_observed_at, *ttl, self.settings.drift_ppm)
@@ -275,16 +280,16 @@
         }
     }
 
-    fn is_mine(&self) -> bool {
+    fn holder_is_self(&self) -> bool {
         self.holder().is_some_and(|holder| *holder.member == self.member)
     }
 
-    /// The outstanding request was answered.
+    /// Handles the response to the outstanding request.
     pub fn response_received(&mut self, now: Timestamp, response: LeaseResponse) {
         let Some(OutstandingRequest { request, requested_at }) = self.outstanding.take() else { return };
         self.retry_not_before = 0;
         match (request, response) {
-            (LeaseRequest::Read { .. }, LeaseResponse::Current(current)) => self.read(now, current),
+            (LeaseRequest::Read { .. }, LeaseResponse::Current(current)) => self.apply_read(now, current),
             (
                 LeaseRequest::Write { expected_index, record },
                 LeaseResponse::Written { index: Some(index) },
@@ -292,15 +297,15 @@
                 let unresolved = self.unresolved_write.take();
                 let unresolved = unresolved.filter(|write| write.expected_index == expected_index);
                 let requested_at = unresolved.map_or(requested_at, |write| write.requested_at);
-                self.written(now, requested_at, index, record);
+                self.apply_write(now, requested_at, index, record);
             }
-            // After a conflict with an earlier write of ours without a response, or with somebody else's, only a read
-            // shows which. Ours counts from the earliest request on its index.
+            // A conflict may be with an earlier unanswered write of this process or with another member's write, and
+            // only a read shows which. If it is this process's own, the lease counts from the earliest request.
             (
                 LeaseRequest::Write { .. },
                 LeaseResponse::Written { index: None } | LeaseResponse::Conflict,
             ) => self.must_read = true,
-            // A response to another kind of request is none.
+            // A response of the wrong kind is treated as no response.
             (request, _) => {
                 self.outstanding = Some(OutstandingRequest { request, requested_at });
                 self.request_timed_out(now);
@@ -308,24 +313,25 @@
         }
     }
 
-    /// The outstanding request had no response in time: it may have taken effect, or may yet.
+    /// Handles a timeout of the outstanding request, which may have taken effect or may still do so.
     pub fn request_timed_out(&mut self, now: Timestamp) {
         let Some(OutstandingRequest { request, .. }) = self.outstanding.take() else { return };
         if matches!(request, LeaseRequest::Write { .. }) {
             self.must_read = true;
         }
-        let max_pause = (self.settings.ttl / RETRIES_PER_TTL).max(1);
-        let pause = self.rng.as_mut().map_or(0, |rng| rng.random_range(max_pause.div_ceil(2)..=max_pause));
-        self.retry_not_before = now + pause;
+        let max_delay = (self.settings.ttl / MIN_RETRIES_PER_TTL).max(1);
+        let delay = self.rng.as_mut().map_or(0, |rng| rng.random_range(max_delay.div_ceil(2)..=max_delay));
+        self.retry_not_before = now + delay;
     }
 
-    /// A write of ours took effect, requested at the earliest at `requested_at`.
-    fn written(&mut self, now: Timestamp, requested_at: Timestamp, index: u64, record: LeaseRecord) {
-        let holds = record.holder.is_some();
+    /// Updates the state after a write of this process took effect; `requested_at` is the earliest time at which it may
+    /// have been sent.
+    fn apply_write(&mut self, now: Timestamp, requested_at: Timestamp, index: u64, record: LeaseRecord) {
+        let released = record.holder.is_none();
         let term = record.term;
         self.observed = Some(ObservedRecord { index, record: Some(record), first_observed_at: now });
         self.must_read = false;
-        if !holds {
+        if released {
             self.held = None;
             return;
         }
@@ -340,38 +346,39 @@
         self.held = Some(HeldLease { may_act_until, token, term, renewed_at: requested_at });
     }
 
-    /// What was held is not any more.
-    fn lose(&mut self, to: Option<Member>) {
+    /// Records that this process no longer holds the lease, if it did.
+    fn mark_lost(&mut self, new_holder: Option<Member>) {
         if self.held.take().is_some() {
-            self.change = Some(LeaseChange::Lost { to });
+            self.change = Some(LeaseChange::Lost { new_holder });
         }
     }
 
-    fn read(&mut self, now: Timestamp, current: Option<StoredRecord>) {
+    /// Updates the state from the response to a read.
+    fn apply_read(&mut self, now: Timestamp, current: Option<StoredRecord>) {
         let index = current.as_ref().map_or(0, |stored| stored.index);
         let record = current.map(|stored| stored.record);
         self.must_read = false;
         let known_index = self.observed.as_ref().map_or(0, |observed| observed.index);
-        let mine = record.as_ref().filter(|record| record.holder.as_ref() == Some(&self.member));
+        let own_record = record.as_ref().filter(|record| record.holder.as_ref() == Some(&self.member));
         if index < known_index {
-            // The lease store has lost its state, and somebody may hold what it has forgotten.
-            self.lose(None);
+            // The lease store has lost its data, and another member may still hold the lease.
+            self.mark_lost(None);
             self.acquire_not_before = S::may_overtake_at(now, self.settings.ttl, self.settings.drift_ppm);
         } else if index == known_index && self.observed.is_some() {
-            // An unresolved write on this index may still take effect: when it was requested stays known.
+            // Nothing changed. Unanswered writes on this index may still take effect, so their request time is kept.
             return;
-        } else if let Some(record) = mine {
-            // Only an unresolved write of ours can have made this index since the one last observed: any other of
-            // ours was answered.
+        } else if let Some(record) = own_record {
+            // Every other write of this process was answered, so only an unanswered one can have led from the last
+            // observed index to this one.
             let unresolved = self.unresolved_write.take();
             if let Some(write) = unresolved.filter(|write| write.expected_index == known_index) {
-                return self.written(now, write.requested_at, index, record.clone());
+                return self.apply_write(now, write.requested_at, index, record.clone());
             }
-            self.lose(None);
+            self.mark_lost(None);
         } else {
-            self.lose(record.as_ref().and_then(|record| record.holder.clone()));
+            self.mark_lost(record.as_ref().and_then(|record| record.holder.clone()));
         }
-        // What expected an earlier index can take effect no more.
+        // Writes that expected an earlier index can no longer take effect.
         self.unresolved_write = None;
         self.observed = Some(ObservedRecord { index, record, first_observed_at: now });
     }
--- a/crates/larklink-coordination/src/lib.rs
+++ b/crates/larklink-coordination/src/lib.rs
@@ -1,13 +1,14 @@
-//! What many processes of larklink decide together: leases in an outside lease store. No I/O and no clock: time is an
-//! argument, chance comes from a seed, and requests to the lease store come out as plain values.
-//! `docs/design/leases.md` has the argument.
+//! Coordination between larklink processes through leases in an external key-value store, the lease store.
 //!
-//! - [`lease`]: the state machine of one process and one lease, and how to call it.
-//! - [`record`]: what the lease store keeps.
+//! The crate does no I/O and reads no clock: the current time is an argument, randomness comes from a seed, and requests
+//! to the lease store are returned as plain values. `docs/design/leases.md` explains why the protocol is safe.
+//!
+//! - [`lease`]: the state machine for one lease in one process, and how to drive it.
+//! - [`record`]: the data in the lease store.
 //! - [`request`]: requests to the lease store, its responses, and the fencing token.
-//! - [`safety`]: the inequalities on which the lease rests.
-//! - [`settings`]: the durations on which all candidates agree.
-//! - [`time`]: the unit of all times.
+//! - [`safety`]: the timing conditions that keep two processes from holding a lease at once.
+//! - [`settings`]: lease durations, which must be the same for all candidates.
+//! - [`time`]: timestamps and durations.
 pub mod lease;
 pub mod record;
 pub mod request;
--- a/crates/larklink-coordination/src/request.rs
+++ b/crates/larklink-coordination/src/request.rs
@@ -6,37 +6,40 @@
 /// A request to the lease store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum LeaseRequest {
-    /// A consistent read of the record.
+    /// A linearizable read of the record.
     Read {
-        /// Respond only once the index is higher than this one, or after `max_wait`; at once if there is none.
+        /// Makes the read a long poll: the store responds once the index is higher than this one, or after
+        /// `max_wait`. With `None` it responds immediately.
         newer_than: Option<u64>,
-        /// How long the response may wait for a newer index.
+        /// The longest time that the store waits for a higher index.
         max_wait: TickDuration,
     },
-    /// A compare-and-set of the record.
+    /// A compare-and-set on the index of the record.
     Write {
-        /// Write only if the index is still this one; 0 if there is no record yet.
+        /// The index that the record must still have; 0 if there is no record yet.
         expected_index: u64,
-        /// What to write.
+        /// The record to write.
         record: LeaseRecord,
     },
 }
 
-/// A response of the lease store.
+/// A response from the lease store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum LeaseResponse {
-    /// To a read: the record, if there is one.
+    /// The response to a read: the record, if there is one.
     Current(Option<StoredRecord>),
     /// The write took effect.
     Written {
-        /// Its index; none from a lease store that does not say it.
+        /// The index of the write, or `None` if the lease store does not report it.
         index: Option<u64>,
     },
-    /// The write had no effect, as the index was another one.
+    /// The write was not applied because the index differed from the expected one.
     Conflict,
 }
 
-/// The index of the write that made the lease holder. It goes with each act: a far side rejects an act whose token is
-/// lower than the highest that it has seen.
+/// The index of the write by which the holder acquired the lease.
+///
+/// The holder sends it with every operation that the lease protects. The receiver rejects an operation whose token is
+/// lower than the highest one that it has seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FencingToken(pub u64);
--- a/crates/larklink-coordination/src/safety.rs
+++ b/crates/larklink-coordination/src/safety.rs
@@ -1,40 +1,48 @@
-//! The inequalities on which it rests that no two members act by one lease at once. They stand apart from the state
-//! machine, so that a search can show that it finds mistaken ones.
+//! The timing conditions that keep two members from acting on the same lease at once.
+//!
+//! They are separate from the state machine so that a test can replace one of them with a wrong condition and check that
+//! the state search detects the violation.
 
 use crate::settings::LeaseSettings;
 use crate::time::{TickDuration, Timestamp};
 
-/// Millionths in one, the unit of drift.
-const MILLION: TickDuration = 1_000_000;
+/// Parts per million in one.
+const PPM: TickDuration = 1_000_000;
 
-/// When a holder may act, and when a candidate may overtake it. The methods as given are the ones that are safe.
+/// Decides until when a holder may act and from when a candidate may take over the lease.
+///
+/// The default methods are the safe ones; only tests override them.
 pub trait SafetyCondition {
-    /// Until when a holder may act by a write that was requested at one time and answered at another.
+    /// The time until which a holder may act after a write that was sent at `requested_at` and confirmed at
+    /// `_answered_at`.
     fn may_act_until(
         requested_at: Timestamp,
         _answered_at: Timestamp,
         settings: &LeaseSettings,
     ) -> Timestamp {
         let drift = TickDuration::from(settings.drift_ppm);
-        let expires_at = requested_at + settings.ttl * (MILLION - drift) / MILLION;
+        let expires_at = requested_at + settings.ttl * (PPM - drift) / PPM;
         expires_at.saturating_sub(settings.max_act_duration)
     }
 
-    /// From when on a record may be overtaken that was first observed at a time, and has not changed since.
+    /// The time from which a candidate may take over a record that it first observed at `observed_at` and that has
+    /// not changed since.
     fn may_overtake_at(observed_at: Timestamp, ttl: TickDuration, drift_ppm: u32) -> Timestamp {
-        // The TTL stands in a record that others wrote: the product may exceed 64 bits.
-        let slowest = u128::from(MILLION + TickDuration::from(drift_ppm));
-        let wait = (u128::from(ttl) * slowest).div_ceil(MILLION.into());
+        // A candidate whose clock runs fast must still wait for the whole TTL in true time.
+        // The TTL comes from a record that another member wrote, so the product may exceed 64 bits.
+        let fastest_rate = u128::from(PPM + TickDuration::from(drift_ppm));
+        let wait = (u128::from(ttl) * fastest_rate).div_ceil(PPM.into());
         observed_at.saturating_add(TickDuration::try_from(wait).unwrap_or(TickDuration::MAX))
     }
 
-    /// From when on a write counts that repeats one without a response, which may have taken effect.
+    /// The request time that counts for a write that repeats an unanswered one. It is the earlier of the two, since
+    /// either write may be the one that takes effect.
     fn repeated_write_counts_from(first_requested_at: Timestamp, repeated_at: Timestamp) -> Timestamp {
         first_requested_at.min(repeated_at)
     }
 }
 
-/// The safety condition that holds while all clocks run true within the drift.
+/// The safe timing conditions, valid as long as the rate of every clock stays within the configured drift.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct BoundedDrift;
 
--- a/crates/larklink-coordination/src/settings.rs
+++ b/crates/larklink-coordination/src/settings.rs
@@ -1,40 +1,42 @@
-//! The durations of a lease, on which all its candidates agree.
+//! Lease settings, which must be the same for all candidates of a lease.
 use thiserror::Error;
 
 use crate::time::TickDuration;
 
-/// The least ratio of the TTL to the request timeout: renewals need time to fail and be repeated.
+/// The lowest allowed ratio of the TTL to the request timeout, so that a failed renewal can be retried before the lease
+/// expires.
 pub const MIN_TTL_PER_REQUEST_TIMEOUT: TickDuration = 10;
-/// The highest drift, in millionths.
+/// The highest allowed clock drift, in parts per million.
 const MAX_DRIFT_PPM: u32 = 100_000;
-/// The longest TTL, a day: without its holder the task is not done for as long.
+/// The longest allowed TTL, one day. After the holder fails, nobody performs its task until the TTL has passed.
 const MAX_TTL: TickDuration = 24 * 3_600 * 10_000;
 
-/// The durations of a lease.
+/// The durations and the clock drift that a lease relies on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseSettings {
-    /// How long a renewal is valid.
+    /// How long the lease is valid after a renewal.
     pub ttl: TickDuration,
-    /// By how many millionths a clock may run fast or slow.
+    /// The largest deviation of any member's clock rate, in parts per million.
     pub drift_ppm: u32,
-    /// How long one act may take: none begins later than this before the end of the lease.
+    /// The longest time that one operation under the lease may take. No operation starts later than this before the
+    /// lease expires.
     pub max_act_duration: TickDuration,
-    /// After how long a request to the lease store counts as unanswered.
+    /// The time after which a request to the lease store counts as unanswered.
     pub request_timeout: TickDuration,
 }
 
-/// What is wrong with lease settings. Durations are in tenths of a millisecond.
+/// Invalid lease settings. Durations are in ticks of 0.1 ms.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum LeaseSettingsError {
-    /// The drift is 0 or too high.
-    #[error("drift: {0} millionths; it must be above 0 and at most {MAX_DRIFT_PPM}")]
+    /// The clock drift is 0 or too high.
+    #[error("drift: {0} ppm is out of range: must be above 0 and at most {MAX_DRIFT_PPM}")]
     DriftOutOfRange(u32),
-    /// There is no request timeout.
-    #[error("call: 0 is no bound on a call")]
+    /// The request timeout is 0.
+    #[error("call: the request timeout must be above 0")]
     NoRequestTimeout,
-    /// The TTL is too short for renewals to be repeated.
+    /// The TTL is too short for a failed renewal to be retried.
     #[error(
-        "span: {ttl} is under {MIN_TTL_PER_REQUEST_TIMEOUT} times the bound on a call, {request_timeout}"
+        "span: the TTL of {ttl} is under {MIN_TTL_PER_REQUEST_TIMEOUT} times the request timeout, {request_timeout}"
     )]
     TtlTooShort {
         /// The TTL.
@@ -43,12 +45,12 @@
         request_timeout: TickDuration,
     },
     /// The TTL is longer than a day.
-    #[error("span: {0} tenths of a millisecond are over a day")]
+    #[error("span: the TTL is {0} ticks of 0.1 ms, longer than a day")]
     TtlTooLong(TickDuration),
-    /// One act may take half of the TTL or more.
-    #[error("act: {max_act_duration} leaves less than half of the span, {ttl}, to act in")]
+    /// One operation may take half of the TTL or longer.
+    #[error("act: an operation may take {max_act_duration} ticks, half of the TTL of {ttl} or longer")]
     ActTooLong {
-        /// How long one act may take.
+        /// The longest duration of one operation.
         max_act_duration: TickDuration,
         /// The TTL.
         ttl: TickDuration,
@@ -56,10 +58,10 @@
 }
 
 impl LeaseSettings {
-    /// Checks that a lease can work with these settings.
+    /// Validates the settings.
     ///
     /// # Errors
-    /// The first setting that is out of range, or contradicts another.
+    /// Returns an error for the first setting that is out of range or inconsistent with another one.
     pub fn check(&self) -> Result<(), LeaseSettingsError> {
         if self.drift_ppm == 0 || self.drift_ppm > MAX_DRIFT_PPM {
             return Err(LeaseSettingsError::DriftOutOfRange(self.drift_ppm));
--- a/crates/larklink-coordination/src/time.rs
+++ b/crates/larklink-coordination/src/time.rs
@@ -1,7 +1,9 @@
-//! Times of leases, in ticks of a tenth of a millisecond, of a clock that goes on while the machine sleeps.
+//! Timestamps and durations of leases, in ticks of 0.1 ms.
+//!
+//! Timestamps come from a monotonic clock that keeps running while the machine is suspended.
 
 /// A point in time: ticks since an origin that the caller chooses.
 pub type Timestamp = u64;
 
-/// A length of time, in ticks.
+/// A duration in ticks.
 pub type TickDuration = u64;
