--- a/crates/larklink-adapter/src/error.rs
+++ b/crates/larklink-adapter/src/error.rs
@@ -1,63 +1,63 @@
-//! What can be wrong with the input.
+//! Errors of reading and decoding the simulator's input.
 use std::io;
 
 use thiserror::Error;
 
-/// A frame's bytes do not hold what they should.
+/// Invalid content of a frame.
 #[derive(Debug, Error)]
 pub enum MalformedFrame {
     /// The input ends within a header.
     #[error("the header has {present} of {needed} bytes")]
     HeaderTooShort {
-        /// The bytes that are there.
+        /// The number of bytes read.
         present: usize,
-        /// The bytes of a header.
+        /// The size of a header.
         needed: usize,
     },
     /// The input ends within a frame.
     #[error("the frame has {present} of {needed} bytes")]
     FrameTooShort {
-        /// The bytes that are there.
+        /// The number of bytes read.
         present: usize,
-        /// The bytes that the header states.
+        /// The length that the header states.
         needed: usize,
     },
-    /// There are more records than the frame has room for.
-    #[error("{records} records do not fit into {length} bytes")]
+    /// The record count in the header exceeds the length of the frame.
+    #[error("{records} records do not fit in {length} bytes")]
     TooManyRecords {
-        /// The records that the header states.
+        /// The record count that the header states.
         records: usize,
-        /// The bytes that it states.
+        /// The length that the header states.
         length: usize,
     },
-    /// A record names items that are not in the tail.
-    #[error("{items} items at {offset} lie outside the tail")]
+    /// A record refers to items outside the tail of the frame.
+    #[error("{items} items at offset {offset} are outside the tail")]
     OutsideTail {
-        /// How many items.
+        /// The number of items.
         items: usize,
-        /// The offset of the first in the tail.
+        /// The offset of the first item in the tail.
         offset: usize,
     },
-    /// A settings object cannot be read.
+    /// The settings object of a proxy is invalid.
     #[error("settings: {0}")]
     Settings(#[from] SettingsReadError),
-    /// There is no event with that code.
-    #[error("no event has code {0}")]
+    /// An event has an unknown code.
+    #[error("unknown event code {0}")]
     UnknownEvent(u16),
-    /// A session is of a listener that the settings do not have.
-    #[error("no class {0} in the settings")]
+    /// A session refers to a listener that is not in the settings.
+    #[error("listener {0} is not in the settings")]
     UnknownListener(u8),
 }
 
-/// Why a settings object cannot be read, as a text with the path of its field.
+/// Why a settings object could not be parsed. The message contains the path of the invalid field.
 #[derive(Debug, Error)]
 #[error("{0}")]
 pub struct SettingsReadError(pub String);
 
-/// Why no further batch can be read.
+/// An error that ends the adapter.
 #[derive(Debug, Error)]
 pub enum ReadError {
-    /// The input cannot be read, or the output cannot be written.
+    /// Reading the input or writing the output failed.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The input is malformed.
--- a/crates/larklink-adapter/src/event.rs
+++ b/crates/larklink-adapter/src/event.rs
@@ -1,4 +1,4 @@
-//! The events of the wire: their codes, where their fields stand, and how they are read.
+//! Event codes of the simulator's protocol, the layout of event records, and their decoding.
 use larklink_balancer::{
     AttemptOutcome, EndpointEntry, EndpointIndex, EndpointState, ListScope, Observation, SessionRequest,
     TickDuration, Timestamp,
@@ -9,46 +9,46 @@
 use crate::error::MalformedFrame;
 use crate::wire::{Batch, Fields};
 
-/// A proxy starts, with its settings.
+/// A proxy was started, with its settings.
 pub(crate) const PROXY_STARTED: u16 = 1000;
-/// The endpoint list, a change of it, or a failed poll.
+/// The endpoint list, changes to it, or a failed poll of it.
 pub(crate) const ENDPOINT_LIST: u16 = 1010;
-/// A session has come in.
+/// A client opened a session.
 pub(crate) const SESSION_OPENED: u16 = 1020;
-/// An attempt was accepted.
+/// An attempt was accepted by its endpoint.
 pub(crate) const ESTABLISHED: u16 = 1030;
 /// An attempt or its connection ended.
 pub(crate) const ATTEMPT_ENDED: u16 = 1040;
-/// A client has left.
+/// A client disconnected.
 pub(crate) const CLIENT_LEFT: u16 = 1050;
-/// A health check ended.
+/// A health check completed.
 pub(crate) const HEALTH_CHECKED: u16 = 1070;
-/// A proxy ends.
+/// A proxy was stopped.
 pub(crate) const PROXY_ENDED: u16 = 1090;
-/// A session that is established already.
+/// A proxy took over a session that is already established.
 pub(crate) const SESSION_ADOPTED: u16 = 1100;
-/// Something was observed of an established session.
+/// A load or latency observation of an established session.
 pub(crate) const OBSERVED: u16 = 1110;
 
-/// The steps between codes; those between the first and the last that are not named here are ignored.
+/// Event codes are multiples of this. Multiples within the range of known codes that have no constant here are ignored.
 const CODE_STEP: u16 = 10;
 
-/// The code of an event; it stands first in each record.
+/// The code of an event, at the start of its record.
 pub(crate) fn code(event: Fields) -> u16 {
     event.u16(0)
 }
 
-/// The proxy that an event is for.
+/// The number of the proxy that an event is addressed to.
 pub(crate) fn instance(event: Fields) -> u32 {
     event.u32(2)
 }
 
-/// Whether a code is of an event for a proxy that runs.
+/// Whether events with this code are addressed to a running proxy.
 pub(crate) fn is_for_running_proxy(code: u16) -> bool {
     (ENDPOINT_LIST..=OBSERVED).contains(&code) && code.is_multiple_of(CODE_STEP)
 }
 
-/// Where the fields of an event stand in its record.
+/// Byte offsets of the fields in event and endpoint list records.
 mod offset {
     pub(super) const SESSION: usize = 6;
     pub(super) const ATTEMPT: usize = 10;
@@ -90,26 +90,26 @@
     pub(super) const ENTRY_STARTED_AT: usize = 15;
 }
 
-/// The values of a load report that a health check has room for.
+/// The most load report values that fit in the record of a health check.
 const MAX_LOAD_VALUES: u8 = 4;
-/// Bytes of one of them.
+/// The size of a load report value in bytes.
 const LOAD_VALUE_BYTES: usize = 4;
 
-/// Scopes of an endpoint list; any other is a change.
+/// Scopes of an endpoint list. Any other value means changes to the list.
 const LIST_COMPLETE: u8 = 1;
 const LIST_CACHED: u8 = 2;
 const LIST_FAILED: u8 = 3;
 
-/// Flags of a session: the client retries, is established elsewhere, or reconnects.
+/// Session flags: the client is retrying, the session is established elsewhere, or the client is reconnecting.
 const FLAG_CLIENT_RETRY: u16 = 2;
 const FLAG_ESTABLISHED: u16 = 8;
 const FLAG_RECONNECTING: u16 = 16;
 
-/// States of an endpoint; any other counts as draining.
+/// Endpoint states. Any other value means draining.
 const STATE_READY: u8 = 0;
 const STATE_REMOVED: u8 = 2;
 
-/// Outcomes of an attempt or a health check; any other is a failure.
+/// Outcomes of an attempt or a health check. Any other value means failure.
 const OUTCOME_SUCCEEDED: u8 = 0;
 const OUTCOME_NOT_SENT: u8 = 249;
 const OUTCOME_CANCELLED: u8 = 250;
@@ -118,13 +118,13 @@
 const OUTCOME_TIMED_OUT: u8 = 253;
 const OUTCOME_AT_CAPACITY: u8 = 254;
 
-/// Kinds of observations; any other is ignored.
+/// Kinds of observations. Others are ignored.
 const OBSERVED_LOAD: u8 = 1;
 const OBSERVED_LATENCY: u8 = 2;
-/// Ticks in a millisecond, the unit of an observed latency.
+/// Ticks per millisecond. Observed latencies are in milliseconds.
 const TICKS_PER_MS: f64 = 10.0;
 
-/// An event for a proxy that runs.
+/// A decoded event for a running proxy.
 pub(crate) enum Event {
     DiscoveryFailed,
     EndpointList {
@@ -164,35 +164,36 @@
         attempt: AttemptNumber,
         observation: Observation,
     },
-    /// A timer, after which the poll of each batch is enough, or what is not for the decisions.
+    /// An event that the engine does not use, or a timer, which needs no handling because the engine is polled after
+    /// each batch.
     Ignored,
 }
 
-/// The seed and the settings object of a proxy that starts.
+/// The seed and the settings object of a proxy that is being started.
 pub(crate) struct ProxyStart<'a> {
     pub(crate) seed: u64,
     pub(crate) settings: &'a [u8],
 }
 
 impl<'a> ProxyStart<'a> {
-    pub(crate) fn read(batch: &'a Batch, event: Fields) -> Result<Self, MalformedFrame> {
+    pub(crate) fn decode(batch: &'a Batch, event: Fields) -> Result<Self, MalformedFrame> {
         Ok(Self { seed: event.u64(offset::SEED), settings: batch.text(event, offset::SETTINGS)? })
     }
 }
 
 impl Event {
-    /// Reads an event; `has_listener` says which listeners the proxy has.
-    pub(crate) fn read(
+    /// Decodes an event. `has_listener` tells whether the proxy's settings contain a listener.
+    pub(crate) fn decode(
         batch: &Batch,
         event: Fields,
         has_listener: impl Fn(usize) -> bool,
     ) -> Result<Self, MalformedFrame> {
         let session = event.u32(offset::SESSION);
         let attempt = event.u8(offset::ATTEMPT);
-        let listener = |at: usize| {
-            let listener = event.u8(at);
-            let known = has_listener(listener.into());
-            known.then_some(listener.into()).ok_or(MalformedFrame::UnknownListener(listener))
+        let listener = |field: usize| {
+            let listener = event.u8(field);
+            let is_known = has_listener(listener.into());
+            is_known.then_some(listener.into()).ok_or(MalformedFrame::UnknownListener(listener))
         };
         Ok(match code(event) {
             ENDPOINT_LIST => endpoint_list(batch, event)?,
@@ -252,7 +253,7 @@
             _ => EndpointState::Draining,
         },
         weight: f64::from(entry.f32(offset::ENTRY_WEIGHT)),
-        // 0 means long ago.
+        // 0 means that the endpoint started long ago, so a start time within the first tick must not round to 0.
         started_at: if started_at > 0 {
             Timestamp::ZERO + ticks_from_nanos(started_at).max(TickDuration::from_ticks(1))
         } else {
@@ -286,8 +287,8 @@
 
 fn load_report(event: Fields) -> Vec<f64> {
     let count = event.u8(offset::CHECK_VALUE_COUNT).min(MAX_LOAD_VALUES);
-    let at = |index: u8| offset::CHECK_VALUES + LOAD_VALUE_BYTES * usize::from(index);
-    (0..count).map(|index| event.f32(at(index)).into()).collect()
+    let value_offset = |index: u8| offset::CHECK_VALUES + LOAD_VALUE_BYTES * usize::from(index);
+    (0..count).map(|index| event.f32(value_offset(index)).into()).collect()
 }
 
 fn observation(event: Fields) -> Option<Observation> {
--- a/crates/larklink-adapter/src/lib.rs
+++ b/crates/larklink-adapter/src/lib.rs
@@ -1,4 +1,5 @@
-//! Speaks the simulator's wire for the larklink decisions: its frames, and the events and actions in them.
+//! Connects the larklink engine to the simulator: decodes the events in the simulator's binary frames, and encodes the
+//! engine's actions as replies.
 mod action;
 pub mod error;
 mod event;
--- a/crates/larklink-adapter/src/main.rs
+++ b/crates/larklink-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Hosts proxies on the simulator's wire: batches in on standard input, replies out on standard output.
+//! Runs simulated proxies: reads batches of events from standard input and writes a reply to each to standard output.
 use std::io::{self, BufReader, Write};
 use std::process::ExitCode;
 
@@ -21,7 +21,7 @@
     let mut output = io::stdout().lock();
     let mut proxies = Proxies::default();
     while let Some(batch) = Batch::read(&mut input)? {
-        let frame = proxies.answer(&batch)?;
+        let frame = proxies.handle_batch(&batch)?;
         output.write_all(&frame)?;
         output.flush()?;
     }
--- a/crates/larklink-adapter/src/proxies.rs
+++ b/crates/larklink-adapter/src/proxies.rs
@@ -1,4 +1,4 @@
-//! The proxies of one process: turns events of the wire into calls of the engine, and its actions into those of the wire.
+//! The simulated proxies of one process: passes decoded events to the engines and encodes their actions.
 use std::any::Any;
 use std::collections::{BTreeSet, HashMap};
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -15,24 +15,24 @@
 
 struct Proxy {
     engine: Engine,
-    /// When the simulator was last asked to wake it.
-    wakes_at: Option<Timestamp>,
+    /// The time of the timer that was last set for it.
+    timer_at: Option<Timestamp>,
 }
 
-/// The proxies that run, by their number on the wire.
+/// The running proxies, by the number that the simulator gave them.
 #[derive(Default)]
 pub struct Proxies {
     running: HashMap<u32, Proxy>,
 }
 
 impl Proxies {
-    /// The frame of the reply to a batch.
+    /// Processes a batch of events and returns the encoded reply.
     ///
     /// # Errors
-    /// The batch holds what is not allowed on the wire.
-    pub fn answer(&mut self, batch: &Batch) -> Result<Vec<u8>, MalformedFrame> {
+    /// Returns an error if the batch contains an unknown event, invalid settings or an invalid field.
+    pub fn handle_batch(&mut self, batch: &Batch) -> Result<Vec<u8>, MalformedFrame> {
         let mut reply = Reply::default();
-        let mut touched = BTreeSet::new();
+        let mut to_poll = BTreeSet::new();
         let now = Timestamp::from_ticks(batch.clock / NANOS_PER_TICK);
         for event in batch.events() {
             let code = event::code(event);
@@ -43,57 +43,57 @@
                 }
                 event::PROXY_ENDED => {
                     self.running.remove(&instance);
-                    touched.remove(&instance);
+                    to_poll.remove(&instance);
                     continue;
                 }
                 _ if event::is_for_running_proxy(code) => {
                     let Some(proxy) = self.running.get_mut(&instance) else { continue };
-                    let handled = guarded(instance, &mut reply, || proxy.handle(now, batch, event));
+                    let handled = catch_panic(instance, &mut reply, || proxy.handle_event(now, batch, event));
                     if let Some(action) = handled.unwrap_or(Ok(None))? {
-                        action::write(instance, action, &mut reply);
+                        action::encode(instance, action, &mut reply);
                     }
                 }
                 _ => return Err(MalformedFrame::UnknownEvent(code)),
             }
-            touched.insert(instance);
+            to_poll.insert(instance);
         }
-        for instance in touched {
+        for instance in to_poll {
             let Some(proxy) = self.running.get_mut(&instance) else { continue };
-            let actions = guarded(instance, &mut reply, || proxy.engine.poll(now)).unwrap_or_default();
-            actions.into_iter().for_each(|action| action::write(instance, action, &mut reply));
+            let actions = catch_panic(instance, &mut reply, || proxy.engine.poll(now)).unwrap_or_default();
+            actions.into_iter().for_each(|action| action::encode(instance, action, &mut reply));
             proxy.set_timer(now, instance, &mut reply);
         }
-        Ok(reply.frame(batch.number))
+        Ok(reply.into_frame(batch.number))
     }
 }
 
-/// A panic of the decisions is reported to the simulator.
-fn guarded<T>(instance: u32, reply: &mut Reply, call: impl FnOnce() -> T) -> Option<T> {
+/// Calls the engine. If it panics, reports that to the simulator and returns `None`.
+fn catch_panic<T>(instance: u32, reply: &mut Reply, call: impl FnOnce() -> T) -> Option<T> {
     let result = catch_unwind(AssertUnwindSafe(call));
-    result.map_err(|cause| action::write_panic(instance, panic_text(cause.as_ref()), reply)).ok()
+    result.map_err(|payload| action::encode_panic(instance, panic_message(payload.as_ref()), reply)).ok()
 }
 
-fn panic_text(cause: &(dyn Any + Send)) -> &str {
-    let text = cause.downcast_ref::<String>().map(String::as_str);
-    text.or(cause.downcast_ref::<&str>().copied()).unwrap_or("the decision module panicked")
+fn panic_message(payload: &(dyn Any + Send)) -> &str {
+    let message = payload.downcast_ref::<String>().map(String::as_str);
+    message.or(payload.downcast_ref::<&str>().copied()).unwrap_or("the decision module panicked")
 }
 
 impl Proxy {
     fn start(now: Timestamp, batch: &Batch, event: Fields) -> Result<Self, MalformedFrame> {
-        let start = ProxyStart::read(batch, event)?;
+        let start = ProxyStart::decode(batch, event)?;
         let settings =
             ProxySettings::from_json(start.settings).map_err(|error| SettingsReadError(error.to_string()))?;
-        Ok(Self { engine: Engine::new(&settings, start.seed, now), wakes_at: None })
+        Ok(Self { engine: Engine::new(&settings, start.seed, now), timer_at: None })
     }
 
-    fn handle(
+    fn handle_event(
         &mut self,
         now: Timestamp,
         batch: &Batch,
         event: Fields,
     ) -> Result<Option<ProxyAction>, MalformedFrame> {
         let engine = &mut self.engine;
-        match Event::read(batch, event, |listener| engine.has_listener(listener))? {
+        match Event::decode(batch, event, |listener| engine.has_listener(listener))? {
             Event::DiscoveryFailed => engine.discovery_failed(now),
             Event::EndpointList { scope, entries } => engine.update_endpoints(now, scope, entries),
             Event::SessionOpened { session, request } => {
@@ -118,13 +118,13 @@
         Ok(None)
     }
 
-    /// Asks for a wake-up, unless one is due that is early enough.
+    /// Sets a timer for the engine's next wake-up, unless a pending timer fires early enough.
     fn set_timer(&mut self, now: Timestamp, instance: u32, reply: &mut Reply) {
         let wakes_at = self.engine.next_wakeup().max(now + TickDuration::from_ticks(1));
-        let is_earlier = self.wakes_at.is_none_or(|set| set <= now || wakes_at < set);
-        if wakes_at != Timestamp::MAX && is_earlier {
-            self.wakes_at = Some(wakes_at);
-            action::write_timer(instance, wakes_at, reply);
+        let needs_timer = self.timer_at.is_none_or(|timer_at| timer_at <= now || wakes_at < timer_at);
+        if wakes_at != Timestamp::MAX && needs_timer {
+            self.timer_at = Some(wakes_at);
+            action::encode_timer(instance, wakes_at, reply);
         }
     }
 }
--- a/crates/larklink-adapter/src/wire.rs
+++ b/crates/larklink-adapter/src/wire.rs
@@ -1,20 +1,23 @@
-//! The frames of the simulator's wire: fixed records behind a header, then one tail for what has no fixed length.
+//! Frames of the simulator's binary protocol.
+//!
+//! A frame is a header, then records of fixed size, then a tail with the data of variable length, which records refer to
+//! by offset and item count.
 use std::io::Read;
 
 use crate::error::{MalformedFrame, ReadError};
 
-/// Bytes of the record of an event.
+/// The size of an event record in bytes.
 pub const EVENT_BYTES: usize = 56;
-/// Bytes of the record of an action.
+/// The size of an action record in bytes.
 pub const ACTION_BYTES: usize = 24;
-/// Bytes of the header of a batch.
+/// The size of a batch header in bytes.
 const HEADER_BYTES: usize = 20;
-/// Bytes of the header of a reply.
+/// The size of a reply header in bytes.
 const REPLY_HEADER_BYTES: usize = 12;
-/// Bytes of an entry of the endpoint list.
+/// The size of an endpoint list entry in bytes.
 const ENDPOINT_BYTES: usize = 23;
 
-/// Little-endian numbers in one record.
+/// Access to the little-endian fields of a record.
 #[derive(Clone, Copy)]
 pub struct Fields<'a>(&'a [u8]);
 
@@ -25,22 +28,22 @@
         bytes
     }
 
-    /// The byte at an offset.
+    /// The unsigned 8-bit number at an offset.
     pub fn u8(&self, offset: usize) -> u8 {
         self.0[offset]
     }
 
-    /// The two bytes at an offset.
+    /// The unsigned 16-bit number at an offset.
     pub fn u16(&self, offset: usize) -> u16 {
         u16::from_le_bytes(self.bytes(offset))
     }
 
-    /// The four bytes at an offset.
+    /// The unsigned 32-bit number at an offset.
     pub fn u32(&self, offset: usize) -> u32 {
         u32::from_le_bytes(self.bytes(offset))
     }
 
-    /// The eight bytes at an offset.
+    /// The unsigned 64-bit number at an offset.
     pub fn u64(&self, offset: usize) -> u64 {
         u64::from_le_bytes(self.bytes(offset))
     }
@@ -50,27 +53,27 @@
         i64::from_le_bytes(self.bytes(offset))
     }
 
-    /// The number of four bytes at an offset.
+    /// The 32-bit floating-point number at an offset.
     pub fn f32(&self, offset: usize) -> f32 {
         f32::from_le_bytes(self.bytes(offset))
     }
 }
 
-/// The events of one moment.
+/// A batch of events that happen at the same time.
 pub struct Batch {
-    /// The time, in nanoseconds.
+    /// The simulated time in nanoseconds.
     pub clock: u64,
-    /// The number of the batch, which its reply repeats.
+    /// The number of the batch, which the reply repeats.
     pub number: u32,
     records: Vec<u8>,
     tail: Vec<u8>,
 }
 
 impl Batch {
-    /// The next batch, or nothing at the end of input.
+    /// Reads the next batch, or returns `None` at the end of the input.
     ///
     /// # Errors
-    /// The input cannot be read, or is malformed.
+    /// Returns an error if the input cannot be read or is malformed.
     pub fn read(input: &mut impl Read) -> Result<Option<Self>, ReadError> {
         let mut header = Vec::new();
         input.take(HEADER_BYTES as u64).read_to_end(&mut header)?;
@@ -99,41 +102,41 @@
         Ok(Some(Self { clock, number, records, tail }))
     }
 
-    /// The records of its events.
+    /// The event records of the batch.
     pub fn events(&self) -> impl Iterator<Item = Fields<'_>> {
         self.records.chunks_exact(EVENT_BYTES).map(Fields)
     }
 
-    /// The bytes that an (offset, length) field names, for items of `size` bytes each.
-    fn items(&self, event: Fields, at: usize, size: usize) -> Result<&[u8], MalformedFrame> {
-        let offset = event.u32(at) as usize;
-        let items = event.u32(at + 4) as usize;
+    /// The part of the tail that the field at `field` refers to: an offset, then a number of items of `size` bytes.
+    fn items(&self, event: Fields, field: usize, size: usize) -> Result<&[u8], MalformedFrame> {
+        let offset = event.u32(field) as usize;
+        let items = event.u32(field + 4) as usize;
         let end = items.checked_mul(size).and_then(|bytes| bytes.checked_add(offset));
         end.and_then(|end| self.tail.get(offset..end)).ok_or(MalformedFrame::OutsideTail { items, offset })
     }
 
-    /// The text that the field at an offset of an event names.
+    /// The text that the field at the offset `field` of an event refers to.
     ///
     /// # Errors
-    /// It lies outside the tail.
-    pub fn text(&self, event: Fields, at: usize) -> Result<&[u8], MalformedFrame> {
-        self.items(event, at, 1)
+    /// Returns an error if the text is outside the tail.
+    pub fn text(&self, event: Fields, field: usize) -> Result<&[u8], MalformedFrame> {
+        self.items(event, field, 1)
     }
 
-    /// The entries of the endpoint list that the field at an offset of an event names.
+    /// The endpoint list entries that the field at the offset `field` of an event refers to.
     ///
     /// # Errors
-    /// They lie outside the tail.
+    /// Returns an error if the entries are outside the tail.
     pub fn entries(
         &self,
         event: Fields,
-        at: usize,
+        field: usize,
     ) -> Result<impl Iterator<Item = Fields<'_>>, MalformedFrame> {
-        Ok(self.items(event, at, ENDPOINT_BYTES)?.chunks_exact(ENDPOINT_BYTES).map(Fields))
+        Ok(self.items(event, field, ENDPOINT_BYTES)?.chunks_exact(ENDPOINT_BYTES).map(Fields))
     }
 }
 
-/// A reply in the making.
+/// Builds the reply to a batch.
 #[derive(Default)]
 pub struct Reply {
     records: Vec<u8>,
@@ -141,8 +144,8 @@
 }
 
 impl Reply {
-    /// Adds an action: its code, the instance, then its other fields.
-    pub fn act(&mut self, code: u16, instance: u32, fields: &[&[u8]]) {
+    /// Appends an action with its code, the number of the proxy and its other fields.
+    pub fn push_action(&mut self, code: u16, instance: u32, fields: &[&[u8]]) {
         let start = self.records.len();
         self.records.extend_from_slice(&code.to_le_bytes());
         self.records.extend_from_slice(&instance.to_le_bytes());
@@ -150,16 +153,16 @@
         self.records.resize(start + ACTION_BYTES, 0);
     }
 
-    /// Adds an action that is a text.
-    pub fn say(&mut self, code: u16, instance: u32, text: &str) {
+    /// Appends an action whose only field is a text.
+    pub fn push_text_action(&mut self, code: u16, instance: u32, text: &str) {
         let offset = self.tail.len() as u32;
         let length = text.len() as u32;
         self.tail.extend_from_slice(text.as_bytes());
-        self.act(code, instance, &[&offset.to_le_bytes(), &length.to_le_bytes()]);
+        self.push_action(code, instance, &[&offset.to_le_bytes(), &length.to_le_bytes()]);
     }
 
-    /// The bytes of the reply to the batch of that number.
-    pub fn frame(self, number: u32) -> Vec<u8> {
+    /// Encodes the reply to the batch with this number.
+    pub fn into_frame(self, number: u32) -> Vec<u8> {
         let count = (self.records.len() / ACTION_BYTES) as u32;
         let length = (self.records.len() + self.tail.len()) as u32;
         let mut bytes = Vec::with_capacity(REPLY_HEADER_BYTES + length as usize);
