--- a/crates/larklinkctl/src/lib.rs
+++ b/crates/larklinkctl/src/lib.rs
@@ -1,11 +1,12 @@
-//! The operator's command. Each subcommand is a thin shell over a package; exit code 0: done, 1: findings, 2: wrong
-//! usage, or a run that could not be made.
+//! The command line tool for operators. Each subcommand is a thin layer over another package.
+//!
+//! Exit codes: 0 for success, 1 for findings, 2 for incorrect usage or a run that failed or does not count.
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
 
+mod built_in;
 mod run;
-mod shipped;
 mod tables;
 
 #[derive(Parser)]
@@ -17,12 +18,12 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run proxies between stand-in servers and scripted clients, and audit every answer.
+    /// Run proxies between stand-in servers and scripted clients, and audit every response.
     #[command(alias = "rehearse")]
     Run(run::Arguments),
 }
 
-/// Parses the arguments of the process and runs the subcommand that they name. Wrong usage ends the process.
+/// Parses the command line and runs the subcommand. Exits the process if the arguments are invalid.
 #[must_use]
 pub fn main() -> ExitCode {
     match Arguments::parse().command {
--- a/crates/larklinkctl/src/main.rs
+++ b/crates/larklinkctl/src/main.rs
@@ -1,4 +1,4 @@
-//! `larklinkctl`.
+//! The `larklinkctl` binary.
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
--- a/crates/larklinkctl/src/run.rs
+++ b/crates/larklinkctl/src/run.rs
@@ -1,4 +1,4 @@
-//! `larklinkctl run`: reads a scenario, runs it on the testbed, prints and writes its report.
+//! `larklinkctl run`: runs a scenario on the testbed, prints its report, and writes it to files if requested.
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
@@ -12,54 +12,54 @@
 use larklink_testbed::run;
 use larklink_testbed::sample::Sample;
 
-use crate::{shipped, tables};
+use crate::{built_in, tables};
 
-/// The exit code for wrong usage and for a run that could not be made or does not count.
+/// The exit code for incorrect usage and for a run that failed or does not count.
 const EXIT_NOT_RUN: u8 = 2;
-/// Samples that may wait to be shown; further ones are dropped.
-const PROGRESS_QUEUE: usize = 16;
-/// Ticks of scenario time (0.1 ms each) for each step of the progress bar.
+/// The capacity of the channel of samples for the progress bar. Samples that do not fit are dropped.
+const PROGRESS_CHANNEL_CAPACITY: usize = 16;
+/// Ticks (0.1 ms) of scenario time per step of the progress bar.
 const TICKS_PER_STEP: u64 = 10;
 
 /// The arguments of `larklinkctl run`.
 #[derive(clap::Args)]
 pub(crate) struct Arguments {
-    /// A scenario file, or the name of one that ships with the command
+    /// A scenario file, or the name of a built-in scenario
     #[arg(required_unless_present = "list")]
     scenario: Option<String>,
-    /// List the scenarios that ship with the command
+    /// List the built-in scenarios
     #[arg(long)]
     list: bool,
-    /// The proxy's program [default: `larklink` beside this one]
+    /// The proxy executable [default: `larklink` in the directory of this program]
     #[arg(long, alias = "daemon", value_name = "PATH")]
     proxy: Option<PathBuf>,
-    /// In place of the scenario's seed
+    /// Use this seed instead of the scenario's
     #[arg(long, value_name = "N")]
     seed: Option<u64>,
-    /// Write the whole report as JSON
+    /// Write the complete report as JSON
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
-    /// Write a page with tables and plots
+    /// Write the report as an HTML page with tables and plots
     #[arg(long, value_name = "FILE.html")]
     report: Option<PathBuf>,
 }
 
-/// Why there is no report.
+/// An error that prevents a report.
 #[derive(Debug, thiserror::Error)]
 enum RunError {
-    #[error("{name}: {source}; `larklinkctl run --list` shows the scenarios that ship")]
+    #[error("{name}: {source}; `larklinkctl run --list` lists the built-in scenarios")]
     ReadScenario { name: String, source: std::io::Error },
-    #[error("{}", one_line_each(.name, .problems))]
+    #[error("{}", format_problems(.name, .problems))]
     InvalidScenario { name: String, problems: Vec<ScenarioProblem> },
-    #[error("the path of this program: {0}")]
-    OwnPath(std::io::Error),
-    #[error("{}: no such program; name the proxy's by --proxy", .0.display())]
+    #[error("cannot determine the path of this program: {0}")]
+    CurrentExe(std::io::Error),
+    #[error("{}: no such program; set the path of the proxy with --proxy", .0.display())]
     NoProxyProgram(PathBuf),
-    #[error("the progress bar: {0}")]
+    #[error("cannot set up the progress bar: {0}")]
     ProgressBar(#[from] TemplateError),
     #[error(transparent)]
     Testbed(#[from] TestbedError),
-    #[error("the report as JSON: {0}")]
+    #[error("cannot serialize the report as JSON: {0}")]
     Serialize(#[from] serde_json::Error),
     #[error("{}: {source}", .path.display())]
     Write { path: PathBuf, source: std::io::Error },
@@ -68,12 +68,12 @@
 /// Runs the subcommand.
 pub(crate) fn execute(arguments: &Arguments) -> ExitCode {
     if arguments.list {
-        shipped::print_list();
+        built_in::print_list();
         return ExitCode::SUCCESS;
     }
     match run_scenario(arguments) {
         Ok(report) if report.testbed_late => {
-            eprintln!("larklinkctl: the testbed itself fell behind: this run does not count");
+            eprintln!("larklinkctl: the testbed itself fell behind, so this run does not count");
             ExitCode::from(EXIT_NOT_RUN)
         }
         Ok(report) if report.passed() => ExitCode::SUCCESS,
@@ -89,22 +89,23 @@
     let scenario = read_scenario(arguments.scenario.as_deref().unwrap_or_default())?;
     let proxy = proxy_program(arguments)?;
     let bar = ProgressBar::new(scenario.length.0 / TICKS_PER_STEP);
-    // Without a terminal nothing is drawn.
+    // Draws nothing if standard error is not a terminal.
     bar.set_style(ProgressStyle::with_template("{bar:30} {msg}")?);
-    let (sender, samples) = async_channel::bounded::<Sample>(PROGRESS_QUEUE);
-    let shown = bar.clone();
-    // Ends when the sender is dropped with the options.
-    let progress = std::thread::spawn(move || {
+    let (sender, samples) = async_channel::bounded::<Sample>(PROGRESS_CHANNEL_CAPACITY);
+    let progress_bar = bar.clone();
+    // The thread ends when the sender is dropped together with the options.
+    let progress_thread = std::thread::spawn(move || {
         while let Ok(sample) = samples.recv_blocking() {
-            shown.set_position(sample.at / TICKS_PER_STEP);
-            shown.set_message(format!("{} established, {} waiting", sample.established, sample.waiting));
+            progress_bar.set_position(sample.at / TICKS_PER_STEP);
+            progress_bar
+                .set_message(format!("{} established, {} waiting", sample.established, sample.waiting));
         }
     });
     let mut options = Options::new(&proxy, arguments.seed.unwrap_or(scenario.seed));
     options.progress = Some(sender);
     let result = run::run(&scenario, &options);
     drop(options);
-    let _ = progress.join();
+    let _ = progress_thread.join();
     bar.finish_and_clear();
     let report = result?;
     if let Some(path) = &arguments.json {
@@ -120,7 +121,7 @@
 fn proxy_program(arguments: &Arguments) -> Result<PathBuf, RunError> {
     let program = match &arguments.proxy {
         Some(path) => path.clone(),
-        None => std::env::current_exe().map_err(RunError::OwnPath)?.with_file_name("larklink"),
+        None => std::env::current_exe().map_err(RunError::CurrentExe)?.with_file_name("larklink"),
     };
     if program.is_file() { Ok(program) } else { Err(RunError::NoProxyProgram(program)) }
 }
@@ -129,9 +130,9 @@
     std::fs::write(path, text).map_err(|source| RunError::Write { path: path.to_owned(), source })
 }
 
-/// Reads a scenario that ships under that name, else the file.
+/// Reads the built-in scenario with this name, or else the file at this path.
 fn read_scenario(name: &str) -> Result<Scenario, RunError> {
-    let text = match shipped::text_of(name) {
+    let text = match built_in::text(name) {
         Some(text) => text.to_owned(),
         None => std::fs::read_to_string(name)
             .map_err(|source| RunError::ReadScenario { name: name.to_owned(), source })?,
@@ -140,8 +141,9 @@
         .map_err(|error| RunError::InvalidScenario { name: name.to_owned(), problems: error.problems })
 }
 
-/// A line for each problem, with file, line, key and reason.
-fn one_line_each(name: &str, problems: &[ScenarioProblem]) -> String {
+/// Formats one line per problem, with file, line, key and reason.
+fn format_problems(name: &str, problems: &[ScenarioProblem]) -> String {
+    // The caller prefixes the first line with the name of the command.
     let lines: Vec<_> = problems.iter().map(|problem| format!("{name}:{problem}")).collect();
     lines.join("\nlarklinkctl: ")
 }
--- a/crates/larklinkctl/tests/command.rs
+++ b/crates/larklinkctl/tests/command.rs
@@ -1,4 +1,4 @@
-//! The command as it is called: what it refuses, how it exits, and that nothing is left behind.
+//! Runs the command line tool and checks its errors, its exit codes, and that it leaves no processes or files behind.
 #![expect(clippy::unwrap_used, reason = "helpers of a test fail it by a panic")]
 use std::path::PathBuf;
 use std::process::{Command, Output, Stdio};
@@ -12,22 +12,23 @@
     command
 }
 
-fn ran(arguments: &[&str]) -> (i32, String) {
+/// Runs the command and returns its exit code, and its standard output followed by its standard error.
+fn run_to_end(arguments: &[&str]) -> (i32, String) {
     let Output { status, stdout, stderr } = larklinkctl(arguments).output().unwrap();
     let text = String::from_utf8(stdout).unwrap() + &String::from_utf8(stderr).unwrap();
     (status.code().unwrap(), text)
 }
 
-/// A file of this test's own.
-fn file(name: &str, text: &[u8]) -> PathBuf {
+/// Writes a file that is named after this test process.
+fn temp_file(name: &str, text: &[u8]) -> PathBuf {
     let path = std::env::temp_dir().join(format!("larklinkctl-{}-{name}", std::process::id()));
     std::fs::write(&path, text).unwrap();
     path
 }
 
 #[test]
-fn each_shipped_scenario_can_be_read_and_is_listed() {
-    let (code, text) = ran(&["rehearse", "--list"]);
+fn every_built_in_scenario_parses_and_is_listed() {
+    let (code, text) = run_to_end(&["rehearse", "--list"]);
     assert_eq!((code, text.lines().count()), (0, 18), "{text}");
     for name in [
         "calm",
@@ -46,9 +47,9 @@
     }
 }
 
-/// Standard output and exit code are the same; standard error has one line more.
+/// The former name must print the same output and exit with the same code, after one more line on standard error.
 #[test]
-fn the_old_name_says_the_new_one_and_does_the_same() {
+fn former_name_behaves_the_same_after_a_notice() {
     for arguments in [&["run", "--list"][..], &["rehearse", "--list"], &["rehearse", "no-such"], &["run"]] {
         let new = larklinkctl(arguments).output().unwrap();
         let old = Command::new(env!("CARGO_BIN_EXE_larkctl"))
@@ -57,49 +58,51 @@
             .output()
             .unwrap();
         assert_eq!((old.status.code(), &old.stdout), (new.status.code(), &new.stdout), "{arguments:?}");
-        let said = String::from_utf8(old.stderr).unwrap();
-        let (first, rest) = said.split_once('\n').unwrap();
-        assert!(first.contains("larklinkctl"), "{first}");
+        let old_stderr = String::from_utf8(old.stderr).unwrap();
+        let (notice, rest) = old_stderr.split_once('\n').unwrap();
+        assert!(notice.contains("larklinkctl"), "{notice}");
         let rest = rest.replace("Usage: larkctl", "Usage: larklinkctl");
         assert_eq!(rest, String::from_utf8(new.stderr).unwrap(), "{arguments:?}");
     }
 }
 
 #[test]
-fn what_is_wrong_is_told_and_nothing_starts() {
-    assert_eq!(ran(&[]).0, 2);
-    assert_eq!(ran(&["rehearse"]).0, 2);
-    assert_eq!(ran(&["rehearse", "calm", "--seed", "x"]).0, 2);
-    let (code, text) = ran(&["rehearse", "no-such"]);
+fn invalid_input_is_reported_with_exit_code_2() {
+    assert_eq!(run_to_end(&[]).0, 2);
+    assert_eq!(run_to_end(&["rehearse"]).0, 2);
+    assert_eq!(run_to_end(&["rehearse", "calm", "--seed", "x"]).0, 2);
+    let (code, text) = run_to_end(&["rehearse", "no-such"]);
     assert!(code == 2 && text.contains("no-such: ") && text.contains("--list"), "{text}");
-    let bad = file("bad.toml", b"length = '5s'\n[proxies]\ncount = 0\n[store]\nrate = 0.0\n");
-    let (code, text) = ran(&["rehearse", bad.to_str().unwrap()]);
+    let invalid_scenario =
+        temp_file("invalid.toml", b"length = '5s'\n[proxies]\ncount = 0\n[store]\nrate = 0.0\n");
+    let (code, text) = run_to_end(&["rehearse", invalid_scenario.to_str().unwrap()]);
     assert!(code == 2 && text.contains(":3: proxies.count: ") && text.contains(":5: store.rate: "), "{text}");
-    let garbage = file("garbage.toml", &[0xff, 0xfe, 0]);
-    let (code, text) = ran(&["rehearse", garbage.to_str().unwrap()]);
+    let not_utf8 = temp_file("not-utf8.toml", &[0xff, 0xfe, 0]);
+    let (code, text) = run_to_end(&["rehearse", not_utf8.to_str().unwrap()]);
     assert!(code == 2 && text.contains("UTF-8"), "{text}");
-    let (code, text) = ran(&["rehearse", "calm", "--daemon", "/nonexistent"]);
+    let (code, text) = run_to_end(&["rehearse", "calm", "--daemon", "/nonexistent"]);
     assert!(code == 2 && text.contains("no such program"), "{text}");
-    let (code, text) = ran(&["rehearse", "calm", "--daemon", "/bin/false"]);
+    let (code, text) = run_to_end(&["rehearse", "calm", "--daemon", "/bin/false"]);
     assert!(code == 2 && text.contains("proxy 0 ended at its start"), "{text}");
-    [bad, garbage].iter().for_each(|path| std::fs::remove_file(path).unwrap());
+    [invalid_scenario, not_utf8].iter().for_each(|path| std::fs::remove_file(path).unwrap());
 }
 
-/// The processes whose command line has that word.
-fn with(word: &str) -> Vec<u32> {
+/// The processes whose command line contains a text.
+fn processes_with(text: &str) -> Vec<u32> {
     let processes = std::fs::read_dir("/proc").unwrap().flatten();
     let pids = processes.filter_map(|e| e.file_name().to_str()?.parse::<u32>().ok());
     pids.filter(|pid| {
-        let line = std::fs::read(format!("/proc/{pid}/cmdline")).unwrap_or_default();
-        String::from_utf8_lossy(&line).contains(word)
+        let command_line = std::fs::read(format!("/proc/{pid}/cmdline")).unwrap_or_default();
+        String::from_utf8_lossy(&command_line).contains(text)
     })
     .collect()
 }
 
-fn until(so: impl Fn() -> bool) -> bool {
-    let begun = Instant::now();
-    while begun.elapsed() < Duration::from_secs(10) {
-        if so() {
+/// Polls a condition for up to 10 s and returns whether it became true.
+fn wait_until(condition: impl Fn() -> bool) -> bool {
+    let started_at = Instant::now();
+    while started_at.elapsed() < Duration::from_secs(10) {
+        if condition() {
             return true;
         }
         std::thread::sleep(Duration::from_millis(10));
@@ -107,38 +110,48 @@
     false
 }
 
-/// Killed outright or by Ctrl-C, the kit leaves no daemon behind; after Ctrl-C no file either.
+/// Guards against proxy processes that keep running after the testbed was killed by SIGKILL or interrupted by SIGINT.
+/// After SIGINT no files may be left either.
 #[test]
-fn a_kit_that_is_killed_leaves_no_daemon_behind() {
-    let daemon = PathBuf::from(env!("CARGO_BIN_EXE_larklinkctl")).with_file_name("larklink");
-    assert!(daemon.is_file(), "build the daemon first: cargo build");
+fn killed_testbed_leaves_no_proxies_behind() {
+    let proxy = PathBuf::from(env!("CARGO_BIN_EXE_larklinkctl")).with_file_name("larklink");
+    assert!(proxy.is_file(), "build the proxy first: cargo build");
     for signal in [Signal::KILL, Signal::INT] {
-        let mut kit =
+        let mut testbed =
             larklinkctl(&["rehearse", "calm"]).stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap();
-        let folder = format!("larklink-rehearsal-{}-", kit.id());
-        assert!(until(|| with(&folder).len() == 3), "three daemons run");
-        kill_process(Pid::from_child(&kit), signal).unwrap();
-        kit.wait().unwrap();
-        assert!(until(|| with(&folder).is_empty()), "{signal:?}: {:?}", with(&folder));
-        let path = std::env::temp_dir().join(format!("{folder}0"));
+        let directory = format!("larklink-rehearsal-{}-", testbed.id());
+        assert!(wait_until(|| processes_with(&directory).len() == 3), "three proxies should be running");
+        kill_process(Pid::from_child(&testbed), signal).unwrap();
+        testbed.wait().unwrap();
+        assert!(
+            wait_until(|| processes_with(&directory).is_empty()),
+            "{signal:?}: {:?}",
+            processes_with(&directory)
+        );
+        let path = std::env::temp_dir().join(format!("{directory}0"));
         assert_eq!(path.exists(), signal == Signal::KILL, "{signal:?}");
         let _ = std::fs::remove_dir_all(path);
     }
 }
 
-/// As one that is killed for memory: the run ends, and the end of its log is shown.
+/// A proxy that is killed unexpectedly, for instance by the kernel when memory runs out, must end the run, and the end of
+/// its log must be printed.
 #[test]
-fn a_daemon_that_ends_by_itself_is_reported_with_its_log() {
-    let mut kit =
+fn killed_proxy_ends_the_run_and_its_log_is_printed() {
+    let mut testbed =
         larklinkctl(&["rehearse", "calm"]).stdout(Stdio::null()).stderr(Stdio::piped()).spawn().unwrap();
-    let folder = format!("larklink-rehearsal-{}-", kit.id());
-    assert!(until(|| with(&folder).len() == 3), "three daemons run");
-    let first = Pid::from_raw(with(&folder).into_iter().min().unwrap().cast_signed()).unwrap();
-    kill_process(first, Signal::KILL).unwrap();
-    let mut said = String::new();
-    std::io::Read::read_to_string(&mut kit.stderr.take().unwrap(), &mut said).unwrap();
-    assert_eq!(kit.wait().unwrap().code(), Some(2));
-    let listed =
+    let directory = format!("larklink-rehearsal-{}-", testbed.id());
+    assert!(wait_until(|| processes_with(&directory).len() == 3), "three proxies should be running");
+    let first_proxy =
+        Pid::from_raw(processes_with(&directory).into_iter().min().unwrap().cast_signed()).unwrap();
+    kill_process(first_proxy, Signal::KILL).unwrap();
+    let mut stderr = String::new();
+    std::io::Read::read_to_string(&mut testbed.stderr.take().unwrap(), &mut stderr).unwrap();
+    assert_eq!(testbed.wait().unwrap().code(), Some(2));
+    let logs_endpoint =
         |line: &str| line.contains("INFO endpoint listed") && line.contains(r#"name="s-0" status="up""#);
-    assert!(said.contains("larklinkctl: proxy 0 was killed") && said.lines().any(listed), "{said}");
+    assert!(
+        stderr.contains("larklinkctl: proxy 0 was killed") && stderr.lines().any(logs_endpoint),
+        "{stderr}"
+    );
 }
