--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -1,4 +1,4 @@
-//! A toy server to try the proxy with: takes sessions, sends each line back, answers probes.
+//! A toy server for trying out the proxy. It accepts sessions, echoes their lines and answers health checks.
 //!
 //!     cargo run --example toy_server -- 127.0.0.1:9101 [127.0.0.1:9102 ...]
 use std::io::{BufRead, BufReader, Result, Write};
@@ -7,8 +7,8 @@
 use std::sync::atomic::{AtomicU32, Ordering::Relaxed};
 use std::thread;
 
-/// Sessions that this server says it has room for.
-const ROOM: u32 = 100;
+/// The number of sessions at which this server reports full load.
+const CAPACITY: u32 = 100;
 
 fn main() -> Result<()> {
     let addresses: Vec<_> = std::env::args().skip(1).collect();
@@ -19,45 +19,47 @@
     let servers = addresses.into_iter().map(|address| Ok((TcpListener::bind(&address)?, address)));
     let servers = servers.collect::<Result<Vec<_>>>()?;
     let threads: Vec<_> =
-        servers.into_iter().map(|(l, name)| thread::spawn(move || run(&l, &name))).collect();
-    threads.into_iter().for_each(|t| drop(t.join()));
+        servers.into_iter().map(|(listener, name)| thread::spawn(move || run(&listener, &name))).collect();
+    threads.into_iter().for_each(|thread| drop(thread.join()));
     Ok(())
 }
 
 fn run(listener: &TcpListener, name: &str) {
-    println!("{name} listens");
-    let held = Arc::new(AtomicU32::new(0));
+    println!("listening on {name}");
+    let sessions = Arc::new(AtomicU32::new(0));
     for stream in listener.incoming().flatten() {
-        let (held, name) = (Arc::clone(&held), name.to_owned());
-        thread::spawn(move || serve(&stream, &held, &name));
+        let (sessions, name) = (Arc::clone(&sessions), name.to_owned());
+        thread::spawn(move || serve(&stream, &sessions, &name));
     }
 }
 
-fn serve(stream: &TcpStream, held: &AtomicU32, name: &str) -> Result<()> {
-    // One write a line, sent at once: a second small write would wait for the receipt of the first.
+fn serve(stream: &TcpStream, sessions: &AtomicU32, name: &str) -> Result<()> {
+    // Each line is a single write that is sent immediately: with Nagle's algorithm, a second small write would wait
+    // until the first is acknowledged.
     stream.set_nodelay(true)?;
-    let mut out = stream;
+    let mut output = stream;
     let mut lines = BufReader::new(stream).lines();
-    let mut stands = false;
+    let mut established = false;
     while let Some(Ok(line)) = lines.next() {
         match line.as_str() {
-            _ if stands => out.write_all(format!("{line}\r\n").as_bytes())?,
-            "PING" => out.write_all(b"PONG\r\n")?,
+            _ if established => output.write_all(format!("{line}\r\n").as_bytes())?,
+            "PING" => output.write_all(b"PONG\r\n")?,
             "STATS" => {
-                let n = held.load(Relaxed);
-                let load = f64::from(n) / f64::from(ROOM);
-                out.write_all(format!("PONG inflight={n},util={load},x0={load}\r\n").as_bytes())?;
+                let count = sessions.load(Relaxed);
+                let load = f64::from(count) / f64::from(CAPACITY);
+                output.write_all(format!("PONG inflight={count},util={load},x0={load}\r\n").as_bytes())?;
             }
-            head if head.starts_with("OPEN ") => {
-                stands = true;
-                println!("{name} holds {}: {head}", held.fetch_add(1, Relaxed) + 1);
-                out.write_all(format!("UP {name}\r\nLOAD 1000\r\n").as_bytes())?;
+            open_line if open_line.starts_with("OPEN ") => {
+                established = true;
+                let count = sessions.fetch_add(1, Relaxed) + 1;
+                println!("{name}: session opened, {count} in total: {open_line}");
+                output.write_all(format!("UP {name}\r\nLOAD 1000\r\n").as_bytes())?;
             }
-            _ => out.write_all(b"SYNTAX\r\n")?,
+            _ => output.write_all(b"SYNTAX\r\n")?,
         }
     }
-    if stands {
-        println!("{name} holds {}", held.fetch_sub(1, Relaxed) - 1);
+    if established {
+        println!("{name}: session closed, {} in total", sessions.fetch_sub(1, Relaxed) - 1);
     }
     Ok(())
 }
