--- a/crates/larklink-balancer/src/action.rs
+++ b/crates/larklink-balancer/src/action.rs
@@ -1,63 +1,64 @@
-//! What a balancer tells its proxy to do.
+//! The outputs of a balancer: decisions on sessions, actions for the proxy and log events.
 
 use crate::ids::{EndpointIndex, SessionHandle};
 use crate::time::{TickDuration, Timestamp};
 
-/// What to do with a session now.
+/// The next step for a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// Connect to an endpoint and send the session to it.
     Connect {
         /// The endpoint to connect to.
         endpoint: EndpointIndex,
-        /// How long the attempt may take before it counts as timed out.
+        /// How long the attempt may take before it has timed out.
         timeout: TickDuration,
-        /// The latest time at which the first byte may be sent; an attempt that is ready later ends as not sent.
+        /// The latest time at which the first byte may be sent. An attempt that connects later must end with
+        /// [`AttemptOutcome::NotSent`](crate::AttemptOutcome::NotSent).
         send_deadline: Timestamp,
     },
-    /// Nothing yet: [`Action::Decided`] follows well before the dial timeout.
+    /// Keep the session queued. [`Action::Decided`] follows well before its dial timeout.
     Wait,
-    /// Reject it: it certainly had no effect that a retry would repeat.
+    /// Reject the session. A retry by its client has no second effect.
     Reject {
-        /// How long the client should wait before it retries; 0 if nothing is to be said.
+        /// How long the client should wait before it retries; 0 to send no Retry-After.
         retry_after: TickDuration,
     },
-    /// Fail it: it may have run and cannot be retried.
+    /// Fail the session. It may have run and cannot be retried.
     Fail,
 }
 
-/// What [`Balancer::poll`](crate::Balancer::poll) asks the proxy to carry out.
+/// An action that [`Balancer::poll`](crate::Balancer::poll) returns for the proxy to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Check the health of an endpoint.
     CheckHealth(EndpointIndex),
-    /// The decision on a session that had to wait.
+    /// The decision on a session that was told to [wait](Decision::Wait).
     Decided(SessionHandle, Decision),
-    /// The attempt in flight may be sent only up to this time, which is earlier than its decision said.
+    /// Lower the send deadline of the session's attempt in flight to this time.
     LimitSendDeadline(SessionHandle, Timestamp),
-    /// Migrate an established session: its client is asked to reconnect.
+    /// Migrate an established session by asking its client to reconnect.
     Migrate(SessionHandle),
-    /// Poll the endpoint list, and subscribe to its changes.
+    /// Poll the endpoint list and subscribe to its changes.
     PollEndpointList,
-    /// Something an operator should know.
+    /// Log an event for operators.
     Log(LogEvent),
 }
 
-/// A change that operators find in the log.
+/// An event that is logged for operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogEvent {
-    /// An endpoint failed too often in a row; its sessions are migrated.
+    /// An endpoint was ejected after consecutive failures, and its sessions are migrated.
     EndpointEjected {
         /// The id of the endpoint in the endpoint list.
         endpoint_id: u32,
-        /// How many sessions of this proxy are established there or being attempted.
+        /// The number of this proxy's sessions that are established there or have an attempt in flight there.
         sessions: u32,
     },
-    /// Attempts fail on several endpoints: the concurrency limit has fallen under one half.
+    /// Attempts fail on several endpoints, and the concurrency limit has fallen below one half.
     AttemptsLimited,
 }
 
-// The text that `larklink-adapter` sends. `larklink-proxy` words its own log lines (`decision_task::log`).
+// `larklink-adapter` sends this text. `larklink-proxy` formats its own log lines in `decision_task::log`.
 impl std::fmt::Display for LogEvent {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
@@ -69,11 +70,11 @@
     }
 }
 
-/// How many endpoints the list has, and how many of them are avoided.
+/// Counts of listed and avoided endpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HealthSummary {
-    /// Endpoints that are ready or draining.
+    /// The number of endpoints that are ready or draining.
     pub listed: usize,
-    /// Of those, the ones that are draining, ejected or likely to fail.
+    /// The number of listed endpoints that are draining, ejected or more likely to fail than to succeed.
     pub avoided: usize,
 }
--- a/crates/larklink-balancer/src/balancer.rs
+++ b/crates/larklink-balancer/src/balancer.rs
@@ -1,4 +1,4 @@
-//! [`Balancer`]: takes events and calls the modules that decide, in order.
+//! [`Balancer`], the entry point of the crate: it combines the other modules.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -22,9 +22,9 @@
 use crate::slow_start::SessionArrivals;
 use crate::time::{TickDuration, Timestamp};
 
-/// Where the sessions of one proxy go. See the [crate documentation](crate) for how to call it.
+/// Assigns the sessions of one proxy to endpoints. The [crate documentation](crate) describes how to use it.
 ///
-/// All times are passed in and must not decrease from call to call.
+/// Callers pass the current time to each method. It must not decrease from call to call.
 #[derive(Debug)]
 pub struct Balancer {
     settings: Settings,
@@ -40,21 +40,21 @@
     retry_budget: RetryBudget,
     migration_budget: MigrationBudget,
     discovery: DiscoverySchedule,
-    /// A list has come since the last poll.
+    /// Whether the endpoint list was updated since the last poll.
     list_changed: bool,
-    /// Sessions that wait for the result of a health check, in the order in which they came.
+    /// The sessions that wait for the result of a health check, in order of arrival.
     awaiting_health_check: Vec<SessionHandle>,
-    /// When the endpoints are next looked after.
+    /// When [`Balancer::run_maintenance`] is next due.
     next_maintenance_at: Timestamp,
-    /// What the next poll returns.
+    /// The actions that the next poll returns.
     actions: Vec<Action>,
 }
 
 impl Balancer {
-    /// A balancer without endpoints. `seed` makes its random choices; each proxy needs its own.
+    /// Creates a balancer without endpoints. `seed` determines its random choices; each proxy needs its own.
     pub fn new(settings: Settings, seed: u64, now: Timestamp) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        // At random, so that proxies that start together do not look after the endpoints in step.
+        // Random, so that proxies that start together do not run maintenance in lockstep.
         let next_maintenance_at =
             now + random_duration(TickDuration::ZERO..=settings.connect_timeout, &mut rng);
         Self {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Takes in the endpoint list, or what changed in it.
+    /// Applies an endpoint list or its changes.
     pub fn update_endpoints(&mut self, now: Timestamp, scope: ListScope, entries: &[EndpointEntry]) {
         self.endpoints.update(now, scope, entries);
         self.bucket_table.clear();
@@ -86,16 +86,16 @@
         self.list_changed = true;
     }
 
-    /// A poll of the endpoint list failed, or the subscription to it broke.
+    /// Reports that a poll of the endpoint list failed or the subscription to it broke.
     pub fn discovery_failed(&mut self, now: Timestamp) {
         self.discovery.record_failure(now, &mut self.rng);
     }
 
-    /// Takes in a session that another process of this proxy has established on an endpoint.
+    /// Adopts a session that another process of this proxy has established on an endpoint.
     ///
     /// # Panics
     ///
-    /// If the settings have no listener of the request's index.
+    /// Panics if the settings have no listener with the request's index.
     pub fn adopt_established(
         &mut self,
         now: Timestamp,
@@ -109,26 +109,27 @@
         handle
     }
 
-    /// Another process of this proxy has received its sessions until now, and may still send retries for them.
+    /// Reports that another process of this proxy received the sessions until now. It may still send retries
+    /// for them, which count towards the retry budget.
     pub fn take_over(&mut self, now: Timestamp) {
         self.retry_budget.take_over(now, self.settings.max_dial_timeout);
     }
 
-    /// Takes in a session that has reached this proxy, and decides what to do with it.
+    /// Accepts a session that has reached this proxy and decides on it.
     ///
     /// # Panics
     ///
-    /// If the settings have no listener of the request's index.
+    /// Panics if the settings have no listener with the request's index.
     pub fn place(&mut self, now: Timestamp, request: SessionRequest) -> (SessionHandle, Decision) {
         let handle = self.insert_session(now, request);
         self.retry_budget.record_session(now);
-        let turn = self.arrivals.next_turn(now, self.settings.overload_window, &mut self.rng);
-        self.sessions[handle].set_slow_start_turn(turn);
+        let arrival = self.arrivals.record(now, self.settings.overload_window, &mut self.rng);
+        self.sessions[handle].set_slow_start_arrival(arrival);
         (handle, self.decide(now, handle))
     }
 
-    /// An attempt or a connection has ended. Returns what to do with the session next, unless it is over; its
-    /// handle is free if it is, or if the decision is final.
+    /// Reports that an attempt or a connection has ended. Returns the next decision on the session, or `None`
+    /// if it is over. The handle is invalid once the session is over or the decision is final.
     pub fn attempt_ended(
         &mut self,
         now: Timestamp,
@@ -139,9 +140,9 @@
         let session = self.sessions.get_mut(handle)?;
         let ended = *session;
         session.end_attempt(outcome);
-        self.release(&ended);
+        self.release_endpoint(&ended);
         if matches!(outcome, AttemptOutcome::Failed | AttemptOutcome::TimedOut) {
-            // Counted with the whole dial timeout, since the session store still processes it.
+            // Recorded with the whole dial timeout, since the session store still processes the handshake.
             self.record_attempt(now, &ended, outcome, ended.request().dial_timeout);
         }
         let endpoint = &mut self.endpoints[ended.endpoint()];
@@ -156,28 +157,28 @@
         Some(self.decide(now, handle))
     }
 
-    /// The session's attempt has succeeded: it is established on its endpoint.
+    /// Reports that the attempt in flight has succeeded and the session is established.
     pub fn established(&mut self, now: Timestamp, handle: SessionHandle) {
         let Some(session) = self.sessions.get_mut(handle) else { return };
         session.establish();
         let established = *session;
-        self.concurrency_limit.attempt_left_flight();
-        self.endpoints[established.endpoint()].outlier.record_sign_of_life(now);
+        self.concurrency_limit.attempt_completed();
+        self.endpoints[established.endpoint()].outlier.record_response(now);
         if established.used_session_store() {
             let took = now - established.started_at();
             self.record_attempt(now, &established, AttemptOutcome::Succeeded, took);
         }
     }
 
-    /// The client has left or was migrated: the session is over.
+    /// Reports that the client has left or was migrated, and that the session is over.
     pub fn client_left(&mut self, handle: SessionHandle) {
         let Some(session) = self.remove_session(handle) else { return };
         if matches!(session.state(), SessionState::Connecting | SessionState::Established) {
-            self.release(&session);
+            self.release_endpoint(&session);
         }
     }
 
-    /// Takes in what is observed of an established session.
+    /// Reports an observation of an established session.
     pub fn observe(&mut self, now: Timestamp, handle: SessionHandle, observation: Observation) {
         let Some(session) = self.sessions.get_mut(handle) else { return };
         let endpoint = &mut self.endpoints[session.endpoint()];
@@ -198,9 +199,9 @@
         }
     }
 
-    /// Takes in the result of a health check that `took` so long. Where checks report load, `utilization` is the
-    /// endpoint's load over its capacity and `sessions` the number of its sessions, of all proxies; else both
-    /// are 0.
+    /// Reports the result of a health check and how long it `took`. If health checks report load,
+    /// `utilization` is the endpoint's load over its capacity and `sessions` is the number of its sessions
+    /// from all proxies. Otherwise both are 0.
     pub fn health_checked(
         &mut self,
         now: Timestamp,
@@ -224,34 +225,34 @@
         endpoint.outlier.record_outcome(now, outcome, EvidenceSource::HealthCheck);
     }
 
-    /// How many endpoints the list has, and how many of them are avoided now.
+    /// Counts the listed endpoints, and those of them that are avoided now.
     pub fn health_summary(&self) -> HealthSummary {
         self.endpoints.health_summary()
     }
 
-    /// When [`Balancer::poll`] has to be called next, if no other call comes before.
+    /// Returns when [`Balancer::poll`] must be called next, if no other method is called before.
     pub fn next_wakeup(&self) -> Timestamp {
         self.discovery.next_poll_at().min(self.next_maintenance_at)
     }
 
-    /// Returns what the proxy has to do now, in this order. To be called after every other call and at
-    /// [`Balancer::next_wakeup`].
+    /// Returns the actions that the proxy must carry out now, in order. Must be called after every other
+    /// method that takes `&mut self`, and at [`Balancer::next_wakeup`].
     pub fn poll(&mut self, now: Timestamp) -> Vec<Action> {
         if std::mem::take(&mut self.list_changed) {
             self.limit_send_deadlines(now);
         }
-        self.decide_on_waiting(now);
+        self.decide_after_health_checks(now);
         if self.discovery.take_due_poll(now) {
             self.actions.push(Action::PollEndpointList);
         }
         if self.next_maintenance_at <= now {
             self.next_maintenance_at = now + self.settings.connect_timeout;
-            self.maintain(now);
+            self.run_maintenance(now);
         }
         std::mem::take(&mut self.actions)
     }
 
-    /// Attempts in flight to endpoints that the list has closed must not be sent later than these accept them.
+    /// Lowers the send deadlines of attempts in flight to endpoints that the list has closed.
     fn limit_send_deadlines(&mut self, now: Timestamp) {
         for (handle, session) in self.sessions.connecting() {
             let endpoint = &self.endpoints[session.endpoint()];
@@ -263,8 +264,8 @@
         }
     }
 
-    /// Decides on the sessions whose health check has a result or takes longer than a connect timeout.
-    fn decide_on_waiting(&mut self, now: Timestamp) {
+    /// Decides on the sessions whose health check has a result or has taken longer than a connect timeout.
+    fn decide_after_health_checks(&mut self, now: Timestamp) {
         for handle in std::mem::take(&mut self.awaiting_health_check) {
             let Some(session) = self.sessions.get_mut(handle) else { continue };
             if session.state() != SessionState::AwaitingHealthCheck {
@@ -275,15 +276,16 @@
                     self.awaiting_health_check.push(handle);
                     continue;
                 }
-                session.give_up_health_checks();
+                session.skip_health_checks();
             }
             let decision = self.decide(now, handle);
             self.actions.push(Action::Decided(handle, decision));
         }
     }
 
-    /// Maintenance of each endpoint, once a connect timeout: decay, health checks and migrations.
-    fn maintain(&mut self, now: Timestamp) {
+    /// Performs the periodic work on each endpoint: decay, health checks and migrations. Runs once per
+    /// connect timeout.
+    fn run_maintenance(&mut self, now: Timestamp) {
         let elapsed = self.settings.connect_timeout;
         self.migration_budget.replenish(elapsed);
         for index in 0..self.endpoints.len() {
@@ -292,8 +294,8 @@
             endpoint.load.grow_limit(elapsed);
             self.check_health_if_due(now, EndpointIndex(index));
             let endpoint = &self.endpoints[EndpointIndex(index)];
-            let must_leave = endpoint.outlier.is_ejected() || endpoint.is_closed(&self.settings);
-            if must_leave && endpoint.load.sessions() > 0 {
+            let must_evacuate = endpoint.outlier.is_ejected() || endpoint.is_closed(&self.settings);
+            if must_evacuate && endpoint.load.sessions() > 0 {
                 self.evacuate(now, EndpointIndex(index));
             } else if endpoint.is_ready() && endpoint.load.relief_is_due(now) {
                 self.relieve(now, EndpointIndex(index));
@@ -309,15 +311,15 @@
             &endpoint.load,
             &mut self.rng,
         );
-        let is_of_use = endpoint.load.sessions() > 0 || endpoint.outlier.has_consecutive_failures();
+        let worth_checking = endpoint.load.sessions() > 0 || endpoint.outlier.has_consecutive_failures();
         let may_check = self.settings.health_checks && !endpoint.is_closed(&self.settings);
-        if may_check && is_of_use && due_at <= now {
+        if may_check && worth_checking && due_at <= now {
             endpoint.health_check.start(now);
             self.actions.push(Action::CheckHealth(index));
         }
     }
 
-    /// Migrates sessions off an endpoint that is ejected or closed.
+    /// Migrates sessions off an ejected or closed endpoint.
     fn evacuate(&mut self, now: Timestamp, index: EndpointIndex) {
         let endpoint = &mut self.endpoints[index];
         if endpoint.outlier.take_ejection() {
@@ -330,7 +332,7 @@
         self.actions.extend(leaving.map(|(handle, _)| Action::Migrate(handle)));
     }
 
-    /// Migrates sessions off an endpoint that is overloaded.
+    /// Migrates sessions off an overloaded endpoint.
     fn relieve(&mut self, now: Timestamp, index: EndpointIndex) {
         let selection = ReliefSelection {
             settings: &self.settings,
@@ -347,7 +349,7 @@
     }
 
     fn insert_session(&mut self, now: Timestamp, request: SessionRequest) -> SessionHandle {
-        // A session with neither key shares nothing: any bucket will do.
+        // A session with neither key shares no state, so any bucket will do.
         let bucket =
             bucket_table::bucket_of(&request).unwrap_or_else(|| self.rng.random_range(0..BUCKET_COUNT));
         self.population.add(bucket);
@@ -361,10 +363,11 @@
         Some(session)
     }
 
-    /// An attempt or a connection of the session has ended.
-    fn release(&mut self, session: &Session) {
+    /// Removes the session's attempt or connection from the load of its endpoint and from the attempts in
+    /// flight.
+    fn release_endpoint(&mut self, session: &Session) {
         if session.state() == SessionState::Connecting {
-            self.concurrency_limit.attempt_left_flight();
+            self.concurrency_limit.attempt_completed();
         }
         self.endpoints[session.endpoint()].load.remove_session(session.load());
     }
@@ -383,10 +386,10 @@
         }
     }
 
-    /// What to do with a queued session: an attempt, a health check first, or its final answer at once.
+    /// Decides on a queued session: an attempt, a health check before it, or the final decision.
     fn decide(&mut self, now: Timestamp, handle: SessionHandle) -> Decision {
         let session = self.sessions[handle];
-        let Some(endpoint) = self.endpoint_for(now, &session) else {
+        let Some(endpoint) = self.select_endpoint(now, &session) else {
             self.concurrency_limit.record_rejection();
             self.remove_session(handle);
             let limited = self.concurrency_limit.is_below_one();
@@ -407,8 +410,9 @@
         self.start_attempt(now, handle, endpoint)
     }
 
-    /// The endpoint for the session's next attempt, if one admits it and the limits on attempts and retries do.
-    fn endpoint_for(&mut self, now: Timestamp, session: &Session) -> Option<EndpointIndex> {
+    /// Selects the endpoint for the session's next attempt. `None` if no endpoint admits the session, or if a
+    /// limit on attempts or retries forbids it.
+    fn select_endpoint(&mut self, now: Timestamp, session: &Session) -> Option<EndpointIndex> {
         let admitted = retry_policy::has_attempt_left(now, session, &self.settings)
             && (session.resumes_established() || self.concurrency_limit.admits(now, &mut self.rng));
         if !admitted {
--- a/crates/larklink-balancer/src/bucket_table.rs
+++ b/crates/larklink-balancer/src/bucket_table.rs
@@ -1,5 +1,7 @@
-//! The bucket table, the same at every proxy: sessions are hashed to buckets, and weighted rendezvous hashing
-//! ranks the endpoints for each bucket. And how many sessions share a bucket.
+//! The bucket table and the population of its buckets.
+//!
+//! Sessions are hashed to buckets, and weighted rendezvous hashing ranks the endpoints for each bucket. All
+//! proxies compute the same table.
 
 use std::collections::BTreeMap;
 
@@ -9,15 +11,15 @@
 use crate::event::SessionRequest;
 use crate::ids::EndpointIndex;
 
-/// Buckets of the table; fixed, as it has to be the same at every proxy.
+/// The number of buckets. Fixed, since all proxies must use the same table.
 pub(crate) const BUCKET_COUNT: u64 = 4096;
-/// Of this many first endpoints of a ranking, the first in the local zone goes first. Not of all: a zone may
-/// have too few for its traffic.
+/// The number of first endpoints of a ranking among which one in the local zone is preferred. Not all
+/// endpoints are considered, since a zone may have too few for its traffic.
 const LOCAL_ZONE_CANDIDATES: usize = 6;
-/// The factor by which the pairs of earlier sessions fade with each new one.
+/// The factor by which the weight of earlier pairs decays with each received session.
 const PAIR_RETENTION: f64 = 1.0 - 1.0 / 65_536.0;
 
-/// The bucket of a session: by its group key, else by its client key; none if it has neither.
+/// Returns the bucket of a session, from its group key or else its client key. `None` if it has neither.
 pub(crate) fn bucket_of(request: &SessionRequest) -> Option<u64> {
     match (request.group_key, request.client_key) {
         (0, 0) => None,
@@ -25,15 +27,16 @@
     }
 }
 
-/// Weighted rendezvous hashing: -weight / ln(hash of bucket and endpoint id, as a fraction of 1). The endpoint
-/// with the highest score owns the bucket.
+/// Returns the weighted rendezvous hashing score of an endpoint for a bucket: -weight / ln(h), where h is the
+/// hash of bucket and endpoint id scaled to the interval from 0 to 1. The endpoint with the highest score
+/// owns the bucket.
 pub(crate) fn rendezvous_score(bucket: u64, endpoint_id: u32, weight: f64) -> f64 {
     let key = (u128::from(bucket) | u128::from(endpoint_id) << 64).to_le_bytes();
     let fraction = ((xxh3_64(&key[..12]) >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
     -weight / fraction.ln()
 }
 
-/// The endpoints that pass the filter, by their score for the bucket, the highest first.
+/// Returns the endpoints that pass the filter, by descending score for the bucket.
 pub(crate) fn rank(
     endpoints: &EndpointSet,
     bucket: u64,
@@ -54,7 +57,8 @@
     scored.into_iter().map(|scored| scored.endpoint).collect()
 }
 
-/// Moves the first endpoint of the local zone, if it is among the first few, to the front of the ranking.
+/// Moves the first endpoint of the local zone to the front of the ranking if it is among the
+/// `LOCAL_ZONE_CANDIDATES` first ones.
 pub(crate) fn prefer_local_zone(
     ranking: &mut [EndpointIndex],
     endpoints: &EndpointSet,
@@ -66,54 +70,57 @@
     }
 }
 
-/// The ranking of the ready endpoints for each bucket, computed when first asked for.
+/// The rankings of the ready endpoints by bucket, computed on first use.
 #[derive(Debug, Default)]
 pub(crate) struct BucketTable {
     rankings: BTreeMap<u64, Vec<EndpointIndex>>,
 }
 
 impl BucketTable {
-    /// The endpoint list has changed.
+    /// Discards all rankings, as the endpoint list has changed.
     pub(crate) fn clear(&mut self) {
         self.rankings.clear();
     }
 
-    /// The ready endpoints by their score for the bucket, the highest first.
+    /// Returns the ready endpoints by descending score for the bucket.
     pub(crate) fn ranking(&mut self, bucket: u64, endpoints: &EndpointSet) -> &[EndpointIndex] {
         self.rankings.entry(bucket).or_insert_with(|| rank(endpoints, bucket, Endpoint::is_ready))
     }
 }
 
-/// What is supposed to have been seen before any pair of sessions was: pairs of one group, and pairs in all.
+/// The prior of a pair count: the pairs that are assumed to have been counted before any session.
 struct PairPrior {
     same_group: f64,
     all: f64,
 }
 
-/// For the sessions that are open. A proxy of few sessions takes no two that share a group by chance for a
-/// large group.
+/// The prior for open sessions. It keeps a proxy with few sessions from taking two that share a group by
+/// chance for a large group.
 const OPEN_PAIRS_PRIOR: PairPrior = PairPrior { same_group: 1.0, all: 50.0 };
-/// For an endpoint in slow start, to which a group may come at once.
+/// The prior for received sessions, used for an endpoint in slow start, where a whole group may arrive at
+/// once.
 const RECEIVED_PAIRS_PRIOR: PairPrior = PairPrior { same_group: 3.0, all: 50.0 };
 
-/// Ordered pairs of sessions that met at this proxy, the latest most.
+/// Counts of ordered pairs of sessions that were open at this proxy at the same time. Recent pairs weigh
+/// most.
 #[derive(Debug)]
 struct PairCounts {
     same_bucket: f64,
     all: f64,
 }
 
-/// How many of this proxy's sessions are in each bucket, and so how large groups are over all proxies.
+/// The number of this proxy's sessions in each bucket, from which the size of groups over all proxies is
+/// estimated.
 ///
-/// A proxy of hundreds has few sessions of any group; it knows the size of groups by how many pairs of its
-/// sessions share one.
+/// A proxy among hundreds has few sessions of any group. The fraction of pairs of its sessions that share a
+/// group indicates how large groups are.
 #[derive(Debug)]
 pub(crate) struct BucketPopulation {
     sessions_by_bucket: Vec<u32>,
     sessions: usize,
     /// Ordered pairs of open sessions that share a bucket.
     open_pairs: u64,
-    /// Pairs of each session received since the start with those that were open then.
+    /// Pairs of each session received since the start with the sessions that were open when it arrived.
     received_pairs: PairCounts,
 }
 
@@ -144,8 +151,8 @@
         self.sessions -= 1;
     }
 
-    /// The estimated fraction of all sessions, at all proxies, that are in the bucket, by the sessions that are
-    /// open here.
+    /// Estimates the fraction of the sessions of all proxies that are in the bucket, from this proxy's open
+    /// sessions.
     pub(crate) fn share_by_open_sessions(&self, bucket: u64) -> f64 {
         let sessions = self.sessions as f64;
         let pairs = sessions * (sessions - 1.0).max(1.0);
@@ -153,9 +160,9 @@
         self.share(bucket, mean_share)
     }
 
-    /// The same by all sessions received since the start, but no less than the mean over the buckets: a group
-    /// may come at once, from hundreds of proxies.
-    pub(crate) fn least_share_by_received_sessions(&self, bucket: u64) -> f64 {
+    /// Estimates the same fraction from all sessions received since the start, and returns at least the mean
+    /// over the buckets, since a whole group may arrive at once from hundreds of proxies.
+    pub(crate) fn min_share_by_received_sessions(&self, bucket: u64) -> f64 {
         let received = &self.received_pairs;
         let mean_share = RECEIVED_PAIRS_PRIOR.mean_share(received.same_bucket, received.all);
         self.share(bucket, mean_share).max(mean_share)
@@ -168,7 +175,7 @@
 }
 
 impl PairPrior {
-    /// The mean fraction of sessions that share a session's group, by the pairs seen.
+    /// Returns the mean fraction of sessions that share a session's group, from the counted pairs.
     fn mean_share(&self, same_bucket: f64, all: f64) -> f64 {
         (2.0 * self.same_group + same_bucket) / (all + self.all)
     }
--- a/crates/larklink-balancer/src/concurrency_limit.rs
+++ b/crates/larklink-balancer/src/concurrency_limit.rs
@@ -1,60 +1,62 @@
-//! A limit on attempts in flight, by additive increase and multiplicative decrease (AIMD).
+//! The limit on attempts in flight, controlled by additive increase and multiplicative decrease (AIMD).
 //!
-//! Errors and slow handshakes on two endpoints in turn, with no prompt one between, point at the session store
-//! behind all endpoints, which every further attempt only loads. One endpoint alone does not. Below one attempt
-//! the limit becomes the fraction of time in which an attempt is in flight.
+//! Errors or slow handshakes on two different endpoints, without a prompt handshake between them, indicate
+//! that the session store behind all endpoints is overloaded, and further attempts would only add to its
+//! load. Failures of a single endpoint do not indicate this. A limit below one attempt is the fraction of
+//! time during which an attempt is in flight.
 
 use rand_chacha::ChaCha8Rng;
 
 use crate::event::AttemptOutcome;
 use crate::ids::EndpointIndex;
-use crate::random::round_randomly;
+use crate::random::stochastic_round;
 use crate::settings::Settings;
 use crate::time::{TickDuration, Timestamp};
 
-/// The limit of all proxies together when they start: attempts in flight.
+/// The initial limit of all proxies in total, in attempts in flight.
 const INITIAL_LIMIT_OF_ALL_PROXIES: f64 = 250.0;
-/// The limit of all proxies together never falls below this: attempts in flight.
+/// The lower bound of the limit of all proxies in total, in attempts in flight.
 const MIN_LIMIT_OF_ALL_PROXIES: f64 = 3.0;
-/// The number of proxies that the lower bound assumes where the settings name none.
+/// The number of proxies that the lower bound assumes if the settings state none.
 const ASSUMED_PROXY_COUNT: u32 = 150;
-/// Factor on the limit after an error or a slow handshake.
+/// The factor on the limit after an error or a slow handshake.
 const FAILURE_DECREASE: f64 = 0.8;
-/// Factor on the limit after a timeout.
+/// The factor on the limit after a timeout.
 const TIMEOUT_DECREASE: f64 = 0.5;
-/// An attempt is slow from its client's dial timeout divided by this.
+/// An attempt is slow if it takes its client's dial timeout divided by this divisor or longer.
 const SLOW_ATTEMPT_DIVISOR: f64 = 3.0;
-/// A limit that falls below this is reported to operators: attempts in flight.
+/// A limit that falls below this number of attempts in flight is logged for operators.
 const REPORTED_LIMIT: f64 = 0.5;
-/// Rejections in a row after which the circuit counts as open.
+/// The number of consecutive rejections that opens the circuit.
 const OPEN_CIRCUIT_REJECTIONS: u32 = 12;
-/// How long an open circuit waits after the last attempt before one half-open attempt: 3.8 s.
+/// The time after the latest attempt at which an open circuit admits one half-open attempt.
 const HALF_OPEN_AFTER: TickDuration = TickDuration::from_millis(3_800);
 
-/// The limit on attempts in flight, and what it is learned from.
+/// The limit on attempts in flight and the state that controls it.
 #[derive(Debug)]
 pub(crate) struct ConcurrencyLimit {
-    /// Attempts that may be in flight; infinite where the number of proxies is unknown and nothing has failed.
+    /// The number of attempts that may be in flight. Infinite if the number of proxies is unknown and nothing
+    /// has failed.
     limit: f64,
     min_limit: f64,
     in_flight: i32,
     pacing: Pacing,
     circuit: Circuit,
-    /// The endpoint of the latest slow or failed attempt, if none was prompt since.
+    /// The endpoint of the latest slow or failed attempt, if no attempt was prompt since.
     last_slow_endpoint: Option<EndpointIndex>,
-    /// Whether health checks find an endpoint that hangs.
+    /// Whether health checks are enabled, which detect an endpoint that hangs.
     health_checks: bool,
 }
 
-/// The pause after an attempt while the limit is below one.
+/// The spacing of attempts while the limit is below one.
 #[derive(Debug)]
 struct Pacing {
     last_attempt_ended_at: Timestamp,
-    /// Ticks until the next attempt is admitted with certainty.
+    /// The ticks after which the next attempt is admitted with certainty.
     min_interval: f64,
 }
 
-/// Rejections since the last attempt.
+/// A circuit breaker that counts the rejections since the latest attempt.
 #[derive(Debug)]
 struct Circuit {
     rejections: u32,
@@ -64,10 +66,10 @@
 impl ConcurrencyLimit {
     pub(crate) fn new(settings: &Settings, now: Timestamp) -> Self {
         let proxy_count = settings.proxy_count;
-        let known_or_assumed = if proxy_count > 0 { proxy_count } else { ASSUMED_PROXY_COUNT };
+        let assumed_count = if proxy_count > 0 { proxy_count } else { ASSUMED_PROXY_COUNT };
         Self {
             limit: INITIAL_LIMIT_OF_ALL_PROXIES / f64::from(proxy_count),
-            min_limit: MIN_LIMIT_OF_ALL_PROXIES / f64::from(known_or_assumed),
+            min_limit: MIN_LIMIT_OF_ALL_PROXIES / f64::from(assumed_count),
             in_flight: 0,
             pacing: Pacing { last_attempt_ended_at: now, min_interval: 0.0 },
             circuit: Circuit { rejections: 0, last_attempt_at: now },
@@ -76,46 +78,48 @@
         }
     }
 
-    /// Whether an attempt may start now.
+    /// Returns whether an attempt may start now.
     ///
-    /// Within the pause the chance grows from 0 to 1, so that hundreds of proxies stay out of step. An open
-    /// circuit admits one attempt all the same: it would reject everything long after the store has recovered.
+    /// Within the minimum interval the probability of admission grows from 0 to 1, so that hundreds of
+    /// proxies do not attempt in lockstep. An open circuit admits a half-open attempt all the same: otherwise
+    /// it would reject all sessions long after the store has recovered.
     pub(crate) fn admits(&self, now: Timestamp, rng: &mut ChaCha8Rng) -> bool {
         let since_last = now.saturating_since(self.pacing.last_attempt_ended_at).as_f64();
-        let chance = (since_last / self.pacing.min_interval).min(1.0);
+        let probability = (since_last / self.pacing.min_interval).min(1.0);
         f64::from(self.in_flight) < self.limit
-            && (round_randomly(chance, rng) > 0.0 || self.circuit.half_open(now))
+            && (stochastic_round(probability, rng) > 0.0 || self.circuit.half_open(now))
     }
 
-    /// Whether less than one attempt may be in flight.
+    /// Returns whether the limit is below one attempt.
     pub(crate) fn is_below_one(&self) -> bool {
         self.limit < 1.0
     }
 
-    /// The limit as a fraction of one attempt, 1 at most.
+    /// Returns the limit, at most 1.
     pub(crate) fn fraction_of_one(&self) -> f64 {
         self.limit.min(1.0)
     }
 
-    /// An attempt starts.
+    /// Records that an attempt starts.
     pub(crate) fn attempt_started(&mut self, now: Timestamp) {
         self.in_flight += 1;
         self.circuit = Circuit { rejections: 0, last_attempt_at: now };
     }
 
-    /// An attempt is in flight no longer: its connection is established, or it ended.
-    pub(crate) fn attempt_left_flight(&mut self) {
+    /// Records that an attempt is no longer in flight, because it is established or has ended.
+    pub(crate) fn attempt_completed(&mut self) {
         self.in_flight -= 1;
     }
 
-    /// A session got its final answer without an attempt.
+    /// Records that a session got its final decision without an attempt.
     pub(crate) fn record_rejection(&mut self) {
         self.circuit.rejections += 1;
     }
 
-    /// Adjusts the limit to the result of an attempt that `took` so long, of a client that waits for
-    /// `dial_timeout`. Errors and timeouts are passed with the whole dial timeout, as they load the store for
-    /// longer than they take. Returns whether the limit has just fallen below what is reported to operators.
+    /// Adjusts the limit to the outcome of an attempt. `took` is its duration and `dial_timeout` the time
+    /// that its client waits. Errors and timeouts are passed with `took` equal to the whole dial timeout, as
+    /// they load the store for longer than they last. Returns whether the limit has just fallen below
+    /// `REPORTED_LIMIT`.
     pub(crate) fn record_attempt(
         &mut self,
         now: Timestamp,
@@ -125,29 +129,29 @@
         dial_timeout: TickDuration,
     ) -> bool {
         let promptness = 1.0 - SLOW_ATTEMPT_DIVISOR * took.as_f64() / dial_timeout.as_f64();
-        let mut fell = false;
+        let mut fell_below_reported = false;
         if promptness > 0.0 {
             self.increase(promptness);
             self.last_slow_endpoint = None;
         } else if self.counts_as_failure(outcome) {
             let last = self.last_slow_endpoint.replace(endpoint);
             if last.is_some_and(|last| last != endpoint) {
-                fell = self.decrease(outcome);
+                fell_below_reported = self.decrease(outcome);
             }
         }
         let min_interval = took.as_f64() * (1.0 / self.limit - 1.0).max(0.0);
         self.pacing = Pacing { last_attempt_ended_at: now, min_interval };
-        fell
+        fell_below_reported
     }
 
-    /// Slow handshakes and timeouts count only where they can mean the store: not where health checks tell an
-    /// endpoint that hangs and nothing has limited attempts yet.
+    /// Returns whether a slow attempt counts as a failure of the store. Slow handshakes and timeouts do not
+    /// while health checks can detect a hanging endpoint and attempts are still unlimited.
     fn counts_as_failure(&self, outcome: AttemptOutcome) -> bool {
         outcome == AttemptOutcome::Failed || !self.health_checks || self.limit.is_finite()
     }
 
-    /// Adds up to one attempt for each limit's worth of prompt attempts. A limit that is not used stays, or a
-    /// burst would find it wide open after a calm.
+    /// Raises the limit by up to one attempt per `limit` prompt attempts. An unused limit is not raised.
+    /// Otherwise a burst after a quiet period would meet a limit that is far too high.
     fn increase(&mut self, promptness: f64) {
         let unused = f64::from(self.in_flight) + 1.0 < self.limit;
         if !unused {
@@ -155,6 +159,7 @@
         }
     }
 
+    /// Lowers the limit. Returns whether it has just fallen below `REPORTED_LIMIT`.
     fn decrease(&mut self, outcome: AttemptOutcome) -> bool {
         let factor = if outcome == AttemptOutcome::TimedOut { TIMEOUT_DECREASE } else { FAILURE_DECREASE };
         let before = self.limit;
--- a/crates/larklink-balancer/src/endpoint.rs
+++ b/crates/larklink-balancer/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints: their lifecycle as the endpoint list has it, and their age in slow start.
+//! The endpoints, with their lifecycle from the endpoint list and their age since the last start.
 
 use std::collections::BTreeSet;
 use std::ops::{Index, IndexMut};
@@ -13,18 +13,18 @@
 use crate::slow_start::SlowStartQuota;
 use crate::time::{TickDuration, Timestamp};
 
-/// New sessions may be sent to a draining endpoint for the drain grace divided by this.
+/// New sessions may be sent to a draining endpoint for the drain grace divided by this divisor.
 const DRAIN_GRACE_DIVISOR: u64 = 2;
 
-/// One endpoint and all that is known of it.
+/// An endpoint and everything this proxy knows about it.
 #[derive(Clone, Debug)]
 pub(crate) struct Endpoint {
     entry: EndpointEntry,
-    /// When this proxy was notified that it is draining or removed; none while it is ready.
+    /// When this proxy was notified that the endpoint is draining or removed; `None` while it is ready.
     closing_notified_at: Option<Timestamp>,
-    /// It was listed as draining, and not as ready since.
+    /// Whether it has been listed as draining since it was last ready.
     listed_draining: bool,
-    /// When it joined the list; 0 if it was in the first one.
+    /// When it joined the list; 0 if it was in the cached list.
     joined_at: Timestamp,
     pub(crate) outlier: OutlierState,
     pub(crate) health_check: HealthCheckState,
@@ -33,7 +33,7 @@
 }
 
 impl Endpoint {
-    /// An endpoint that no list has named yet; it counts as removed.
+    /// Creates an endpoint that no list has contained yet. It counts as removed.
     fn unlisted() -> Self {
         Self {
             entry: EndpointEntry::default(),
@@ -70,7 +70,7 @@
         self.closing_notified_at = Some(now);
     }
 
-    /// The endpoint list's entry.
+    /// Returns its latest entry in the endpoint list.
     pub(crate) fn entry(&self) -> &EndpointEntry {
         &self.entry
     }
@@ -83,18 +83,19 @@
         self.entry.state == EndpointState::Draining
     }
 
-    /// Whether it gets nothing new and loses its sessions. Where removal is not binding, an endpoint that was
-    /// removed without a drain keeps its sessions until it fails.
+    /// Returns whether the endpoint gets no new sessions and its sessions are migrated. If removal is not
+    /// binding, an endpoint that was removed without a drain keeps its sessions until it fails.
     pub(crate) fn is_closed(&self, settings: &Settings) -> bool {
         !self.is_ready() && (self.listed_draining || !settings.removal_not_binding)
     }
 
-    /// When this proxy was notified that it is draining or removed; none while it is ready.
+    /// Returns when this proxy was notified that the endpoint is draining or removed; `None` while it is
+    /// ready.
     pub(crate) fn closing_notified_at(&self) -> Option<Timestamp> {
         self.closing_notified_at
     }
 
-    /// The latest time at which something new may be sent to it.
+    /// Returns the latest time at which a new session may be sent to the endpoint.
     pub(crate) fn accepts_until(&self, settings: &Settings) -> Timestamp {
         match self.closing_notified_at {
             Some(notified_at) if self.is_closed(settings) => {
@@ -104,32 +105,33 @@
         }
     }
 
-    /// The time since its last start, listed or seen by its recovery; `TickDuration::MAX` if neither is known.
+    /// Returns the time since the endpoint last started, as listed or as inferred from its recovery after a
+    /// failed connection; `TickDuration::MAX` if neither is known.
     pub(crate) fn age(&self, now: Timestamp) -> TickDuration {
         let last_start = self.entry.started_at.max(self.outlier.recovered_at());
         if last_start == Timestamp::ZERO { TickDuration::MAX } else { now.saturating_since(last_start) }
     }
 
-    /// Whether it may hold a connection that was established through another proxy: one that joined or started
-    /// lately does not, one that is draining may.
+    /// Returns whether the endpoint may hold a connection that was established through another proxy. A
+    /// draining endpoint may; one that joined the list or started recently does not.
     pub(crate) fn may_hold_established(&self, now: Timestamp, settings: &Settings) -> bool {
-        let settled_after = settings.slow_start_duration;
+        let recent = settings.slow_start_duration;
         match self.closing_notified_at {
             Some(_) if self.is_closed(settings) => self.is_draining() && now <= self.accepts_until(settings),
-            Some(notified_at) => now <= notified_at + settled_after,
+            Some(notified_at) => now <= notified_at + recent,
             None => {
-                let joined_lately = self.joined_at != Timestamp::ZERO && now < self.joined_at + settled_after;
-                self.is_ready() && !joined_lately && self.age(now) >= settled_after
+                let joined_recently = self.joined_at != Timestamp::ZERO && now < self.joined_at + recent;
+                self.is_ready() && !joined_recently && self.age(now) >= recent
             }
         }
     }
 }
 
-/// All endpoints, by their index.
+/// All endpoints, by index.
 #[derive(Debug)]
 pub(crate) struct EndpointSet {
     endpoints: Vec<Endpoint>,
-    /// Whether listed weights count.
+    /// Whether the listed weights are used.
     weighted: bool,
 }
 
@@ -138,7 +140,7 @@
         Self { endpoints: Vec::new(), weighted: settings.weighted }
     }
 
-    /// Takes in the endpoint list, or what changed in it.
+    /// Applies an endpoint list or its changes.
     pub(crate) fn update(&mut self, now: Timestamp, scope: ListScope, entries: &[EndpointEntry]) {
         if scope != ListScope::Changes {
             let listed: BTreeSet<_> = entries.iter().map(|entry| entry.endpoint).collect();
@@ -153,7 +155,7 @@
         }
     }
 
-    /// The endpoint of that index; one that no list has named yet counts as removed.
+    /// Returns the endpoint with the index. One that no list has contained yet is inserted as removed.
     pub(crate) fn get_or_insert(&mut self, index: EndpointIndex) -> &mut Endpoint {
         if self.endpoints.len() <= index.0 {
             self.endpoints.resize_with(index.0 + 1, Endpoint::unlisted);
@@ -169,17 +171,17 @@
         self.endpoints.len()
     }
 
-    /// The endpoints that take new sessions.
+    /// Returns the endpoints that accept new sessions.
     pub(crate) fn ready(&self) -> impl Iterator<Item = &Endpoint> {
         self.iter().filter(|endpoint| endpoint.is_ready())
     }
 
-    /// The capacity of an endpoint relative to others; 1 where weights do not count or none is listed.
+    /// Returns the capacity of an endpoint relative to others; 1 if weights are not used or none is listed.
     pub(crate) fn weight(&self, endpoint: &Endpoint) -> f64 {
         if self.weighted && endpoint.entry.weight > 0.0 { endpoint.entry.weight } else { 1.0 }
     }
 
-    /// Load and weight of all endpoints that are ready.
+    /// Returns the total load and weight of the ready endpoints.
     pub(crate) fn ready_totals(&self) -> ReadyTotals {
         self.ready().fold(ReadyTotals { load: 0.0, weight: 0.0 }, |totals, endpoint| ReadyTotals {
             load: totals.load + endpoint.load.total(),
@@ -187,7 +189,8 @@
         })
     }
 
-    /// How many are listed, and how many of them are draining, ejected or likely to fail.
+    /// Counts the listed endpoints, and those of them that are draining, ejected or more likely to fail than
+    /// to succeed.
     pub(crate) fn health_summary(&self) -> HealthSummary {
         let listed = self.iter().filter(|endpoint| endpoint.entry.state != EndpointState::Removed);
         let avoided = listed.clone().filter(|endpoint| {
@@ -197,7 +200,7 @@
     }
 }
 
-// An index that the balancer passes on comes from a list or a session, and its endpoint was inserted then.
+// Indexing does not panic: each index in use comes from a list or a session, which inserted its endpoint.
 impl Index<EndpointIndex> for EndpointSet {
     type Output = Endpoint;
 
--- a/crates/larklink-balancer/src/event.rs
+++ b/crates/larklink-balancer/src/event.rs
@@ -1,104 +1,104 @@
-//! What a proxy tells its balancer.
+//! The inputs of a balancer: the endpoint list, session requests, attempt outcomes and observations.
 
 use crate::ids::EndpointIndex;
 use crate::time::{TickDuration, Timestamp};
 
-/// The lifecycle state of an endpoint, as the endpoint list has it.
+/// The lifecycle state of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes new sessions.
+    /// The endpoint accepts new sessions.
     Ready,
-    /// It is shutting down gracefully: its sessions go on, new ones go elsewhere.
+    /// The endpoint shuts down gracefully: it keeps its sessions, and new ones go elsewhere.
     Draining,
-    /// It is not in the list any more.
+    /// The endpoint is no longer listed.
     #[default]
     Removed,
 }
 
-/// One endpoint of the endpoint list.
+/// An entry of the endpoint list.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EndpointEntry {
-    /// The caller's index for it.
+    /// The index that the caller assigned to the endpoint.
     pub endpoint: EndpointIndex,
-    /// Its id, the same at every proxy; the bucket table is built from it.
+    /// The endpoint's id, the same at every proxy. It is an input of the bucket table's hash.
     pub id: u32,
-    /// Its zone.
+    /// The endpoint's zone.
     pub zone: u16,
-    /// Its cell, a group of endpoints that share idempotency keys.
+    /// The endpoint's cell, a group of endpoints that share idempotency keys.
     pub cell: u16,
-    /// Its lifecycle state.
+    /// The endpoint's lifecycle state.
     pub state: EndpointState,
-    /// Its capacity relative to other endpoints.
+    /// The endpoint's capacity relative to other endpoints.
     pub weight: f64,
-    /// Its last start; 0 if that was long ago.
+    /// When the endpoint last started; 0 if long ago.
     pub started_at: Timestamp,
 }
 
-/// What an update of the endpoint list covers.
+/// The scope of an endpoint list update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
-    /// Only the endpoints that changed.
+    /// The endpoints that changed.
     Changes,
-    /// Every endpoint: what it leaves out is removed.
+    /// All endpoints. Those that are missing are removed.
     Complete,
-    /// Every endpoint as last known before this process started.
+    /// All endpoints, as cached from before this process started.
     Cached,
 }
 
-/// A session as it reaches the proxy.
+/// A session that has reached the proxy.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SessionRequest {
-    /// Its listener, by its place in the settings.
+    /// The index of the session's listener in [`Settings::listeners`](crate::Settings::listeners).
     pub listener: usize,
-    /// Sessions with the same key share state on an endpoint; 0 if it has none.
+    /// Sessions with the same group key share state on an endpoint; 0 for no group.
     pub group_key: u64,
-    /// Identifies its client; 0 if unknown.
+    /// Identifies the client; 0 if unknown.
     pub client_key: u64,
-    /// How long its client waits to be accepted.
+    /// How long the client waits to be accepted.
     pub dial_timeout: TickDuration,
-    /// It goes on with a connection that was established through another proxy.
+    /// Whether the session resumes a connection that was established through another proxy.
     pub established: bool,
-    /// Its client reconnects after a break or a migration.
+    /// Whether the client reconnects after a broken connection or a migration.
     pub reconnecting: bool,
-    /// Its client marks it as a retry of one that was not accepted.
+    /// Whether the client marked the session as a retry of one that was not accepted.
     pub client_retry: bool,
 }
 
-/// How an attempt, a connection or a health check ended.
+/// The outcome of an attempt, a connection or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The endpoint served it to its end, or answered the health check.
+    /// The endpoint served the session to its end, or answered the health check.
     Succeeded,
     /// The endpoint answered with an error.
     Failed,
-    /// The endpoint rejected it for lack of capacity; it did not run.
+    /// The endpoint rejected the attempt for lack of capacity. It did not run.
     AtCapacity,
     /// No answer came in time.
     TimedOut,
-    /// No connection could be made; it did not run.
+    /// No connection could be made. The attempt did not run.
     ConnectFailed,
     /// The connection broke.
     Reset,
-    /// The proxy or the endpoint ended it before its time; that says nothing of the endpoint.
+    /// The proxy or the endpoint ended it early, for a reason that is no evidence on the endpoint's health.
     Cancelled,
-    /// Its send deadline passed before anything was sent; it did not run.
+    /// The send deadline passed before anything was sent. The attempt did not run.
     NotSent,
 }
 
 impl AttemptOutcome {
-    /// Whether it proves that the attempt had no effect on the endpoint.
+    /// Returns whether the outcome proves that the attempt had no effect on the endpoint.
     pub fn never_ran(self) -> bool {
         matches!(self, Self::AtCapacity | Self::ConnectFailed | Self::NotSent)
     }
 }
 
-/// What is observed of an established session.
+/// A measurement or an event of an established session.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Observation {
-    /// Its present load, in microseconds of work a second.
+    /// The session's current load, in microseconds of work per second.
     Load(f64),
-    /// How long a message takes at its endpoint at present.
+    /// The current latency of messages at the session's endpoint.
     MessageLatency(TickDuration),
-    /// A message has been without an answer for longer than a connect timeout.
+    /// A message has been unanswered for longer than a connect timeout.
     Unresponsive,
 }
--- a/crates/larklink-balancer/src/health_check.rs
+++ b/crates/larklink-balancer/src/health_check.rs
@@ -1,4 +1,4 @@
-//! When an endpoint is checked, and when a session waits for the result.
+//! The schedule of an endpoint's health checks, and which sessions wait for a result.
 
 use rand_chacha::ChaCha8Rng;
 
@@ -9,23 +9,24 @@
 use crate::settings::Settings;
 use crate::time::{TickDuration, Timestamp};
 
-/// Connect timeouts between the checks of an endpoint with one session. More sessions make checks more
-/// frequent: with the root of their number, or with their load where checks report load.
+/// The check interval of an endpoint with one session, in connect timeouts. It is divided by the square root
+/// of the number of sessions or, if checks report load, by their load.
 const INTERVAL_OF_ONE_SESSION: u64 = 64;
-/// Connect timeouts between the checks of an endpoint that has failed, and between load reports at least.
+/// The minimum interval between load reports, and the first interval after a failure, in connect timeouts.
 const MIN_INTERVAL: u64 = 2;
-/// The interval of a failing endpoint doubles with each failure after its ejection, up to this factor.
+/// The interval of an endpoint that has failed doubles with each failure after its ejection, up to this
+/// factor.
 const MAX_BACKOFF_FACTOR: u64 = 8;
-/// A result is fresh for this long: 1 s.
+/// How long the result of a check is fresh.
 const RESULT_VALIDITY: TickDuration = TickDuration::from_secs(1);
-/// Connect timeouts that a client must still wait, or its session does not wait for a check.
+/// The minimum time, in connect timeouts, that a client must have left for its session to wait for a check.
 const MIN_PATIENCE: u64 = 2;
 
-/// The health checks of one endpoint.
+/// The health checks of an endpoint.
 #[derive(Clone, Debug)]
 pub(crate) struct HealthCheckState {
     last_sent_at: Option<Timestamp>,
-    /// The latest check has no result yet.
+    /// Whether the latest check has no result yet.
     pending: bool,
 }
 
@@ -34,27 +35,28 @@
         Self { last_sent_at: None, pending: false }
     }
 
-    /// A check is sent.
+    /// Records that a check is sent.
     pub(crate) fn start(&mut self, now: Timestamp) {
         self.last_sent_at = Some(now);
         self.pending = true;
     }
 
-    /// The check has a result.
+    /// Records that the latest check has a result.
     pub(crate) fn finish(&mut self) {
         self.pending = false;
     }
 
-    /// Whether the latest check has no result yet.
+    /// Returns whether the latest check has no result yet.
     pub(crate) fn is_pending(&self) -> bool {
         self.pending
     }
 
-    /// When the next check is due, if the endpoint is to be checked at all.
+    /// Returns when the next check is due, if the endpoint is to be checked at all.
     ///
-    /// Checks that report load are sent however lately sessions were answered: sooner at first, as other
-    /// proxies may have sent sessions at the same time. The interval of a failing endpoint is random, as all
-    /// proxies check a lost zone.
+    /// If checks report load, responses to sessions do not postpone them, and they are more frequent while
+    /// the endpoint's sessions are recent, as other proxies may have sent sessions at the same time. The
+    /// interval of a failing endpoint is randomized, so that the proxies do not check the endpoints of a
+    /// failed zone in lockstep.
     pub(crate) fn next_check_at(
         &self,
         settings: &Settings,
@@ -65,24 +67,25 @@
         let last_sent_at = self.last_sent_at.unwrap_or(Timestamp::ZERO);
         let min_interval = settings.connect_timeout * MIN_INTERVAL;
         if outlier.has_consecutive_failures() {
-            let doubled = 1 << outlier.failures_beyond_ejection().min(u64::BITS / 2);
-            let longest = min_interval * MAX_BACKOFF_FACTOR.min(doubled);
-            return outlier.last_alive_at().max(last_sent_at) + random_duration(longest / 2..=longest, rng);
+            let backoff_factor = 1 << outlier.failures_beyond_ejection().min(u64::BITS / 2);
+            let interval = min_interval * MAX_BACKOFF_FACTOR.min(backoff_factor);
+            return outlier.last_response_at().max(last_sent_at)
+                + random_duration(interval / 2..=interval, rng);
         }
-        let longest = settings.connect_timeout * INTERVAL_OF_ONE_SESSION;
+        let max_interval = settings.connect_timeout * INTERVAL_OF_ONE_SESSION;
         let sessions = u64::from(load.sessions().max(1));
         if settings.load_reports {
-            let by_load = TickDuration::from_f64(longest.as_f64() / load.total().max(sessions as f64));
-            let known_for = last_sent_at.saturating_since(load.occupied_since());
-            last_sent_at + by_load.min(min_interval + known_for).max(min_interval)
+            let by_load = TickDuration::from_f64(max_interval.as_f64() / load.total().max(sessions as f64));
+            let occupied_for = last_sent_at.saturating_since(load.occupied_since());
+            last_sent_at + by_load.min(min_interval + occupied_for).max(min_interval)
         } else {
-            outlier.last_alive_at().max(last_sent_at) + longest / sessions.isqrt()
+            outlier.last_response_at().max(last_sent_at) + max_interval / sessions.isqrt()
         }
     }
 
-    /// Whether the session has to wait for a check before its first attempt at this endpoint.
+    /// Returns whether the session must wait for a check before its first attempt at the endpoint.
     ///
-    /// With hundreds of proxies none learns from its own few sessions what an endpoint can take, so it checks
+    /// A proxy among hundreds has too few sessions to learn from them what an endpoint can take, so it checks
     /// an endpoint on which it has none.
     pub(crate) fn must_precede_attempt(
         &self,
--- a/crates/larklink-balancer/src/ids.rs
+++ b/crates/larklink-balancer/src/ids.rs
@@ -1,15 +1,15 @@
-//! Identifiers that pass between a proxy and its balancer.
+//! Identifiers that a proxy and its balancer exchange.
 
-/// The index of an endpoint; the caller gives each endpoint id a new one, counting from 0.
+/// The index of an endpoint. The caller assigns consecutive indices, from 0, to new endpoint ids.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointIndex(pub usize);
 
-/// Identifies a session from [`place`](crate::Balancer::place) until its end; it may be used again after that.
+/// Identifies a session from [`place`](crate::Balancer::place) until it is over. Handles are reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionHandle(pub(crate) usize);
 
 impl SessionHandle {
-    /// Its number, for logs and traces.
+    /// Returns the handle as a number, for logs and traces.
     pub const fn number(self) -> usize {
         self.0
     }
--- a/crates/larklink-balancer/src/lib.rs
+++ b/crates/larklink-balancer/src/lib.rs
@@ -1,27 +1,30 @@
-//! The decisions of larklink, a balancer for long-lived connections: no I/O, no clock, no wire format.
+//! The decision logic of larklink, a load balancer for long-lived connections. This crate does no I/O, reads
+//! no clock and knows no wire format.
 //!
-//! A proxy makes one [`Balancer`], tells it what happens, and carries out what it returns:
+//! A proxy creates one [`Balancer`], reports events to it, and carries out the decisions and actions that it
+//! returns:
 //!
 //! 1. [`Balancer::update_endpoints`] with the endpoint list.
 //! 2. [`Balancer::place`] for each session that arrives. It returns a [`Decision`].
 //! 3. [`Balancer::established`], [`Balancer::attempt_ended`], [`Balancer::observe`] and
-//!    [`Balancer::client_left`] as the session goes on, [`Balancer::health_checked`] for each health check.
-//! 4. [`Balancer::poll`] after each of these calls, and at [`Balancer::next_wakeup`]: it returns the
+//!    [`Balancer::client_left`] as the state of the session changes, and [`Balancer::health_checked`] for the
+//!    result of each health check.
+//! 4. [`Balancer::poll`] after each of these calls and at [`Balancer::next_wakeup`]. It returns the
 //!    [`Action`]s to carry out.
 //!
-//! # What it keeps to
+//! # Guarantees
 //!
-//! - The same seed and the same calls give the same decisions.
-//! - Every proxy with the same endpoint list ranks the endpoints alike for a group key or a client key.
-//! - No attempt starts at an endpoint once the grace of its drain has passed: the send deadline says so.
-//! - A session that may have run is sent again only where its idempotency allows it, and is rejected only where
-//!   a retry by its client has no second effect; else it is failed.
-//! - Retries stay within the retry budget in every window.
+//! - Deterministic: the same seed and the same calls give the same decisions.
+//! - Consistent: all proxies with the same endpoint list rank the endpoints alike for a group or client key.
+//! - No attempt is sent to an endpoint after its drain grace. The send deadline of each attempt enforces this.
+//! - A session that may have run is retried only where its idempotency allows it, and rejected only where a
+//!   retry by its client has no second effect. Otherwise it fails.
+//! - Retries stay within the retry budget in every sliding window.
 //!
-//! # Times
+//! # Time
 //!
-//! Times are in ticks of a tenth of a millisecond, from an origin that the caller chooses, and must not decrease
-//! from call to call.
+//! All times are in ticks of a tenth of a millisecond since an origin that the caller chooses. They must not
+//! decrease from call to call.
 //!
 //! # Example
 //!
@@ -57,7 +60,7 @@
 //! let (handle, decision) = balancer.place(start, request);
 //! let Decision::Connect { endpoint: first, .. } = decision else { panic!("{decision:?}") };
 //!
-//! // The connection fails: the session is retried on the other endpoint.
+//! // The connection fails, so the session is retried on the other endpoint.
 //! let decision = balancer.attempt_ended(start + SECOND / 1_000, handle, AttemptOutcome::ConnectFailed, false);
 //! let Some(Decision::Connect { endpoint: second, .. }) = decision else { panic!("{decision:?}") };
 //! assert_ne!(first, second);
@@ -67,10 +70,14 @@
 //!
 //! # Modules
 //!
-//! `balancer` calls the others in order. `bucket_table` ranks the endpoints, `placement` walks down the ranking;
-//! `outlier`, `health_check`, `load`, `slow_start` and `endpoint` know the endpoints; `concurrency_limit`,
-//! `retry_budget` and `retry_policy` limit attempts; `migration` migrates established sessions; `discovery_schedule`
-//! polls the endpoint list. `docs/capacity.md` lists the constants of all of them.
+//! - `balancer` is the entry point and combines the other modules.
+//! - `bucket_table` ranks the endpoints for a session; `placement` chooses one of the ranking.
+//! - `endpoint`, `outlier`, `health_check`, `load` and `slow_start` hold the state of each endpoint.
+//! - `concurrency_limit`, `retry_budget` and `retry_policy` limit attempts and retries.
+//! - `migration` selects established sessions to migrate.
+//! - `discovery_schedule` schedules polls of the endpoint list.
+//!
+//! `docs/capacity.md` documents the constants of all modules.
 
 mod action;
 mod balancer;
--- a/crates/larklink-balancer/src/load.rs
+++ b/crates/larklink-balancer/src/load.rs
@@ -1,54 +1,55 @@
-//! The load of sessions and endpoints: means, load limits, overload, and the capacity that endpoints report.
+//! The load of sessions and endpoints: mean loads, load limits, overload and reported capacity.
 //!
-//! Load is counted in mean session loads: a session of average load counts 1.
+//! The unit of load is the mean session load: a session of average load counts 1.
 
 use crate::time::{TickDuration, Timestamp};
 
-/// Load reports over which the mean load of a session is taken.
+/// The number of load reports over which the mean load of a session is taken.
 const MEAN_LOAD_REPORTS: f64 = 256.0;
-/// Load reports over which the mean load of a listener's sessions is taken.
+/// The number of load reports over which the mean load of a listener's sessions is taken.
 const LISTENER_LOAD_REPORTS: f64 = 16.0;
-/// Health checks over which the reported capacity is taken.
+/// The number of health checks over which the reported capacity is taken.
 const CAPACITY_REPORTS: f64 = 256.0;
-/// An endpoint that reports more than this fraction of its capacity as load is overloaded.
+/// An endpoint that reports a higher utilization than this is overloaded.
 const OVERLOAD_UTILIZATION: f64 = 0.6;
-/// An overloaded endpoint is relieved of its load above this fraction of its capacity.
+/// The utilization to which an overloaded endpoint is relieved.
 const TARGET_UTILIZATION: f64 = 0.75;
-/// How long an observation of overload holds: 1.5 s, as latency is observed each second while it is high.
+/// How long an observation of overload is valid. High latency is observed once per second, so overload
+/// persists from one observation to the next.
 const OVERLOAD_VALIDITY: TickDuration = TickDuration::from_millis(1_500);
-/// Fraction of an overloaded endpoint's load that is too much, for each doubling of the latency.
+/// The excess fraction of an overloaded endpoint's load per doubling of the latency.
 pub(crate) const EXCESS_PER_LATENCY_DOUBLING: f64 = 0.08;
-/// Sessions are migrated off an overloaded endpoint once in this time: 1 s.
+/// The minimum interval between migrations off an overloaded endpoint.
 const RELIEF_INTERVAL: TickDuration = TickDuration::from_secs(1);
-/// A load limit is never lower than this: mean session loads.
+/// The lower bound of a load limit, in mean session loads.
 const MIN_LOAD_LIMIT: f64 = 0.25;
-/// A load limit grows by this fraction each second.
+/// The fraction by which a load limit grows per second.
 const LIMIT_GROWTH_PER_SECOND: f64 = 0.03;
-/// What an endpoint with capacity left may get in addition to its load: mean session loads.
+/// The load that an endpoint with capacity left may get in addition to its own, in mean session loads.
 const LIMIT_HEADROOM: f64 = 2.0;
 
-/// The load that this proxy's sessions put on one endpoint.
+/// The load of this proxy's sessions on an endpoint.
 #[derive(Clone, Debug)]
 pub(crate) struct EndpointLoad {
-    /// Sessions that are established there or being attempted.
+    /// The number of sessions that are established there or have an attempt in flight there.
     sessions: u32,
-    /// Their load, in mean session loads.
+    /// The load of these sessions, in mean session loads.
     total: f64,
-    /// Since when it has had sessions without a break.
+    /// Since when the endpoint has had sessions without interruption.
     occupied_since: Timestamp,
-    /// The most load that it can take, learned from overload, in mean session loads.
+    /// The load limit, learned from overload, in mean session loads.
     limit: f64,
     overload: Overload,
 }
 
-/// What is known of an endpoint's overload.
+/// The observed overload of an endpoint.
 #[derive(Clone, Debug)]
 struct Overload {
-    /// It counts as overloaded before this time.
+    /// The endpoint counts as overloaded until this time.
     until: Timestamp,
-    /// Fraction of its load that is too much, by the latest observation.
+    /// The fraction of its load that is in excess, from the latest observation.
     excess: f64,
-    /// When sessions were last migrated off it for overload.
+    /// When sessions were last migrated off the endpoint for overload.
     last_relieved_at: Timestamp,
 }
 
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Its process has restarted: the overload and the load limit of the old one are discarded.
+    /// Records a restart of the endpoint: discards the overload and the load limit of the old process.
     pub(crate) fn record_restart(&mut self) {
         self.overload.until = Timestamp::ZERO;
         self.limit = f64::INFINITY;
@@ -82,13 +83,13 @@
         self.total = if self.sessions == 0 { 0.0 } else { (self.total - load).max(0.0) };
     }
 
-    /// The load of one of its sessions has changed by `change`.
+    /// Records that the load of one of the sessions has changed by `change`.
     pub(crate) fn change_session_load(&mut self, change: f64) {
         self.total = (self.total + change).max(0.0);
     }
 
-    /// A message takes `latency`, where `tolerated` is half the latency objective. The excess grows with each
-    /// doubling, as the work that has piled up has to be done too.
+    /// Records the latency of a message. The endpoint is overloaded if it exceeds `tolerated`, which is half
+    /// the latency objective. The excess grows with each doubling, as the backlog of work must be done too.
     pub(crate) fn record_message_latency(
         &mut self,
         now: Timestamp,
@@ -105,10 +106,11 @@
         }
     }
 
-    /// A health check succeeded and reported `utilization`, load over capacity; 0 where it reports none.
+    /// Records a successful health check that reported `utilization`, the load over the capacity; 0 if none
+    /// was reported.
     ///
-    /// `slow` says that the answer took long; it counts only where no load is reported, as it may come from
-    /// the network alone.
+    /// `slow` states that the answer took long. It is used only if no load is reported, as the network alone
+    /// may cause it.
     pub(crate) fn record_health_check(
         &mut self,
         now: Timestamp,
@@ -120,26 +122,27 @@
             self.overload.until = self.overload.until.max(now + OVERLOAD_VALIDITY);
             self.limit = self.limit.min(self.total).max(MIN_LOAD_LIMIT);
         } else if load_reports {
-            // Every proxy may add in proportion, even one that has had little there so far.
+            // The headroom lets every proxy add load, even one that has had little there so far.
             let sustainable = (self.total + LIMIT_HEADROOM) * OVERLOAD_UTILIZATION / utilization;
             self.limit = self.limit.max(sustainable);
         }
         self.overload.excess = self.overload.excess.max(1.0 - TARGET_UTILIZATION / utilization);
     }
 
-    /// Sessions with `migrated` load are being migrated off it. The limit keeps new ones from taking their place.
+    /// Records that sessions with a load of `migrated` are migrated off the endpoint. Lowers the load limit
+    /// so that new sessions do not replace them.
     pub(crate) fn record_relief(&mut self, now: Timestamp, migrated: f64) {
         self.overload.last_relieved_at = now;
         self.overload.excess = 0.0;
         self.limit = self.limit.min(self.total - migrated).max(MIN_LOAD_LIMIT);
     }
 
-    /// Raises the load limit for `elapsed`.
+    /// Grows the load limit over `elapsed`.
     pub(crate) fn grow_limit(&mut self, elapsed: TickDuration) {
         self.limit *= 1.0 + LIMIT_GROWTH_PER_SECOND * elapsed.as_f64() / TickDuration::from_secs(1).as_f64();
     }
 
-    /// Whether a session of this load would exceed the load limit.
+    /// Returns whether a session of this load would exceed the load limit.
     pub(crate) fn would_exceed_limit(&self, load: f64) -> bool {
         self.total + load > self.limit
     }
@@ -148,46 +151,46 @@
         self.overload.until > now
     }
 
-    /// Whether sessions should be migrated off it now for overload.
+    /// Returns whether sessions should be migrated off the endpoint now for overload.
     pub(crate) fn relief_is_due(&self, now: Timestamp) -> bool {
         self.overload.excess > 0.0
             && self.is_overloaded(now)
             && self.overload.last_relieved_at + RELIEF_INTERVAL <= now
     }
 
-    /// Fraction of its load that is too much, by the latest observation.
+    /// Returns the fraction of the load that is in excess, from the latest observation.
     pub(crate) fn excess(&self) -> f64 {
         self.overload.excess
     }
 
-    /// Sessions that are established there or being attempted.
+    /// Returns the number of sessions that are established there or have an attempt in flight there.
     pub(crate) fn sessions(&self) -> u32 {
         self.sessions
     }
 
-    /// The load of these sessions, in mean session loads.
+    /// Returns the load of these sessions, in mean session loads.
     pub(crate) fn total(&self) -> f64 {
         self.total
     }
 
-    /// Since when it has had sessions without a break.
+    /// Returns since when the endpoint has had sessions without interruption.
     pub(crate) fn occupied_since(&self) -> Timestamp {
         self.occupied_since
     }
 }
 
-/// Load and weight of all endpoints that are ready.
+/// The total load and weight of the ready endpoints.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReadyTotals {
-    /// In mean session loads.
+    /// The load in mean session loads.
     pub(crate) load: f64,
     pub(crate) weight: f64,
 }
 
-/// The mean load that sessions report.
+/// The running mean of the loads that sessions report.
 #[derive(Debug)]
 struct MeanSessionLoad {
-    /// In microseconds of work a second.
+    /// The mean in microseconds of work per second.
     mean: f64,
     samples: f64,
 }
@@ -199,7 +202,7 @@
     }
 }
 
-/// The mean load of all sessions, and of each listener's.
+/// The mean load of all sessions and of each listener's sessions.
 #[derive(Debug)]
 pub(crate) struct SessionLoads {
     overall: MeanSessionLoad,
@@ -213,13 +216,13 @@
         Self { overall, by_listener: vec![1.0; listeners] }
     }
 
-    /// The load to expect of a new session of `listener`, in mean session loads.
+    /// Returns the expected load of a new session of `listener`, in mean session loads.
     pub(crate) fn expected(&self, listener: usize) -> f64 {
         self.by_listener[listener]
     }
 
-    /// Takes in the load that a session of `listener` reports, in microseconds of work a second, and returns it
-    /// in mean session loads.
+    /// Records the load that a session of `listener` reports, in microseconds of work per second, and returns
+    /// it in mean session loads.
     pub(crate) fn record(&mut self, listener: usize, load: f64) -> f64 {
         self.overall.record(load);
         let relative = if self.overall.mean > 0.0 { load / self.overall.mean } else { 1.0 };
@@ -229,12 +232,12 @@
     }
 }
 
-/// What endpoints past their slow start report: the sessions that they have, of all proxies, and the capacity
-/// that these take. Both are exponentially weighted sums over the latest health checks.
+/// The number of sessions that endpoints past their slow start report, from all proxies, and the capacity
+/// that these sessions use. Both are exponentially weighted sums over the latest health checks.
 #[derive(Debug)]
 pub(crate) struct ReportedCapacity {
     sessions: f64,
-    /// Reported utilization times the endpoint's weight.
+    /// The reported utilization times the endpoint's weight.
     used_weight: f64,
 }
 
@@ -243,14 +246,15 @@
         Self { sessions: 0.0, used_weight: 0.0 }
     }
 
-    /// Takes in a report: `sessions` take `utilization` of an endpoint of that weight.
+    /// Records a report that `sessions` use the fraction `utilization` of the capacity of an endpoint of that
+    /// weight.
     pub(crate) fn record(&mut self, sessions: f64, utilization: f64, weight: f64) {
         self.sessions += sessions - self.sessions / CAPACITY_REPORTS;
         self.used_weight += utilization * weight - self.used_weight / CAPACITY_REPORTS;
     }
 
-    /// The sessions of one of `proxy_count` proxies that an endpoint of weight 1 can take at full load; none if
-    /// nothing was reported or the number of proxies is unknown (0).
+    /// Returns the number of sessions of one of `proxy_count` proxies that an endpoint of weight 1 can take
+    /// at full load. `None` if nothing was reported or the number of proxies is unknown (0).
     pub(crate) fn sessions_per_weight(&self, proxy_count: u32) -> Option<f64> {
         let sessions = self.sessions / self.used_weight / f64::from(proxy_count);
         sessions.is_normal().then_some(sessions)
--- a/crates/larklink-balancer/src/migration.rs
+++ b/crates/larklink-balancer/src/migration.rs
@@ -1,4 +1,4 @@
-//! Who is migrated off a draining, ejected or overloaded endpoint, how many and when.
+//! The selection of sessions to migrate off draining, ejected and overloaded endpoints.
 
 use rand_chacha::ChaCha8Rng;
 
@@ -6,32 +6,32 @@
 use crate::endpoint::{Endpoint, EndpointSet};
 use crate::ids::{EndpointIndex, SessionHandle};
 use crate::load::EXCESS_PER_LATENCY_DOUBLING;
-use crate::random::round_randomly;
+use crate::random::stochastic_round;
 use crate::session::{Session, SessionTable};
 use crate::settings::Settings;
 use crate::time::{TickDuration, Timestamp};
 
-/// Fraction of the sessions on an ejected or removed endpoint that is migrated each connect timeout.
+/// The fraction of the sessions on an ejected or removed endpoint that is migrated per connect timeout.
 const EJECTED_FRACTION: f64 = 0.5;
-/// A draining endpoint's sessions leave evenly over this many drain graces: it serves until it stops, and all
-/// at once would overload the session store.
+/// The number of drain graces over which the sessions of a draining endpoint are migrated evenly. The
+/// endpoint serves until it stops, and migrating all sessions at once would overload the session store.
 const DRAIN_SPREAD: u64 = 5;
-/// Fraction of the migration budget that one migration spends.
+/// The fraction of the remaining migration budget that a migration spends.
 const MIGRATION_COST: f64 = 0.1;
-/// Fraction of the spent migration budget that returns each second.
+/// The fraction of the spent migration budget that is replenished per second.
 const BUDGET_RETURN_PER_SECOND: f64 = MIGRATION_COST / 2.0;
-/// A session of more mean session loads than this is migrated before the others, who would all have to leave in
-/// its place.
+/// A session with a higher load than this, in mean session loads, is migrated before the others. Otherwise
+/// many of them would have to be migrated in its place.
 const HEAVY_SESSION_LOAD: f64 = 4.0;
 /// The largest fraction of an endpoint's load that is migrated at once for overload.
 const MAX_RELIEF: f64 = 0.5;
-/// Where no endpoint has capacity left, sessions are migrated only if the excess is larger than this.
+/// If no endpoint has capacity left, sessions are migrated only if the excess is larger than this.
 const MIN_EXCESS_WITHOUT_ALTERNATIVE: f64 = EXCESS_PER_LATENCY_DOUBLING * 3.0;
-/// A session is new for this long: 2 s.
+/// How long a session counts as new.
 const NEW_SESSION_AGE: TickDuration = TickDuration::from_secs(2);
 
-/// What further migrations for overload promise, from 0 to 1: each spends a part, and it returns with time, so
-/// that an overload of all endpoints does not keep sessions moving.
+/// The budget of migrations for overload, from 0 to 1. Each migration spends a part of it, and it is
+/// replenished over time, so that an overload of all endpoints does not cause continuous migrations.
 #[derive(Debug)]
 pub(crate) struct MigrationBudget {
     remaining: f64,
@@ -42,12 +42,12 @@
         Self { remaining: 1.0 }
     }
 
-    /// What remains, from 0 to 1.
+    /// Returns the remaining budget, from 0 to 1.
     pub(crate) fn remaining(&self) -> f64 {
         self.remaining
     }
 
-    /// Returns a part of what was spent, for `elapsed`.
+    /// Replenishes a part of the spent budget for `elapsed`.
     pub(crate) fn replenish(&mut self, elapsed: TickDuration) {
         let spent = 1.0 - self.remaining;
         self.remaining +=
@@ -59,7 +59,7 @@
     }
 }
 
-/// How many sessions to migrate now off an endpoint that is closed or ejected.
+/// Returns the number of sessions to migrate now off a closed or ejected endpoint.
 pub(crate) fn evacuation_count(
     now: Timestamp,
     endpoint: &Endpoint,
@@ -74,52 +74,53 @@
         }
         _ => EJECTED_FRACTION,
     };
-    round_randomly(f64::from(endpoint.load.sessions()) * fraction, rng) as usize
+    stochastic_round(f64::from(endpoint.load.sessions()) * fraction, rng) as usize
 }
 
-/// The sessions that are migrated off an overloaded endpoint, and their load in mean session loads.
+/// The sessions to migrate off an overloaded endpoint, and their load in mean session loads.
 #[derive(Debug)]
 pub(crate) struct Relief {
     pub(crate) sessions: Vec<SessionHandle>,
     pub(crate) load: f64,
 }
 
-/// The choice of sessions that leave an overloaded endpoint.
+/// The inputs of the selection of sessions to migrate off an overloaded endpoint.
 pub(crate) struct ReliefSelection<'a> {
     pub(crate) settings: &'a Settings,
     pub(crate) endpoints: &'a EndpointSet,
     pub(crate) sessions: &'a SessionTable,
     pub(crate) budget: &'a mut MigrationBudget,
-    /// The limit on attempts in flight as a fraction of one, 1 at most.
+    /// The limit on attempts in flight, at most 1.
     pub(crate) concurrency: f64,
     pub(crate) rng: &'a mut ChaCha8Rng,
 }
 
 impl ReliefSelection<'_> {
-    /// Selects the sessions with the lowest score for the endpoint, the same at every proxy, up to its excess
-    /// load. Chance decides about the last one: hundreds of proxies have a session or two there, and one of each
-    /// would empty it at once. None if there is nowhere to go.
+    /// Selects the sessions with the lowest scores for the endpoint, which are the same at every proxy, up to
+    /// its excess load. The last one is selected at random: if hundreds of proxies with a session or two
+    /// there migrated one each, they would empty the endpoint at once. `None` if no endpoint has capacity
+    /// left and the excess is small.
     pub(crate) fn select(self, now: Timestamp, index: EndpointIndex) -> Option<Relief> {
         let endpoint = &self.endpoints[index];
         let alternatives = self.fraction_with_capacity(now);
         if alternatives == 0.0 && endpoint.load.excess() <= MIN_EXCESS_WITHOUT_ALTERNATIVE {
             return None;
         }
-        let new_session_chance = self.new_session_chance(endpoint, alternatives);
-        let wanted = endpoint.load.total() * endpoint.load.excess().min(MAX_RELIEF);
-        let mut passed = 0.0;
+        let min_new_probability = self.min_new_session_probability(endpoint, alternatives);
+        let target = endpoint.load.total() * endpoint.load.excess().min(MAX_RELIEF);
+        let mut considered = 0.0;
         let mut relief = Relief { sessions: Vec::new(), load: 0.0 };
-        for handle in self.by_score(index) {
+        for handle in self.sessions_by_score(index) {
             let session = &self.sessions[handle];
             let is_new = session.started_at() + NEW_SESSION_AGE > now;
-            let least_chance = if is_new { new_session_chance } else { 0.0 };
-            let chance = if session.load() > HEAVY_SESSION_LOAD && passed < wanted {
+            let min_probability = if is_new { min_new_probability } else { 0.0 };
+            let probability = if session.load() > HEAVY_SESSION_LOAD && considered < target {
                 1.0
             } else {
-                ((wanted - passed) / session.load()).clamp(least_chance, 1.0)
+                ((target - considered) / session.load()).clamp(min_probability, 1.0)
             };
-            passed += session.load();
-            if round_randomly(chance, self.rng) > 0.0 {
+            considered += session.load();
+            if stochastic_round(probability, self.rng) > 0.0 {
                 relief.load += session.load();
                 relief.sessions.push(handle);
                 self.budget.spend();
@@ -128,7 +129,7 @@
         Some(relief)
     }
 
-    /// The fraction of the ready endpoints that are neither overloaded nor failing.
+    /// Returns the fraction of the ready endpoints that are neither overloaded nor failing.
     fn fraction_with_capacity(&self, now: Timestamp) -> f64 {
         let has_capacity = |endpoint: &&Endpoint| {
             !endpoint.load.is_overloaded(now) && !endpoint.outlier.has_consecutive_failures()
@@ -137,9 +138,9 @@
         with_capacity as f64 / self.endpoints.ready().count() as f64
     }
 
-    /// The least chance that a new session leaves. Where no load is reported, it is the test of an endpoint of
-    /// which its proxy knows nothing else.
-    fn new_session_chance(&self, endpoint: &Endpoint, alternatives: f64) -> f64 {
+    /// Returns the minimum probability with which a new session is migrated. If no load is reported, a new
+    /// session is the proxy's only test of an endpoint. With load reports the minimum is 0.
+    fn min_new_session_probability(&self, endpoint: &Endpoint, alternatives: f64) -> f64 {
         if self.settings.load_reports {
             return 0.0;
         }
@@ -147,8 +148,9 @@
         self.budget.remaining() * by_sessions * self.concurrency
     }
 
-    /// The sessions established on the endpoint, heavy ones first, then by their score for it, the lowest first.
-    fn by_score(&self, index: EndpointIndex) -> Vec<SessionHandle> {
+    /// Returns the sessions established on the endpoint: heavy ones first, then by ascending score for the
+    /// endpoint.
+    fn sessions_by_score(&self, index: EndpointIndex) -> Vec<SessionHandle> {
         struct Scored {
             score: f64,
             handle: SessionHandle,
--- a/crates/larklink-balancer/src/outlier.rs
+++ b/crates/larklink-balancer/src/outlier.rs
@@ -1,5 +1,5 @@
-//! Passive failure detection: consecutive failures eject an endpoint, and a Beta posterior of its chance of
-//! success decides how often a suspect one is tried.
+//! Outlier detection: consecutive failures eject an endpoint, and samples of a Beta posterior of its success
+//! probability decide how often a suspect endpoint is tried.
 
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Beta, Distribution};
@@ -7,26 +7,26 @@
 use crate::event::AttemptOutcome;
 use crate::time::{TickDuration, Timestamp};
 
-/// Consecutive failures, with no sign of life between, that eject an endpoint.
+/// The number of consecutive failures, without a response between them, that ejects an endpoint.
 const EJECTION_FAILURES: u32 = 2;
-/// Alpha of a new endpoint: successes, the prior included.
+/// Alpha of a new endpoint: its successes, including the prior.
 const INITIAL_ALPHA: f64 = 2.0;
-/// The prior of alpha and of beta; neither falls below it.
+/// The prior of alpha and beta, and their lower bound.
 const PRIOR: f64 = 1.0;
-/// The most successes or failures that count, the prior included.
+/// The upper bound of alpha and beta, including the prior.
 const MAX_EVIDENCE: f64 = 8.0;
-/// Fraction of the successes that a failure leaves.
+/// The fraction of the successes that is kept at a failure.
 const SUCCESSES_KEPT_BY_FAILURE: f64 = 0.5;
-/// Fraction of the failures that a success drops, and the first sign of life after a failure.
+/// The fraction of the failures that is dropped at a success, and at the first response after a failure.
 const FAILURES_DROPPED: f64 = 0.5;
-/// Fraction of the failures that is dropped each second.
+/// The fraction of the failures that is dropped per second.
 const FAILURE_DECAY_PER_SECOND: f64 = 0.1;
-/// An endpoint with more failures than this, the prior included, is suspect.
+/// An endpoint whose beta, its failures including the prior, exceeds this is suspect.
 const SUSPECT_BETA: f64 = 1.5;
-/// A suspect endpoint is tried if its sampled chance of success is at least this.
+/// A suspect endpoint is tried if its sampled success probability is at least this.
 const MIN_SAMPLED_SUCCESS: f64 = 0.5;
 
-/// Where the evidence on an endpoint comes from.
+/// The source of evidence on an endpoint's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EvidenceSource {
     /// An attempt or an established connection.
@@ -34,24 +34,24 @@
     HealthCheck,
 }
 
-/// What failures and successes say of one endpoint.
+/// The failures and successes of an endpoint.
 #[derive(Clone, Debug)]
 pub(crate) struct OutlierState {
-    /// Successes, the prior included.
+    /// Successes, including the prior.
     alpha: f64,
-    /// Failures, the prior included.
+    /// Failures, including the prior.
     beta: f64,
-    /// Failures since the last sign of life, at least 1 after a late message; one more once the ejection has been
-    /// reported.
+    /// Failures since the last response, and at least 1 after a late message. Incremented once more when the
+    /// ejection is reported.
     consecutive_failures: u32,
-    /// A connection to it has failed, and it gave no sign of life since.
+    /// Whether a connection has failed since the last response.
     connection_failed: bool,
-    /// When it last gave a sign of life after a failed connection; 0 if never.
+    /// When the endpoint last responded for the first time after a failed connection; 0 if never.
     recovered_at: Timestamp,
     /// When a handshake last timed out; 0 if never.
     handshake_timed_out_at: Timestamp,
-    /// Its last sign of life; 0 if none.
-    last_alive_at: Timestamp,
+    /// When the endpoint last responded or restarted; 0 if never.
+    last_response_at: Timestamp,
 }
 
 impl OutlierState {
@@ -63,44 +63,46 @@
             connection_failed: false,
             recovered_at: Timestamp::ZERO,
             handshake_timed_out_at: Timestamp::ZERO,
-            last_alive_at: Timestamp::ZERO,
+            last_response_at: Timestamp::ZERO,
         }
     }
 
-    /// Its process has restarted: the failures of the old one are discarded. Alpha is kept, and so is all else
-    /// but the last sign of life.
+    /// Records a restart of the endpoint: discards the failures of the old process and sets the last response
+    /// to now. Alpha and all other fields are kept.
     pub(crate) fn record_restart(&mut self, now: Timestamp) {
         self.beta = PRIOR;
         self.consecutive_failures = 0;
-        self.last_alive_at = now;
+        self.last_response_at = now;
     }
 
-    /// The process answers. It may accept connections and drop them, so this is no success.
-    pub(crate) fn record_sign_of_life(&mut self, now: Timestamp) {
+    /// Records that the process responds. This does not count as a success, as it may accept connections only
+    /// to drop them.
+    pub(crate) fn record_response(&mut self, now: Timestamp) {
         self.drop_failures(if self.consecutive_failures > 0 { FAILURES_DROPPED } else { 0.0 });
         if self.connection_failed {
             self.connection_failed = false;
             self.recovered_at = now;
         }
-        self.last_alive_at = now;
+        self.last_response_at = now;
         self.consecutive_failures = 0;
     }
 
-    /// It serves a session whose attempt started at `attempt_started_at`. Sessions that were established before
-    /// a handshake timed out say nothing of new ones.
+    /// Records that the endpoint serves a session whose attempt started at `attempt_started_at`. If a
+    /// handshake has timed out since then, this counts as a response only: established sessions may be served
+    /// while new handshakes hang.
     pub(crate) fn record_success(&mut self, now: Timestamp, attempt_started_at: Timestamp) {
-        self.record_sign_of_life(now);
+        self.record_response(now);
         let evidence = if attempt_started_at >= self.handshake_timed_out_at { 1.0 } else { 0.0 };
         self.alpha = (self.alpha + evidence).min(MAX_EVIDENCE);
         self.drop_failures(evidence * FAILURES_DROPPED);
     }
 
-    /// The end of an attempt, a connection or a health check.
+    /// Records the outcome of an attempt, a connection or a health check.
     pub(crate) fn record_outcome(&mut self, now: Timestamp, outcome: AttemptOutcome, source: EvidenceSource) {
         let health_check = source == EvidenceSource::HealthCheck;
         match outcome {
             AttemptOutcome::Succeeded if !health_check => self.record_success(now, now),
-            AttemptOutcome::Succeeded | AttemptOutcome::AtCapacity => self.record_sign_of_life(now),
+            AttemptOutcome::Succeeded | AttemptOutcome::AtCapacity => self.record_response(now),
             AttemptOutcome::ConnectFailed | AttemptOutcome::Reset => {
                 self.consecutive_failures += 1;
                 self.connection_failed = true;
@@ -119,30 +121,30 @@
         }
     }
 
-    /// A message is late. It counts as one consecutive failure unless there are some already, so that the
-    /// endpoint is checked soon; one more consecutive failure ejects it. Alpha and beta do not change.
+    /// Records a late message. It counts as one consecutive failure if there are none yet: the endpoint is
+    /// then checked soon, and one more consecutive failure ejects it. Alpha and beta do not change.
     pub(crate) fn record_late_message(&mut self) {
         self.consecutive_failures = self.consecutive_failures.max(1);
     }
 
-    /// No client would be accepted in time, by how long a message takes: ejects the endpoint as one that
-    /// answers no health check.
+    /// Ejects the endpoint, as if health checks had timed out, because its message latency exceeds every
+    /// client's dial timeout.
     pub(crate) fn record_unusable_latency(&mut self, now: Timestamp) {
         self.consecutive_failures = EJECTION_FAILURES - 1;
         self.record_outcome(now, AttemptOutcome::TimedOut, EvidenceSource::HealthCheck);
     }
 
-    /// Forgets failures over `elapsed`.
+    /// Decays the failures over `elapsed`.
     pub(crate) fn decay(&mut self, elapsed: TickDuration) {
         self.drop_failures(FAILURE_DECAY_PER_SECOND * elapsed.as_f64() / TickDuration::from_secs(1).as_f64());
     }
 
-    /// Whether it has failed too often in a row to be used.
+    /// Returns whether the endpoint is ejected for its consecutive failures.
     pub(crate) fn is_ejected(&self) -> bool {
         self.consecutive_failures >= EJECTION_FAILURES
     }
 
-    /// Whether it has just been ejected; true once for each ejection.
+    /// Returns whether the endpoint has just been ejected. True once per ejection.
     pub(crate) fn take_ejection(&mut self) -> bool {
         let just_ejected = self.consecutive_failures == EJECTION_FAILURES;
         if just_ejected {
@@ -151,41 +153,43 @@
         just_ejected
     }
 
-    /// Whether it had a consecutive failure, or a late message, since its last sign of life.
+    /// Returns whether there was a consecutive failure or a late message since the last response.
     pub(crate) fn has_consecutive_failures(&self) -> bool {
         self.consecutive_failures > 0
     }
 
-    /// Consecutive failures beyond those that eject it, the report of the ejection included.
+    /// Returns the consecutive failures beyond those that eject an endpoint. The report of the ejection
+    /// counts as one.
     pub(crate) fn failures_beyond_ejection(&self) -> u32 {
         self.consecutive_failures.saturating_sub(EJECTION_FAILURES)
     }
 
-    /// Whether its failures outweigh its successes.
+    /// Returns whether failures outweigh successes.
     pub(crate) fn mostly_fails(&self) -> bool {
         self.beta > self.alpha
     }
 
-    /// `value` times the mean chance of success.
-    pub(crate) fn weigh_by_success(&self, value: f64) -> f64 {
+    /// Returns `value` times the mean success probability.
+    pub(crate) fn weight_by_success_probability(&self, value: f64) -> f64 {
         value * self.alpha / (self.alpha + self.beta)
     }
 
-    /// Whether an attempt there should be avoided: it is suspect, and a sample of its chance of success is low.
+    /// Returns whether to avoid the endpoint for an attempt: it is suspect and its sampled success
+    /// probability is low.
     pub(crate) fn sample_avoidance(&self, rng: &mut ChaCha8Rng) -> bool {
-        // Both parameters are at least the prior, so the distribution always exists.
+        // Both parameters are at least the prior, so the distribution is always valid.
         self.beta > SUSPECT_BETA
             && Beta::new(self.alpha, self.beta).is_ok_and(|beta| beta.sample(rng) < MIN_SAMPLED_SUCCESS)
     }
 
-    /// When it last gave a sign of life after a failed connection; 0 if never.
+    /// Returns when the endpoint last responded for the first time after a failed connection; 0 if never.
     pub(crate) fn recovered_at(&self) -> Timestamp {
         self.recovered_at
     }
 
-    /// Its last sign of life; 0 if none.
-    pub(crate) fn last_alive_at(&self) -> Timestamp {
-        self.last_alive_at
+    /// Returns when the endpoint last responded or restarted; 0 if never.
+    pub(crate) fn last_response_at(&self) -> Timestamp {
+        self.last_response_at
     }
 
     fn add_failure(&mut self) {
--- a/crates/larklink-balancer/src/placement.rs
+++ b/crates/larklink-balancer/src/placement.rs
@@ -1,4 +1,4 @@
-//! The walk down a ranking: on which endpoint a session's next attempt is made.
+//! The choice of the endpoint for a session's next attempt, by a walk down the ranking of its bucket.
 
 use rand::{RngExt, seq::SliceRandom};
 use rand_chacha::ChaCha8Rng;
@@ -14,42 +14,43 @@
 use crate::slow_start::SlowStartRequest;
 use crate::time::Timestamp;
 
-/// Endpoints at capacity that a session passes before the walk ends. The sessions of a group share work, which
-/// each endpoint that has any of them does again, so overload must not scatter a group.
+/// The number of endpoints at capacity that a session passes before the walk ends. Each endpoint with
+/// sessions of a group repeats the work that they share, so overload must not scatter a group.
 const MAX_ENDPOINTS_PASSED: usize = 3;
-/// Load-based spillover: an endpoint is passed if its load is this many times the mean for its weight,
+/// Load-based spillover: an endpoint is passed if its load reaches this multiple of the mean load for its
+/// weight plus `SPILLOVER_ALLOWANCE`.
 const SPILLOVER_FACTOR: f64 = 1.3;
-/// and this many mean session loads on top.
+/// The constant part of the spillover threshold, in mean session loads.
 const SPILLOVER_ALLOWANCE: f64 = 1.0;
-/// The share of reconnecting sessions that pass an endpoint without sessions of this proxy, while the whole
-/// migration budget remains.
+/// The fraction of reconnecting sessions that pass an endpoint without sessions of this proxy. Scaled by the
+/// remaining migration budget.
 const RECONNECTING_SPILLOVER: f64 = 0.5;
-/// If every endpoint is loaded, the less loaded of this many first ones is taken.
+/// If no endpoint is suitable, the least loaded of this many first loaded ones is taken.
 const FALLBACK_CHOICES: usize = 2;
 
-/// What the walk found on one endpoint.
+/// The assessment of an endpoint for a session.
 enum Candidate {
-    /// The session may not run there, or the endpoint's slow start does not admit it.
+    /// The session may not run on the endpoint, or its slow start does not admit the session.
     Excluded,
     /// The endpoint is at its load limit.
     Full,
-    /// It failed lately, or the session's last attempt was there.
+    /// The endpoint failed recently, or the session's latest attempt was there.
     Suspect,
-    /// It is overloaded, or has clearly more load than the mean.
+    /// The endpoint is overloaded or above the spillover threshold.
     Loaded,
     Suitable,
 }
 
-/// How far the walk has come.
+/// The state of a walk down the ranking.
 #[derive(Default)]
 struct Walk {
-    /// Endpoints that are up but at capacity.
+    /// The number of full and loaded endpoints passed.
     passed: usize,
     loaded: Vec<EndpointIndex>,
     first_suspect: Option<EndpointIndex>,
 }
 
-/// All that the choice of an endpoint depends on.
+/// The inputs of the choice of an endpoint.
 pub(crate) struct Placement<'a> {
     pub(crate) settings: &'a Settings,
     pub(crate) endpoints: &'a mut EndpointSet,
@@ -61,10 +62,10 @@
 }
 
 impl Placement<'_> {
-    /// The endpoint for the session's next attempt; none if no endpoint admits it.
+    /// Returns the endpoint for the session's next attempt, or `None` if no endpoint admits it.
     pub(crate) fn choose(mut self, now: Timestamp, session: &Session) -> Option<EndpointIndex> {
         if session.resumes_established()
-            && let Some(owner) = self.earlier_owner(now, session)
+            && let Some(owner) = self.previous_owner(now, session)
         {
             return Some(owner);
         }
@@ -91,9 +92,9 @@
         self.fall_back(walk)
     }
 
-    /// The endpoint that holds a connection established through another proxy: the first of its bucket's ranking
-    /// over the endpoints that may hold it. None if that one is ejected.
-    fn earlier_owner(&self, now: Timestamp, session: &Session) -> Option<EndpointIndex> {
+    /// Returns the endpoint that holds a connection established through another proxy: the first endpoint of
+    /// the bucket's ranking that may hold it. `None` if that endpoint is ejected.
+    fn previous_owner(&self, now: Timestamp, session: &Session) -> Option<EndpointIndex> {
         let mut ranking = bucket_table::rank(self.endpoints, session.bucket(), |endpoint| {
             endpoint.may_hold_established(now, self.settings)
         });
@@ -101,8 +102,9 @@
         ranking.first().copied().filter(|&owner| !self.endpoints[owner].outlier.is_ejected())
     }
 
-    /// Over how many of the first endpoints a group spreads: those whose weight together is the group's share of
-    /// all sessions. Where no load is reported, the session starts at one of them at random, by weight.
+    /// Returns over how many of the first endpoints a group spreads: those whose total weight is the group's
+    /// share of all sessions. If no load is reported, rotates the ranking to start at one of them, drawn at
+    /// random by weight.
     fn spread_group(&mut self, bucket: u64, ready: ReadyTotals, ranking: &mut [EndpointIndex]) -> usize {
         let group_share = self.population.share_by_open_sessions(bucket);
         let breadth = self.count_within_weight(ranking, group_share * ready.weight);
@@ -115,7 +117,7 @@
         breadth
     }
 
-    /// How many first endpoints of a ranking have no more than `weight` together.
+    /// Returns how many of the first endpoints of a ranking have at most `weight` in total.
     fn count_within_weight(&self, ranking: &[EndpointIndex], weight: f64) -> usize {
         let mut remaining = weight;
         let fits = |&&endpoint: &&EndpointIndex| {
@@ -153,9 +155,9 @@
         }
     }
 
-    /// Whether the endpoint is overloaded or has clearly more load than the mean. A client that reconnects may
-    /// belong to a mass reconnect that this proxy has not seen: where no load is reported, some of them pass an
-    /// endpoint of which it knows nothing.
+    /// Returns whether the endpoint is overloaded or above the spillover threshold. A reconnecting client may
+    /// be part of a mass reconnect that this proxy cannot see, so if no load is reported, some of these
+    /// clients pass an endpoint without sessions of this proxy.
     fn is_loaded(
         &mut self,
         now: Timestamp,
@@ -164,18 +166,19 @@
         ready: ReadyTotals,
     ) -> bool {
         let load = &self.endpoints[index].load;
-        let most = SPILLOVER_FACTOR * ready.load / ready.weight * self.weight(index) + SPILLOVER_ALLOWANCE;
+        let spillover_threshold =
+            SPILLOVER_FACTOR * ready.load / ready.weight * self.weight(index) + SPILLOVER_ALLOWANCE;
         let may_be_mass_reconnect = session.request().reconnecting
             && session.attempts() == 0
             && load.sessions() == 0
             && !self.settings.load_reports;
         load.is_overloaded(now)
-            || load.total() >= most
+            || load.total() >= spillover_threshold
             || may_be_mass_reconnect
                 && self.rng.random_bool(RECONNECTING_SPILLOVER * self.migration_budget.remaining())
     }
 
-    /// Whether the endpoint's slow start admits the session; always once it is over.
+    /// Returns whether the endpoint's slow start admits the session. Always true once it is over.
     fn slow_start_admits(
         &mut self,
         now: Timestamp,
@@ -190,7 +193,7 @@
             return true;
         }
         let has_group = session.request().group_key != 0;
-        let group_share = self.population.least_share_by_received_sessions(session.bucket());
+        let group_share = self.population.min_share_by_received_sessions(session.bucket());
         let request = SlowStartRequest {
             endpoint_age,
             endpoint_weight: self.weight(index),
@@ -199,14 +202,15 @@
             reported_capacity: self.reported_capacity.sessions_per_weight(self.settings.proxy_count),
             group_share: if has_group { group_share } else { 0.0 },
             endpoints_passed: passed,
-            turn: session.slow_start_turn(),
-            turn_granted: session.has_awaited(index),
+            arrival: session.slow_start_arrival(),
+            already_admitted: session.has_awaited(index),
         };
         self.endpoints[index].slow_start.admits(now, self.settings, &request)
     }
 
-    /// No endpoint is suitable: the less loaded of the first two for their weight, ties by chance. If none is
-    /// loaded or full either, the first suspect one.
+    /// Returns the endpoint to use if none is suitable: of the first two loaded ones, the one with less load
+    /// for its weight, with ties broken at random. If none is loaded or full either, returns the first
+    /// suspect one.
     fn fall_back(&mut self, mut walk: Walk) -> Option<EndpointIndex> {
         walk.loaded.truncate(FALLBACK_CHOICES);
         walk.loaded.shuffle(self.rng);
--- a/crates/larklink-balancer/src/retry_budget.rs
+++ b/crates/larklink-balancer/src/retry_budget.rs
@@ -1,25 +1,25 @@
-//! The retry budget: how many retries a proxy may send within any window, and how they are spaced.
+//! The retry budget, which limits the retries of a proxy in a sliding window and spaces them.
 
 use std::collections::VecDeque;
 
 use crate::settings::{RetryBudgetSettings, Settings};
 use crate::time::{TickDuration, Timestamp};
 
-/// How much of the spacing between two retries the most valuable retry is spared.
+/// The fraction by which the spacing between two retries is reduced for a retry of the highest value.
 const MAX_SPACING_DISCOUNT: f64 = 0.5;
-/// The caller's times may be off by this much: a retry that may still lie in the window counts, a session that
-/// may have left it does not.
+/// The tolerance for inaccuracy of the caller's times. A retry that may still be in the window counts; a
+/// session that may have left it does not.
 const TIME_INACCURACY: TickDuration = TickDuration::from_ticks(1);
 
-/// Counts sessions and retries in a sliding window; without a configured budget, everything is allowed.
+/// Counts sessions and retries in a sliding window. Without a configured budget, all retries are allowed.
 #[derive(Debug)]
 pub(crate) struct RetryBudget {
     settings: Option<RetryBudgetSettings>,
-    /// When the sessions of the window were received, oldest first.
+    /// When the sessions in the window were received, oldest first.
     sessions_received_at: VecDeque<Timestamp>,
-    /// When the retries of the window were sent, oldest first.
+    /// When the retries in the window were sent, oldest first.
     retries_sent_at: VecDeque<Timestamp>,
-    /// Until then the process before this one may spend the minimum number of retries.
+    /// Until this time the predecessor may use the minimum number of retries.
     predecessor_spends_until: Timestamp,
 }
 
@@ -33,10 +33,10 @@
         }
     }
 
-    /// Another process of this proxy received its sessions until now and may still send retries for them: the
-    /// minimum number of retries counts as spent until the last of those retries has left the window.
+    /// Records that this process takes over from another one, which may still send retries for its sessions.
+    /// The minimum number of retries counts as used until the last of those retries has left the window.
     ///
-    /// `max_dial_timeout` is the longest time for which a client waits, `TickDuration::MAX` if unknown.
+    /// `max_dial_timeout` is the longest time that a client waits; `TickDuration::MAX` if unknown.
     pub(crate) fn take_over(&mut self, now: Timestamp, max_dial_timeout: TickDuration) {
         let Some(settings) = self.settings else { return };
         let last_retry_within =
@@ -51,10 +51,11 @@
         self.drop_expired(now, settings.window);
     }
 
-    /// Takes one retry out of the budget; false if none may be sent now.
+    /// Acquires one retry from the budget. Returns false if none may be sent now.
     ///
-    /// Retries are spaced over the window so that a storm of failures leaves some for its end. `value`, from 0
-    /// to 1, says how much this retry is worth: the more, the sooner it may follow the one before.
+    /// Retries are spaced over the window so that a burst of failures does not use up the budget at once.
+    /// `value` is the value of the retry from 0 to 1: the higher it is, the sooner the retry may follow the
+    /// previous one.
     pub(crate) fn try_acquire(&mut self, now: Timestamp, value: f64) -> bool {
         let Some(settings) = self.settings else { return true };
         self.drop_expired(now, settings.window);
@@ -70,7 +71,8 @@
         acquired
     }
 
-    /// Gives back a retry that was acquired at `acquired_at` but never sent. Later ones still count.
+    /// Returns to the budget a retry that was acquired at `acquired_at` but never sent. Later retries still
+    /// count.
     pub(crate) fn refund(&mut self, acquired_at: Timestamp) {
         if let Some(position) = self.retries_sent_at.iter().rposition(|sent_at| *sent_at == acquired_at) {
             self.retries_sent_at.remove(position);
--- a/crates/larklink-balancer/src/retry_policy.rs
+++ b/crates/larklink-balancer/src/retry_policy.rs
@@ -1,4 +1,5 @@
-//! Whether a session may run again, where and until when; and its final answer.
+//! The rules for retries: whether a session may run again, where and until when, and what its final decision
+//! is.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -10,18 +11,19 @@
 use crate::settings::{DeduplicationGroup, Idempotency, Listener, Settings};
 use crate::time::{TickDuration, Timestamp};
 
-/// A retry needs the connect timeout divided by this, or more, before its client gives up.
+/// A retry needs more time left than the connect timeout divided by this divisor.
 const MIN_RETRY_TIME_DIVISOR: u64 = 4;
-/// The shortest Retry-After, as a fraction of the longest one.
+/// The shortest Retry-After, as a fraction of the longest.
 const MIN_RETRY_AFTER: f64 = 0.25;
-/// The same while less than one attempt may be in flight: a client that retries sooner is rejected again.
+/// The shortest Retry-After, as a fraction of the longest, while the concurrency limit is below one attempt.
+/// A client that retries sooner is rejected again.
 const MIN_RETRY_AFTER_WHEN_LIMITED: f64 = 0.75;
 
 fn listener_of<'a>(session: &Session, settings: &'a Settings) -> &'a Listener {
     &settings.listeners[session.request().listener]
 }
 
-/// Whether the session has time and attempts left for an attempt.
+/// Returns whether the session has both time and attempts left.
 pub(crate) fn has_attempt_left(now: Timestamp, session: &Session, settings: &Settings) -> bool {
     let time_left = session.time_left(now);
     let is_first = session.attempts() == 0;
@@ -29,8 +31,8 @@
     time_left > TickDuration::ZERO && enough_time && session.attempts() < settings.max_attempts
 }
 
-/// Whether the session may run on an endpoint: once it may have run, only endpoints that drop its repeats, for
-/// as long as they know its key.
+/// Returns whether the session may run on the endpoint. Once it may have run, it may only run on endpoints
+/// that drop its duplicates, for as long as they remember its idempotency key.
 pub(crate) fn may_run_on(
     now: Timestamp,
     session: &Session,
@@ -55,8 +57,9 @@
     }
 }
 
-/// The latest time at which an attempt's first byte may be sent: within the grace of the endpoint's drain, and
-/// while a session that may have run is still known there. Connecting takes time, in which either may end.
+/// Returns the latest time at which an attempt's first byte may be sent: within the endpoint's drain grace
+/// and, for a session that may have run, while its idempotency key is remembered. Either may end while the
+/// attempt connects.
 pub(crate) fn send_deadline(session: &Session, endpoint: &Endpoint, settings: &Settings) -> Timestamp {
     let accepted_until = endpoint.accepts_until(settings);
     match (listener_of(session, settings).idempotency, session.possible_run()) {
@@ -65,8 +68,8 @@
     }
 }
 
-/// The send deadline of an attempt in flight once its endpoint has closed. A session that resumes an established
-/// connection keeps the grace; a new one goes elsewhere if it has not been sent.
+/// Returns the send deadline of an attempt in flight once its endpoint has closed. A session that resumes an
+/// established connection keeps the drain grace. A new one that has not been sent yet goes elsewhere.
 pub(crate) fn send_deadline_once_closed(
     now: Timestamp,
     session: &Session,
@@ -77,9 +80,9 @@
     if resumes_established { send_deadline(session, endpoint, settings) } else { now }
 }
 
-/// How long an attempt may take: all the time that its client has left, as the session store still processes
-/// the handshake of an attempt that timed out. Only an endpoint for which `has_consecutive_failures` is true
-/// gets no more than the handshake objective, which leaves time for another.
+/// Returns how long an attempt may take: all the time that its client has left, as the session store
+/// processes the handshake even if the attempt times out. An endpoint with consecutive failures gets at most
+/// the handshake objective, which leaves time for an attempt at another endpoint.
 pub(crate) fn attempt_timeout(
     now: Timestamp,
     session: &Session,
@@ -94,8 +97,9 @@
     }
 }
 
-/// What a retry of the session on an endpoint is worth, from 0 to 1: its priority among the listeners, times the
-/// fraction of its time that is left, times the endpoint's chance of success.
+/// Returns the value of a retry of the session on the endpoint, from 0 to 1: its priority relative to the
+/// other listeners, times the fraction of its dial timeout that is left, times the endpoint's success
+/// probability.
 pub(crate) fn retry_value(
     now: Timestamp,
     session: &Session,
@@ -107,11 +111,11 @@
     let dial_timeout = (session.request().dial_timeout.max(TickDuration::from_ticks(1))).as_f64();
     let time_left = session.time_left(now).as_f64() / dial_timeout;
     let priority = listener_of(session, settings).priority_weight / highest;
-    endpoint.outlier.weigh_by_success(priority * time_left)
+    endpoint.outlier.weight_by_success_probability(priority * time_left)
 }
 
-/// The final answer to a session that gets no attempt: rejected if it is true that a retry is harmless, else
-/// failed.
+/// Returns the final decision on a session that gets no further attempt: reject it if a retry by its client
+/// is harmless, fail it otherwise.
 pub(crate) fn final_decision(
     now: Timestamp,
     session: &Session,
@@ -130,8 +134,8 @@
     }
 }
 
-/// Whether a retry by the client, up to the longest Retry-After from now and at any endpoint, has no second
-/// effect.
+/// Returns whether a retry by the client, on any endpoint and up to the longest Retry-After from now, has no
+/// second effect.
 fn client_may_retry(now: Timestamp, session: &Session, settings: &Settings) -> bool {
     match (listener_of(session, settings).idempotency, session.possible_run()) {
         (_, None) | (Idempotency::Idempotent, Some(_)) => true,
--- a/crates/larklink-balancer/src/session.rs
+++ b/crates/larklink-balancer/src/session.rs
@@ -1,4 +1,4 @@
-//! Sessions and their state machine.
+//! The sessions of a proxy and their state machine.
 
 use std::ops::{Index, IndexMut};
 
@@ -6,59 +6,59 @@
 
 use crate::event::{AttemptOutcome, SessionRequest};
 use crate::ids::{EndpointIndex, SessionHandle};
-use crate::slow_start::SlowStartTurn;
+use crate::slow_start::SlowStartArrival;
 use crate::time::{TickDuration, Timestamp};
 
-/// Health checks that one session may wait for.
+/// The maximum number of health checks that a session waits for.
 const MAX_HEALTH_CHECKS: u32 = 3;
 
 /// The state of a session.
 ///
-/// - `Queued` -> `Connecting` -> `Established`: an attempt without a health check before it.
-/// - `Queued` -> `AwaitingHealthCheck` -> `Connecting`: the check comes first. After it the endpoint is chosen
-///   again, so another check may follow, up to `MAX_HEALTH_CHECKS`.
+/// - `Queued` -> `Connecting` -> `Established`: the attempt needs no health check first.
+/// - `Queued` -> `AwaitingHealthCheck` -> `Connecting`: a health check comes first. The endpoint is chosen
+///   again after it, so further checks may follow, up to `MAX_HEALTH_CHECKS`.
 /// - `Connecting` -> `Queued`: the attempt ended without success, and the session is not over.
 /// - `Established` -> `Queued`: the connection ended, and the caller reports that the session is not over
 ///   (`session_over` is false in [`Balancer::attempt_ended`](crate::Balancer::attempt_ended)).
 ///
-/// A session that is over, or has its final answer, is removed from the table in any state.
+/// A session that is over or has got its final decision is removed from the table, whatever its state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SessionState {
-    /// It has no endpoint; a decision is due.
+    /// The session has no endpoint and needs a decision.
     Queued,
-    /// Its endpoint is being health-checked before its first attempt.
+    /// The endpoint is being health-checked before the first attempt.
     AwaitingHealthCheck,
     /// An attempt is in flight.
     Connecting,
-    /// It is established on its endpoint.
+    /// The session is established on its endpoint.
     Established,
 }
 
-/// The first attempt that may have run.
+/// The first attempt of a session that may have run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PossibleRun {
     pub(crate) endpoint: EndpointIndex,
     pub(crate) started_at: Timestamp,
 }
 
-/// One session, from its request until its end.
+/// A session, from its request until it is over.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Session {
     request: SessionRequest,
     bucket: u64,
-    /// When its client gives up.
+    /// When the client gives up.
     deadline: Timestamp,
     state: SessionState,
-    /// The endpoint of its latest attempt or health check.
+    /// The endpoint of the latest attempt or health check.
     endpoint: EndpointIndex,
-    /// When its latest attempt or health check started; first when it was received.
+    /// When the latest attempt or health check started; before the first one, when the session was received.
     started_at: Timestamp,
     attempts: u32,
-    /// Health checks that it has waited for.
+    /// The number of health checks that the session has waited for.
     health_checks: u32,
-    /// In mean session loads: as reported, else its listener's mean.
+    /// The reported load, or the mean of the listener if none is reported, in mean session loads.
     load: f64,
-    slow_start_turn: SlowStartTurn,
+    slow_start_arrival: SlowStartArrival,
     possible_run: Option<PossibleRun>,
 }
 
@@ -74,24 +74,24 @@
             attempts: 0,
             health_checks: 0,
             load,
-            slow_start_turn: SlowStartTurn::default(),
+            slow_start_arrival: SlowStartArrival::default(),
             possible_run: None,
         }
     }
 
-    /// Gives it its turn at endpoints in slow start.
-    pub(crate) fn set_slow_start_turn(&mut self, turn: SlowStartTurn) {
-        self.slow_start_turn = turn;
+    /// Sets the arrival data that slow start quotas depend on.
+    pub(crate) fn set_slow_start_arrival(&mut self, arrival: SlowStartArrival) {
+        self.slow_start_arrival = arrival;
     }
 
-    /// It was established by another process of this proxy.
+    /// Records that another process of this proxy established the session.
     pub(crate) fn adopt(&mut self, endpoint: EndpointIndex) {
         self.state = SessionState::Established;
         self.endpoint = endpoint;
         self.attempts = 1;
     }
 
-    /// It waits for a health check of the endpoint.
+    /// Starts to wait for a health check of the endpoint.
     pub(crate) fn await_health_check(&mut self, now: Timestamp, endpoint: EndpointIndex) {
         self.state = SessionState::AwaitingHealthCheck;
         self.endpoint = endpoint;
@@ -99,12 +99,12 @@
         self.health_checks += 1;
     }
 
-    /// It waits for no further health check.
-    pub(crate) fn give_up_health_checks(&mut self) {
+    /// Prevents the session from waiting for further health checks.
+    pub(crate) fn skip_health_checks(&mut self) {
         self.health_checks = MAX_HEALTH_CHECKS;
     }
 
-    /// An attempt at the endpoint starts.
+    /// Starts an attempt at the endpoint.
     pub(crate) fn start_attempt(&mut self, now: Timestamp, endpoint: EndpointIndex) {
         self.state = SessionState::Connecting;
         self.endpoint = endpoint;
@@ -112,12 +112,12 @@
         self.attempts += 1;
     }
 
-    /// The attempt in flight has succeeded.
+    /// Records that the attempt in flight has succeeded.
     pub(crate) fn establish(&mut self) {
         self.state = SessionState::Established;
     }
 
-    /// Its attempt or its connection has ended.
+    /// Records that the attempt or the connection has ended.
     pub(crate) fn end_attempt(&mut self, outcome: AttemptOutcome) {
         self.state = SessionState::Queued;
         if !outcome.never_ran() {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Sets its load, in mean session loads, and returns the change.
+    /// Sets the load, in mean session loads, and returns the change.
     pub(crate) fn set_load(&mut self, load: f64) -> f64 {
         let change = load - self.load;
         self.load = load;
@@ -141,12 +141,12 @@
         self.bucket
     }
 
-    /// When its client gives up.
+    /// Returns when the client gives up.
     pub(crate) fn deadline(&self) -> Timestamp {
         self.deadline
     }
 
-    /// How long its client still waits.
+    /// Returns how long the client still waits.
     pub(crate) fn time_left(&self, now: Timestamp) -> TickDuration {
         self.deadline.saturating_since(now)
     }
@@ -155,12 +155,12 @@
         self.state
     }
 
-    /// The endpoint of its latest attempt or health check.
+    /// Returns the endpoint of the latest attempt or health check.
     pub(crate) fn endpoint(&self) -> EndpointIndex {
         self.endpoint
     }
 
-    /// When its latest attempt or health check started.
+    /// Returns when the latest attempt or health check started.
     pub(crate) fn started_at(&self) -> Timestamp {
         self.started_at
     }
@@ -169,16 +169,16 @@
         self.attempts
     }
 
-    /// In mean session loads.
+    /// Returns the load in mean session loads.
     pub(crate) fn load(&self) -> f64 {
         self.load
     }
 
-    pub(crate) fn slow_start_turn(&self) -> SlowStartTurn {
-        self.slow_start_turn
+    pub(crate) fn slow_start_arrival(&self) -> SlowStartArrival {
+        self.slow_start_arrival
     }
 
-    /// The first attempt that may have run; none if it certainly had no effect so far.
+    /// Returns the first attempt that may have run, or `None` if the session certainly had no effect so far.
     pub(crate) fn possible_run(&self) -> Option<PossibleRun> {
         self.possible_run
     }
@@ -187,24 +187,24 @@
         self.health_checks < MAX_HEALTH_CHECKS
     }
 
-    /// Whether it has waited for a health check of the endpoint and made no attempt yet.
+    /// Returns whether the session has waited for a health check of the endpoint and made no attempt yet.
     pub(crate) fn has_awaited(&self, endpoint: EndpointIndex) -> bool {
         self.health_checks > 0 && self.attempts == 0 && self.endpoint == endpoint
     }
 
-    /// Whether its next attempt resumes a connection that was established through another proxy. That asks
-    /// nothing of the session store.
+    /// Returns whether the next attempt resumes a connection that was established through another proxy. Such
+    /// an attempt does not load the session store.
     pub(crate) fn resumes_established(&self) -> bool {
         self.request.established && self.attempts == 0
     }
 
-    /// Whether its latest attempt asked the session store for a handshake.
+    /// Returns whether the latest attempt needed a handshake from the session store.
     pub(crate) fn used_session_store(&self) -> bool {
         !self.request.established || self.attempts > 1
     }
 }
 
-/// All sessions, by their handle.
+/// All sessions, by handle.
 #[derive(Debug, Default)]
 pub(crate) struct SessionTable {
     sessions: Slab<Session>,
@@ -227,12 +227,12 @@
         self.sessions.iter().map(|(number, session)| (SessionHandle(number), session))
     }
 
-    /// The sessions that have an attempt in flight.
+    /// Returns the sessions that have an attempt in flight.
     pub(crate) fn connecting(&self) -> impl Iterator<Item = (SessionHandle, &Session)> {
         self.iter().filter(|(_, session)| session.state == SessionState::Connecting)
     }
 
-    /// The sessions that are established on an endpoint.
+    /// Returns the sessions that are established on the endpoint.
     pub(crate) fn established_on(
         &self,
         endpoint: EndpointIndex,
@@ -243,7 +243,8 @@
     }
 }
 
-// A handle that is used as an index was inserted or found in the same call and not removed since.
+// Indexing does not panic: a handle used as an index was inserted or found in the same call and not removed
+// since.
 impl Index<SessionHandle> for SessionTable {
     type Output = Session;
 
--- a/crates/larklink-balancer/src/settings.rs
+++ b/crates/larklink-balancer/src/settings.rs
@@ -1,27 +1,27 @@
-//! The settings of a balancer: plain values, fixed for its lifetime.
+//! The settings of a balancer, fixed for its lifetime.
 
 use crate::time::TickDuration;
 
-/// Whether a session of a listener may run more than once.
+/// Whether the sessions of a listener may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Running it again has no further effect.
+    /// Running a session again has no further effect.
     Idempotent,
-    /// It carries an idempotency key: the endpoints of one group drop a repeat.
+    /// A session carries an idempotency key, by which the endpoints of one group drop duplicates.
     WithKey {
-        /// Which endpoints know the key.
+        /// The endpoints that share the key.
         group: DeduplicationGroup,
-        /// How long they know it, from the first attempt that may have run.
+        /// How long they remember the key, from the first attempt that may have run.
         window: TickDuration,
     },
-    /// It must never run twice.
+    /// A session must never run twice.
     OnceOnly,
 }
 
-/// The endpoints that share the idempotency keys of a session.
+/// The endpoints that share the idempotency key of a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationGroup {
-    /// Every endpoint.
+    /// All endpoints.
     All,
     /// The endpoints in the zone of the first attempt that may have run.
     Zone,
@@ -29,83 +29,85 @@
     Cell,
 }
 
-/// What the sessions of one listener have in common.
+/// The settings of one listener, common to its sessions.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Listener {
-    /// Whether its sessions may be retried once they may have run.
+    /// Whether a session that may have run may be retried.
     pub idempotency: Idempotency,
     /// The latency objective of a handshake.
     pub handshake_objective: TickDuration,
-    /// What a second of one session is worth relative to other listeners; 0 where not configured.
+    /// The value of a second of one session relative to other listeners; 0 if not configured.
     pub priority_weight: f64,
 }
 
-/// A limit on retries: within any `window`, a proxy sends at most `min_retries` plus `retry_ratio` times the sessions
-/// it received in that window.
+/// A limit on retries. Within any `window`, a proxy sends at most `min_retries` plus `retry_ratio` times the
+/// number of sessions that it received in that window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetSettings {
-    /// Retries that are allowed in a window however few sessions come.
+    /// The number of retries allowed in a window regardless of the number of sessions.
     pub min_retries: f64,
-    /// Further retries for each session received in the window.
+    /// The number of additional retries per session received in the window.
     pub retry_ratio: f64,
     /// The length of the sliding window.
     pub window: TickDuration,
 }
 
-/// How the availability of calm periods counts: by its number of nines.
+/// How the availability of periods without incidents is scored, by its number of nines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AvailabilityNines {
-    /// Its weight in the result, from 0 up.
+    /// The weight of these periods in the score; 0 or more.
     pub weight: f64,
     /// The number of nines that counts as full availability.
     pub max_nines: f64,
 }
 
-/// The settings of one balancer. The default configures and allows nothing.
+/// The settings of a balancer. The default configures no listeners and allows no attempts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// The listeners, in the order in which sessions name them.
+    /// The listeners. Sessions refer to them by index.
     pub listeners: Vec<Listener>,
-    /// How many proxies share the endpoints; 0 if unknown.
+    /// The number of proxies that share the endpoints; 0 if unknown.
     pub proxy_count: u32,
-    /// Whether the weights in the endpoint list compare capacities and are constant.
+    /// Whether the weights in the endpoint list are constant and express relative capacity.
     pub weighted: bool,
-    /// Whether the endpoint list has to be polled; otherwise it is pushed.
+    /// Whether the endpoint list is polled rather than pushed.
     pub polled_discovery: bool,
-    /// How long after a failed poll the proxy counts as notified of changes that it did not receive.
+    /// The time after a failed poll from which the proxy is held to have been notified of changes that it did
+    /// not receive.
     pub discovery_deadline: TickDuration,
     /// How long after the notification of a drain new sessions may still be sent to the endpoint.
     pub drain_grace: TickDuration,
-    /// Whether only a drain closes an endpoint to new sessions: one that is merely removed may be up.
+    /// Whether only a drain closes an endpoint. An endpoint that is removed without a drain may still be up.
     pub removal_not_binding: bool,
-    /// The share of its capacity that an endpoint has when it starts, from 0 to 1.
+    /// The fraction of its capacity that an endpoint has when it starts, from 0 to 1.
     pub initial_capacity: f64,
-    /// How long the slow start of an endpoint takes.
+    /// The duration of an endpoint's slow start.
     pub slow_start_duration: TickDuration,
-    /// How many times its present capacity an endpoint in slow start may get before it is overloaded.
+    /// The multiple of its current capacity beyond which an endpoint in slow start is overloaded.
     pub overload_multiple: f64,
     /// The window over which the sessions sent to an endpoint in slow start are counted.
     pub overload_window: TickDuration,
-    /// The limit on retries; none if they are not limited.
+    /// The limit on retries, or `None` if they are unlimited.
     pub retry_budget: Option<RetryBudgetSettings>,
-    /// The weight of calm periods; it decides nothing so far.
+    /// The scoring of periods without incidents. No decision depends on it yet.
     pub availability_nines: Option<AvailabilityNines>,
-    /// How long a connection to an endpoint may take.
+    /// The time limit for a connection to an endpoint.
     pub connect_timeout: TickDuration,
-    /// The most attempts of one session, the first included.
+    /// The maximum number of attempts per session, including the first.
     pub max_attempts: u32,
-    /// The longest Retry-After that a rejection may state.
+    /// The longest Retry-After that a rejection may carry.
     pub max_retry_after: TickDuration,
-    /// Whether a rejection may state a Retry-After.
+    /// Whether a rejection may carry a Retry-After.
     pub retry_after_allowed: bool,
     /// Whether endpoints may be health-checked.
     pub health_checks: bool,
-    /// Whether the answer to a health check reports the endpoint's load over its capacity.
+    /// Whether the answer to a health check reports the endpoint's utilization, its load over its capacity.
     pub load_reports: bool,
-    /// The zone of this proxy; none if there is only one, or if crossing zones is cheaper than a migration.
+    /// The zone of this proxy. `None` if there is only one zone, or if crossing zones is cheaper than a
+    /// migration.
     pub local_zone: Option<u16>,
-    /// The longest time for which any client waits to be accepted; `TickDuration::MAX` if unknown.
+    /// The longest dial timeout of any client; [`TickDuration::MAX`] if unknown.
     pub max_dial_timeout: TickDuration,
-    /// The shortest latency objective of a message over all listeners.
+    /// The shortest message latency objective of all listeners.
     pub message_objective: TickDuration,
 }
--- a/crates/larklink-balancer/src/time.rs
+++ b/crates/larklink-balancer/src/time.rs
@@ -1,82 +1,83 @@
-//! Times in ticks of a tenth of a millisecond.
+//! Timestamps and durations in ticks of a tenth of a millisecond.
 
 use std::ops::{Add, AddAssign, Div, Mul, Sub};
 
-/// A point in time, in ticks since an origin that the caller chooses. The zero timestamp means "long ago".
+/// A point in time, in ticks since an origin that the caller chooses. [`Timestamp::ZERO`] stands for any time
+/// long past.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Timestamp(u64);
 
-/// A length of time, in ticks.
+/// A duration in ticks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TickDuration(u64);
 
-/// Ticks in a millisecond.
+/// The number of ticks in a millisecond.
 const TICKS_PER_MILLISECOND: u64 = 10;
 
 impl Timestamp {
     /// The origin.
     pub const ZERO: Self = Self(0);
-    /// Later than any other time: never.
+    /// The latest timestamp; stands for "never".
     pub const MAX: Self = Self(u64::MAX);
 
-    /// The time that lies so many ticks after the origin.
+    /// Creates a timestamp from the number of ticks since the origin.
     pub const fn from_ticks(ticks: u64) -> Self {
         Self(ticks)
     }
 
-    /// Ticks since the origin.
+    /// Returns the number of ticks since the origin.
     pub const fn as_ticks(self) -> u64 {
         self.0
     }
 
-    /// The time since an earlier one; zero if that one is later.
+    /// Returns the duration since `earlier`, or zero if `earlier` is later.
     pub const fn saturating_since(self, earlier: Self) -> TickDuration {
         TickDuration(self.0.saturating_sub(earlier.0))
     }
 }
 
 impl TickDuration {
-    /// No time.
+    /// The duration of zero ticks.
     pub const ZERO: Self = Self(0);
-    /// Longer than any other duration: for ever.
+    /// The longest duration; stands for "unlimited" or "unknown".
     pub const MAX: Self = Self(u64::MAX);
 
-    /// A duration of so many ticks.
+    /// Creates a duration from a number of ticks.
     pub const fn from_ticks(ticks: u64) -> Self {
         Self(ticks)
     }
 
-    /// A duration in milliseconds; [`TickDuration::MAX`] if it is longer than that.
+    /// Creates a duration from milliseconds, saturating at [`TickDuration::MAX`].
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis.saturating_mul(TICKS_PER_MILLISECOND))
     }
 
-    /// A duration in seconds; [`TickDuration::MAX`] if it is longer than that.
+    /// Creates a duration from seconds, saturating at [`TickDuration::MAX`].
     pub const fn from_secs(seconds: u64) -> Self {
         Self::from_millis(seconds.saturating_mul(1_000))
     }
 
-    /// A duration in whole milliseconds, rounded up.
+    /// Returns the duration in whole milliseconds, rounded up.
     pub const fn as_millis_rounded_up(self) -> u64 {
         self.0.div_ceil(TICKS_PER_MILLISECOND)
     }
 
-    /// What is left of it after `other`; zero if that is longer.
+    /// Subtracts `other`, saturating at zero.
     pub const fn saturating_sub(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
     }
 
-    /// How many ticks it has.
+    /// Returns the number of ticks.
     pub const fn as_ticks(self) -> u64 {
         self.0
     }
 
-    /// A duration of so many ticks, rounded down; zero for negative numbers and for none.
+    /// Creates a duration from a number of ticks, rounded down. Negative numbers and NaN give zero.
     pub const fn from_f64(ticks: f64) -> Self {
         Self(ticks as u64)
     }
 
-    /// How many ticks it has, to calculate with.
+    /// Returns the number of ticks as a floating-point number.
     pub const fn as_f64(self) -> f64 {
         self.0 as f64
     }
@@ -104,7 +105,7 @@
     }
 }
 
-/// The time from an earlier timestamp to this one.
+/// Returns the duration since an earlier timestamp.
 impl Sub for Timestamp {
     type Output = TickDuration;
 
