--- a/crates/larklink-engine/src/engine.rs
+++ b/crates/larklink-engine/src/engine.rs
@@ -1,7 +1,8 @@
-//! The balancer of one proxy behind ids: what the proxy observes goes in, [`ProxyAction`]s come out.
+//! [`Engine`], which wraps the balancer of one proxy and maps its handles to the proxy's ids.
 //!
-//! The caller hands each event to its [`Engine`] with the time, carries out the actions that it returns in their order,
-//! and calls [`Engine::poll`] after each batch of events and when [`Engine::next_wakeup`] has come.
+//! The caller reports each event to its [`Engine`] together with the time, carries out the returned
+//! [`ProxyAction`]s in order, and calls [`Engine::poll`] after each batch of events and at
+//! [`Engine::next_wakeup`].
 use std::collections::HashMap;
 
 use larklink_balancer::{
@@ -11,21 +12,21 @@
 
 use crate::settings::ProxySettings;
 
-/// The id of an endpoint, derived from its name and the same at every proxy.
+/// The id of an endpoint, derived from its name. It is the same at every proxy.
 pub type EndpointId = u32;
 
-/// The id that the proxy gives a session.
+/// The id that the proxy assigns to a session.
 pub type SessionId = u32;
 
-/// The number of an attempt within its session, counted from 0.
+/// The number of an attempt within its session, starting from 0.
 pub type AttemptNumber = u8;
 
-/// What the proxy is to do, by the ids that came in.
+/// An action for the proxy to carry out, in terms of the proxy's ids.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ProxyAction {
     /// Connect to an endpoint and send the session to it.
     Connect {
-        /// The session to send.
+        /// The session to forward.
         session: SessionId,
         /// The number of this attempt.
         attempt: AttemptNumber,
@@ -33,31 +34,31 @@
         endpoint: EndpointId,
         /// How long the attempt may take.
         timeout: TickDuration,
-        /// The latest time at which its first byte may be sent.
+        /// The latest time at which the first byte may be sent.
         send_deadline: Timestamp,
     },
-    /// The attempt in flight may be sent only up to an earlier time.
+    /// Lower the send deadline of the attempt in flight.
     LimitSendDeadline {
         /// The session of the attempt.
         session: SessionId,
         /// The attempt in flight.
         attempt: AttemptNumber,
-        /// The latest time at which its first byte may be sent.
+        /// The latest time at which the first byte may be sent.
         send_deadline: Timestamp,
     },
-    /// Reject a session; it is over.
+    /// Reject a session. It is over.
     Reject {
         /// The session to reject.
         session: SessionId,
-        /// How long its client should wait before it retries; 0 if nothing is to be said.
+        /// How long the client should wait before it retries; 0 to send no Retry-After.
         retry_after: TickDuration,
     },
-    /// Fail a session; it is over.
+    /// Fail a session. It is over.
     Fail {
         /// The session to fail.
         session: SessionId,
     },
-    /// Tell the client of an established session to reconnect; the session is over.
+    /// Migrate an established session by asking its client to reconnect. The session is over.
     Migrate {
         /// The session to migrate.
         session: SessionId,
@@ -67,21 +68,21 @@
         /// The endpoint to check.
         endpoint: EndpointId,
     },
-    /// Poll the endpoint list, and subscribe to its changes.
+    /// Poll the endpoint list and subscribe to its changes.
     PollEndpointList,
-    /// Something an operator should know.
+    /// Log an event for operators.
     Log(LogEvent),
 }
 
-/// A session as the balancer knows it.
+/// A session that is not over.
 #[derive(Clone, Copy, Debug)]
 struct OpenSession {
     handle: SessionHandle,
-    /// Attempts so far.
+    /// The number of attempts so far.
     attempts: AttemptNumber,
 }
 
-/// The balancer of one proxy, and the ids of its endpoints and sessions.
+/// The balancer of one proxy and the ids of its endpoints and sessions.
 pub struct Engine {
     balancer: Balancer,
     listeners: usize,
@@ -94,7 +95,7 @@
 }
 
 impl Engine {
-    /// An engine with no endpoints yet; `seed` makes its random choices repeatable.
+    /// Creates an engine without endpoints. `seed` determines its random choices.
     pub fn new(settings: &ProxySettings, seed: u64, now: Timestamp) -> Self {
         Self {
             balancer: Balancer::new(settings.settings.clone(), seed, now),
@@ -108,12 +109,13 @@
         }
     }
 
-    /// Whether the settings have a listener at this place; a session of any other must not be opened.
+    /// Returns whether the settings have a listener with this index. A session of any other listener must not
+    /// be opened.
     pub fn has_listener(&self, listener: usize) -> bool {
         listener < self.listeners
     }
 
-    /// The endpoint list, or what changed in it. The index in each entry is filled in here.
+    /// Applies an endpoint list or its changes. The engine sets the index in each entry.
     pub fn update_endpoints(&mut self, now: Timestamp, scope: ListScope, mut entries: Vec<EndpointEntry>) {
         for entry in &mut entries {
             entry.endpoint = self.endpoint_index(entry.id);
@@ -121,17 +123,19 @@
         self.balancer.update_endpoints(now, scope, &entries);
     }
 
-    /// A poll of the endpoint list failed, or its subscription broke.
+    /// Reports that a poll of the endpoint list failed or the subscription to it broke.
     pub fn discovery_failed(&mut self, now: Timestamp) {
         self.balancer.discovery_failed(now);
     }
 
-    /// This process takes over from another one of the same proxy, which may still make attempts.
+    /// Reports that this process takes over from another process of the same proxy, which may still make
+    /// attempts.
     pub fn take_over(&mut self, now: Timestamp) {
         self.balancer.take_over(now);
     }
 
-    /// A session has come in: returns what to do with it, or nothing if it has to wait.
+    /// Opens a session that has reached the proxy. Returns the action to take, or `None` if the session must
+    /// wait.
     pub fn open_session(
         &mut self,
         now: Timestamp,
@@ -140,10 +144,10 @@
     ) -> Option<ProxyAction> {
         let (handle, decision) = self.balancer.place(now, request);
         self.insert_session(session, OpenSession { handle, attempts: 0 });
-        self.decided(session, decision)
+        self.apply_decision(session, decision)
     }
 
-    /// A session that is established at an endpoint already.
+    /// Adopts a session that is already established on an endpoint.
     pub fn adopt_established(
         &mut self,
         now: Timestamp,
@@ -156,14 +160,15 @@
         self.insert_session(session, OpenSession { handle, attempts: 1 });
     }
 
-    /// An attempt was accepted by its endpoint: the session is established.
+    /// Reports that the endpoint accepted an attempt and the session is established.
     pub fn established(&mut self, now: Timestamp, session: SessionId, attempt: AttemptNumber) {
-        if let Some(handle) = self.latest_attempt(session, attempt) {
+        if let Some(handle) = self.handle_of_latest_attempt(session, attempt) {
             self.balancer.established(now, handle);
         }
     }
 
-    /// An attempt or its connection ended. Returns what comes next, unless the session is over with it.
+    /// Reports that an attempt or its connection has ended. Returns the next action, or `None` if the session
+    /// is over or must wait.
     pub fn attempt_ended(
         &mut self,
         now: Timestamp,
@@ -172,9 +177,9 @@
         outcome: AttemptOutcome,
         session_over: bool,
     ) -> Option<ProxyAction> {
-        let handle = self.latest_attempt(session, attempt)?;
+        let handle = self.handle_of_latest_attempt(session, attempt)?;
         match self.balancer.attempt_ended(now, handle, outcome, session_over) {
-            Some(decision) => self.decided(session, decision),
+            Some(decision) => self.apply_decision(session, decision),
             None => {
                 self.remove_session(session);
                 None
@@ -182,7 +187,7 @@
         }
     }
 
-    /// The client has left; the session is over.
+    /// Reports that the client has left and the session is over.
     pub fn client_left(&mut self, session: SessionId) {
         if let Some(&OpenSession { handle, .. }) = self.sessions.get(&session) {
             self.balancer.client_left(handle);
@@ -190,7 +195,7 @@
         }
     }
 
-    /// Something was observed of an established session.
+    /// Reports an observation of an established session.
     pub fn observe(
         &mut self,
         now: Timestamp,
@@ -198,13 +203,13 @@
         attempt: AttemptNumber,
         observation: Observation,
     ) {
-        if let Some(handle) = self.latest_attempt(session, attempt) {
+        if let Some(handle) = self.handle_of_latest_attempt(session, attempt) {
             self.balancer.observe(now, handle, observation);
         }
     }
 
-    /// A health check ended after `took`; `load_report` has the values of its answer in the order of the settings,
-    /// and is empty if there were none.
+    /// Reports the result of a health check and how long it `took`. `load_report` holds the values of the
+    /// answer in the order of the settings, and is empty if there were none.
     pub fn health_checked(
         &mut self,
         now: Timestamp,
@@ -223,23 +228,23 @@
         self.balancer.health_checked(now, endpoint, outcome, took, load, in_flight);
     }
 
-    /// How many endpoints the list has, and how many of them are avoided now.
+    /// Counts the listed endpoints, and those of them that are avoided now.
     pub fn health_summary(&self) -> HealthSummary {
         self.balancer.health_summary()
     }
 
-    /// When [`Engine::poll`] has to be called next.
+    /// Returns when [`Engine::poll`] must be called next.
     pub fn next_wakeup(&self) -> Timestamp {
         self.balancer.next_wakeup()
     }
 
-    /// What is due now apart from the answers to events.
+    /// Returns the actions that are due now, other than those that the event methods return.
     pub fn poll(&mut self, now: Timestamp) -> Vec<ProxyAction> {
         let actions = self.balancer.poll(now);
-        actions.into_iter().filter_map(|action| self.translate(action)).collect()
+        actions.into_iter().filter_map(|action| self.translate_action(action)).collect()
     }
 
-    fn translate(&mut self, action: Action) -> Option<ProxyAction> {
+    fn translate_action(&mut self, action: Action) -> Option<ProxyAction> {
         match action {
             Action::CheckHealth(endpoint) => {
                 Some(ProxyAction::CheckHealth { endpoint: self.endpoint_ids[endpoint.0] })
@@ -249,7 +254,7 @@
                 self.client_left(session);
                 Some(ProxyAction::Migrate { session })
             }
-            Action::Decided(handle, decision) => self.decided(self.session_ids[&handle], decision),
+            Action::Decided(handle, decision) => self.apply_decision(self.session_ids[&handle], decision),
             Action::LimitSendDeadline(handle, send_deadline) => {
                 let session = self.session_ids[&handle];
                 let attempt = self.sessions[&session].attempts - 1;
@@ -260,7 +265,7 @@
         }
     }
 
-    fn decided(&mut self, session: SessionId, decision: Decision) -> Option<ProxyAction> {
+    fn apply_decision(&mut self, session: SessionId, decision: Decision) -> Option<ProxyAction> {
         match decision {
             Decision::Wait => None,
             Decision::Connect { endpoint, timeout, send_deadline } => {
@@ -292,8 +297,9 @@
         }
     }
 
-    /// The handle of a session if this is its latest attempt; what is said of any other is ignored.
-    fn latest_attempt(&self, session: SessionId, attempt: AttemptNumber) -> Option<SessionHandle> {
+    /// Returns the handle of a session if `attempt` is its latest one. Reports on any other attempt are
+    /// ignored.
+    fn handle_of_latest_attempt(&self, session: SessionId, attempt: AttemptNumber) -> Option<SessionHandle> {
         let open = self.sessions.get(&session)?;
         (attempt + 1 == open.attempts).then_some(open.handle)
     }
--- a/crates/larklink-engine/src/lib.rs
+++ b/crates/larklink-engine/src/lib.rs
@@ -1,5 +1,6 @@
-//! What every way of running the decisions of larklink shares: the settings object of a proxy, and the balancer behind
-//! the ids of endpoints, sessions and attempts. No I/O and no clock: time is an argument.
+//! The parts that are common to all programs that run the decision logic of larklink: the settings object of
+//! a proxy, and an engine that addresses endpoints, sessions and attempts by the proxy's ids. This crate does
+//! no I/O and reads no clock: time is an argument.
 pub mod engine;
 pub mod settings;
 pub mod units;
--- a/crates/larklink-engine/src/settings.rs
+++ b/crates/larklink-engine/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of one proxy, read from its settings object.
+//! The settings of a proxy, read from its settings object.
 use larklink_balancer::{DeduplicationGroup, Idempotency, Listener, Settings, TickDuration};
 use serde::Deserialize;
 
@@ -6,30 +6,30 @@
 use crate::validation::{self, SettingsError};
 use crate::wire::{ListenerObject, SettingsObject};
 
-/// The name of the value in a load report that is the load asked of an endpoint over its capacity.
+/// The name of the load report value that holds the endpoint's offered load over its capacity.
 const LOAD_VALUE: &str = "x0";
-/// The name of the value in a load report that is the number of sessions in flight at an endpoint.
+/// The name of the load report value that holds the number of sessions in flight at the endpoint.
 const IN_FLIGHT_VALUE: &str = "inflight";
 
-/// What a settings object states: the settings of the balancer, and what the proxy itself needs.
+/// The contents of a settings object: the settings of the balancer and those of the proxy itself.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(try_from = "SettingsObject")]
 pub struct ProxySettings {
     /// The settings of the balancer.
     pub settings: Settings,
-    /// The names of the listeners, in their order.
+    /// The names of the listeners, by index.
     pub listeners: Vec<String>,
-    /// The names of the zones, in their order.
+    /// The names of the zones, by index.
     pub zones: Vec<String>,
-    /// The names of the values of a load report, in their order.
+    /// The names of the values of a load report, in order.
     pub load_report_names: Vec<String>,
-    /// The position in a load report of the load asked of an endpoint over its capacity.
+    /// The position in a load report of the endpoint's offered load over its capacity.
     pub load_position: Option<usize>,
     /// The position in a load report of the number of sessions in flight at the endpoint.
     pub in_flight_position: Option<usize>,
     /// The longest dial timeout of any listener; 0 if there is none.
     pub max_dial_timeout: TickDuration,
-    /// Whether packets pass through, so that connections outlive the proxy.
+    /// Whether packets bypass the proxy process, so that connections outlive it.
     pub passthrough: bool,
     /// Whether the latency of messages may be reported to endpoints.
     pub reports_message_latency: bool,
@@ -39,8 +39,9 @@
     /// Reads a settings object from its JSON text.
     ///
     /// # Errors
-    /// The text is no JSON, a value is of another type, or it is out of range; the text of the last has the path of
-    /// the field (see [`SettingsError`]).
+    ///
+    /// Returns an error if the text is not valid JSON, or if a value has the wrong type or is out of range.
+    /// The message for a value out of range contains the path of its field (see [`SettingsError`]).
     pub fn from_json(text: &[u8]) -> Result<Self, serde_json::Error> {
         serde_json::from_slice(text)
     }
@@ -50,7 +51,7 @@
     type Error = SettingsError;
 
     fn try_from(object: SettingsObject) -> Result<Self, SettingsError> {
-        validation::check(&object)?;
+        validation::validate(&object)?;
         let position = |value: &str| object.load_report.names.iter().position(|name| name == value);
         let load_position = position(LOAD_VALUE);
         let in_flight_position = position(IN_FLIGHT_VALUE);
@@ -82,7 +83,7 @@
     let message_objectives =
         object.protocol.message_objectives_ns.iter().map(|&nanos| ticks_from_nanos(nanos));
     Ok(Settings {
-        listeners: object.listeners.iter().map(listener).collect(),
+        listeners: object.listeners.iter().map(listener_settings).collect(),
         proxy_count: object.proxy_count,
         weighted: matches!(object.weights.as_str(), "nominal" | "rough"),
         polled_discovery: object.discovery == "on_request",
@@ -96,7 +97,7 @@
         retry_budget: validation::retry_budget(safety)?,
         availability_nines: validation::availability_nines(&object.availability)?,
         connect_timeout: ticks_from_nanos(limits.connect_timeout_ns).max(TickDuration::from_ticks(1)),
-        // The number of an attempt is a byte.
+        // `AttemptNumber` is a byte.
         max_attempts: limits.max_attempts.min(u8::MAX.into()),
         max_retry_after: ticks_from_nanos(limits.max_retry_after_ns),
         retry_after_allowed: limits.retry_after,
@@ -112,23 +113,24 @@
     })
 }
 
-/// Whether sessions stay in the proxy's zone. A group that is split over zones costs endpoints in each of them, so
-/// only where crossing zones costs no less than a migration.
+/// Returns whether endpoints in the proxy's zone are preferred. A group that is split over zones loads
+/// endpoints in each of them, so they are preferred only if crossing zones costs at least as much as a
+/// migration.
 fn prefers_local_zone(object: &SettingsObject) -> bool {
     let costs = &object.costs;
     object.zones.len() > 1 && costs.cross_zone > 0.0 && costs.cross_zone >= costs.migration
 }
 
-fn listener(object: &ListenerObject) -> Listener {
+fn listener_settings(object: &ListenerObject) -> Listener {
     Listener {
-        idempotency: idempotency(object),
+        idempotency: parse_idempotency(object),
         handshake_objective: ticks_from_nanos(object.handshake_objective_ns),
         priority_weight: object.priority_weight,
     }
 }
 
-/// A kind that is unknown counts as the one that allows the least.
-fn idempotency(object: &ListenerObject) -> Idempotency {
+/// Parses the idempotency of a listener. An unknown value counts as the most restrictive one.
+fn parse_idempotency(object: &ListenerObject) -> Idempotency {
     match object.idempotency.as_str() {
         "idempotent" => Idempotency::Idempotent,
         "deduplicated" => Idempotency::WithKey {
--- a/crates/larklink-engine/src/validation.rs
+++ b/crates/larklink-engine/src/validation.rs
@@ -1,57 +1,57 @@
-//! What is checked of a settings object beyond its form: ranges, and values that contradict each other.
+//! Validation of a settings object beyond its types: ranges and contradictory values.
 use larklink_balancer::{AvailabilityNines, RetryBudgetSettings, TickDuration};
 use thiserror::Error;
 
 use crate::units::ticks_from_nanos;
 use crate::wire::{AvailabilityObject, ListenerObject, SafetyObject, SettingsObject};
 
-/// What is wrong with a settings object, and where.
+/// An invalid field of a settings object.
 #[derive(Clone, Debug, PartialEq, Error)]
 #[error("{field}: {problem}")]
 pub struct SettingsError {
-    /// The path of the field, in the names of the settings object.
+    /// The path of the field, in the key names of the settings object.
     pub field: String,
-    /// What is wrong there.
+    /// Why the field is invalid.
     pub problem: SettingsProblem,
 }
 
-/// What is wrong with one field: its value, and what was expected.
+/// Why a field is invalid: its value and the expected range.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum SettingsProblem {
-    /// The proxy's zone is none of those that are listed.
-    #[error("{zone} is no place among the {zone_count} in zones")]
+    /// The proxy's zone is not an index into the listed zones.
+    #[error("index {zone} is out of range for the {zone_count} names in zones")]
     UnknownZone {
-        /// The index of the proxy's zone.
+        /// The configured index of the proxy's zone.
         zone: u16,
-        /// How many zones are listed.
+        /// The number of listed zones.
         zone_count: usize,
     },
-    /// A cost is negative or no number.
-    #[error("{0} is no price; it must be 0 or more")]
+    /// A cost is negative or not finite.
+    #[error("invalid cost {0}: must be 0 or more")]
     InvalidCost(f64),
-    /// A priority weight is negative or no number.
-    #[error("{0} is no utility; it must be 0 or more")]
+    /// A priority weight is negative or not finite.
+    #[error("invalid priority weight {0}: must be 0 or more")]
     InvalidPriorityWeight(f64),
     /// A duration, in nanoseconds, is negative.
-    #[error("{0} is under 0")]
+    #[error("negative duration {0} ns: must be 0 or more")]
     NegativeDuration(i64),
-    /// Two listeners have the same name.
-    #[error("{0:?} stands twice; a session could be of either")]
+    /// Two listeners have the same name, so the listener of a session would be ambiguous.
+    #[error("duplicate listener name {0:?}: the listener of a session would be ambiguous")]
     DuplicateListener(String),
-    /// The retry budget has other fields, but not this one.
-    #[error("missing, though other parts of the budget of dials are there")]
+    /// This field of the retry budget is missing, but others are set.
+    #[error("missing, but required because other fields of the retry budget are set")]
     IncompleteRetryBudget,
-    /// A number of the retry budget is negative or no number.
-    #[error("{0} is no amount; it must be 0 or more")]
+    /// A number of the retry budget is negative or not finite.
+    #[error("invalid retry budget value {0}: must be 0 or more")]
     InvalidRetryAmount(f64),
-    /// The window of the retry budget, in nanoseconds, is under one tick.
-    #[error("{0} is no period; it must be 100000 or more")]
+    /// The window of the retry budget, in nanoseconds, is shorter than one tick.
+    #[error("retry window of {0} ns is too short: must be 100000 ns or more")]
     RetryWindowTooShort(i64),
-    /// A number about availability is negative or no number.
-    #[error("{0} must be 0 or more")]
+    /// A number of the availability scoring is negative or not finite.
+    #[error("invalid availability value {0}: must be 0 or more")]
     InvalidAvailability(f64),
-    /// Calm periods have a weight, but no highest number of nines.
-    #[error("must be above 0 where nines_part is")]
+    /// Periods without incidents have a weight, but no maximum number of nines.
+    #[error("must be greater than 0 because nines_part is")]
     MissingMaxNines,
 }
 
@@ -61,51 +61,51 @@
     }
 }
 
-fn is_amount(value: f64) -> bool {
+fn is_finite_and_non_negative(value: f64) -> bool {
     value.is_finite() && value >= 0.0
 }
 
-/// Checks the zone, the costs and the listeners.
-pub(crate) fn check(object: &SettingsObject) -> Result<(), SettingsError> {
+/// Validates the zone, the costs and the listeners.
+pub(crate) fn validate(object: &SettingsObject) -> Result<(), SettingsError> {
     let zone_count = object.zones.len();
     if object.zone > 0 && usize::from(object.zone) >= zone_count {
         let problem = SettingsProblem::UnknownZone { zone: object.zone, zone_count };
         return Err(SettingsError::new("zone", problem));
     }
     for (name, cost) in [("cross_zone", object.costs.cross_zone), ("moves", object.costs.migration)] {
-        if !is_amount(cost) {
+        if !is_finite_and_non_negative(cost) {
             return Err(SettingsError::new(format!("fees.{name}"), SettingsProblem::InvalidCost(cost)));
         }
     }
-    check_listeners(&object.listeners)
+    validate_listeners(&object.listeners)
 }
 
-fn check_listeners(listeners: &[ListenerObject]) -> Result<(), SettingsError> {
-    let wrong = |index: usize, name: &str, problem| {
+fn validate_listeners(listeners: &[ListenerObject]) -> Result<(), SettingsError> {
+    let invalid = |index: usize, name: &str, problem| {
         Err(SettingsError::new(format!("grades[{index}].{name}"), problem))
     };
     for (index, listener) in listeners.iter().enumerate() {
-        if !is_amount(listener.priority_weight) {
+        if !is_finite_and_non_negative(listener.priority_weight) {
             let problem = SettingsProblem::InvalidPriorityWeight(listener.priority_weight);
-            return wrong(index, "gain", problem);
+            return invalid(index, "gain", problem);
         }
     }
     for (index, listener) in listeners.iter().enumerate() {
         if listener.dial_timeout_ns < 0 {
             let problem = SettingsProblem::NegativeDuration(listener.dial_timeout_ns);
-            return wrong(index, "deadline_ns", problem);
+            return invalid(index, "deadline_ns", problem);
         }
     }
     for (index, listener) in listeners.iter().enumerate() {
         if listeners[..index].iter().any(|earlier| earlier.name == listener.name) {
             let problem = SettingsProblem::DuplicateListener(listener.name.clone());
-            return wrong(index, "name", problem);
+            return invalid(index, "name", problem);
         }
     }
     Ok(())
 }
 
-/// The retry budget; none if none of its fields is there.
+/// Returns the retry budget, or `None` if none of its fields is set.
 pub(crate) fn retry_budget(safety: &SafetyObject) -> Result<Option<RetryBudgetSettings>, SettingsError> {
     if safety.min_retries.is_none() && safety.retry_ratio.is_none() && safety.retry_window_ns.is_none() {
         return Ok(None);
@@ -115,7 +115,7 @@
     let retry_ratio = safety.retry_ratio.ok_or_else(|| missing("extra_per_request"))?;
     let window_ns = safety.retry_window_ns.ok_or_else(|| missing("counted_over_ns"))?;
     for (name, value) in [("budget_free", min_retries), ("extra_per_request", retry_ratio)] {
-        if !is_amount(value) {
+        if !is_finite_and_non_negative(value) {
             let problem = SettingsProblem::InvalidRetryAmount(value);
             return Err(SettingsError::new(format!("safety.{name}"), problem));
         }
@@ -128,12 +128,12 @@
     Ok(Some(RetryBudgetSettings { min_retries, retry_ratio, window }))
 }
 
-/// The weight of calm periods; none if it is 0 or not there.
+/// Returns the scoring of periods without incidents, or `None` if its weight is 0 or missing.
 pub(crate) fn availability_nines(
     object: &AvailabilityObject,
 ) -> Result<Option<AvailabilityNines>, SettingsError> {
     for (name, value) in [("nines_part", object.nines_weight), ("top_nines", object.max_nines)] {
-        if let Some(value) = value.filter(|value| !is_amount(*value)) {
+        if let Some(value) = value.filter(|value| !is_finite_and_non_negative(*value)) {
             let problem = SettingsProblem::InvalidAvailability(value);
             return Err(SettingsError::new(format!("result_mix.{name}"), problem));
         }
--- a/crates/larklink-engine/src/wire.rs
+++ b/crates/larklink-engine/src/wire.rs
@@ -1,9 +1,9 @@
-//! The settings object as it is written: each of its names is mapped here, once, to the name that the code uses.
+//! The serialized form of the settings object. Its field names are mapped here to the names used in the code.
 //!
-//! A key that is missing has a cautious value; a key that is unknown is ignored. Durations are in nanoseconds.
+//! A missing key has a conservative default. Unknown keys are ignored. Durations are in nanoseconds.
 use serde::Deserialize;
 
-/// The whole settings object.
+/// The settings object.
 #[derive(Deserialize)]
 #[serde(default)]
 pub(crate) struct SettingsObject {
@@ -47,39 +47,39 @@
     }
 }
 
-/// What the protocol of the sessions does.
+/// Properties of the sessions' protocol.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub(crate) struct ProtocolObject {
-    /// For each listener, how soon a message should be answered.
+    /// The message latency objective of each listener.
     #[serde(rename = "message_aim_ns")]
     pub(crate) message_objectives_ns: Vec<i64>,
-    /// `pass` if packets pass through the proxy's machine without it.
+    /// `pass` if packets pass through the proxy's machine without the proxy process.
     pub(crate) mode: String,
     #[serde(rename = "tells_delay")]
     pub(crate) reports_message_latency: bool,
 }
 
-/// What a load report holds.
+/// The format of a load report.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub(crate) struct LoadReportObject {
-    /// The names of its values, in their order.
+    /// The names of its values, in order.
     pub(crate) names: Vec<String>,
 }
 
-/// What placements cost, in a unit of their own.
+/// The costs of placements, in a unit of their own.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub(crate) struct CostsObject {
-    /// Of a session in another zone than its proxy.
+    /// The cost of a session in a zone other than its proxy's.
     pub(crate) cross_zone: f64,
-    /// Of one migration.
+    /// The cost of a migration.
     #[serde(rename = "moves")]
     pub(crate) migration: f64,
 }
 
-/// One listener.
+/// The settings of a listener.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub(crate) struct ListenerObject {
@@ -97,7 +97,7 @@
     pub(crate) deduplication_window_ns: i64,
 }
 
-/// How availability is weighed against cost.
+/// How availability is weighted against cost.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub(crate) struct AvailabilityObject {
@@ -107,7 +107,7 @@
     pub(crate) max_nines: Option<f64>,
 }
 
-/// What the proxy may do.
+/// Limits on what the proxy may do.
 #[derive(Deserialize)]
 #[serde(default)]
 pub(crate) struct LimitsObject {
@@ -133,7 +133,7 @@
     }
 }
 
-/// The limits within which endpoints are safe.
+/// The rules that protect the endpoints.
 #[derive(Deserialize)]
 #[serde(default)]
 pub(crate) struct SafetyObject {
--- a/crates/larklink-engine/tests/engine.rs
+++ b/crates/larklink-engine/tests/engine.rs
@@ -1,4 +1,4 @@
-//! Seeded random runs of the engine: what it asks for is in order whatever it is notified of.
+//! Property tests of the engine: its actions are consistent for any sequence of events.
 #![expect(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::collections::BTreeMap;
@@ -23,12 +23,13 @@
     "safety": {"cold_ns": 20000000000, "drain_grace_ns": 500000000, "fall_multiple": 4.0,
         "start_capacity": 0.2}}"#;
 
-/// How long a health check takes in these runs.
+/// The duration of a health check in these tests.
 const HEALTH_CHECK_TOOK: TickDuration = TickDuration::from_ticks(10);
-/// How far in the future a send deadline may lie at most: the drain grace and more.
+/// An upper bound on how far in the future a lowered send deadline may be. It exceeds the drain grace.
 const MAX_SEND_DEADLINE: TickDuration = TickDuration::from_ticks(10_000);
 
-/// What happens next. A session is drawn by any number, and an attempt by how far it is from the latest; 0 is the latest.
+/// A random event. `session` is an index into the open sessions, modulo their number. `offset` is the
+/// distance of an attempt from the latest one.
 #[derive(Clone, Debug)]
 enum Step {
     Open { listener: usize, client_key: u64 },
@@ -94,7 +95,7 @@
     ]
 }
 
-/// A session that is not over, as the actions so far left it.
+/// The expected state of a session that is not over.
 #[derive(Default)]
 struct OpenSession {
     attempts: AttemptNumber,
@@ -102,7 +103,7 @@
     established: bool,
 }
 
-/// Drives an engine, and checks each of its actions against what may be asked for.
+/// Drives an engine and checks that each of its actions is allowed in the state of its session.
 struct Checker {
     engine: Engine,
     now: Timestamp,
@@ -147,7 +148,10 @@
             ProxyAction::LimitSendDeadline { session, attempt, send_deadline } => {
                 let open = &self.open[&session];
                 assert!(open.in_flight && attempt + 1 == open.attempts, "an attempt that is not in flight");
-                assert!(send_deadline <= self.now + MAX_SEND_DEADLINE, "later than a grace from now");
+                assert!(
+                    send_deadline <= self.now + MAX_SEND_DEADLINE,
+                    "later than the maximum send deadline"
+                );
             }
             ProxyAction::PollEndpointList | ProxyAction::Log(_) => {}
         }
@@ -227,7 +231,7 @@
         }
     }
 
-    /// Carries out a step; what the engine answers at once.
+    /// Applies a step and returns the action that the engine returns for it.
     fn apply(&mut self, step: Step) -> Option<ProxyAction> {
         match step {
             Step::Open { listener, client_key } => return self.open_session(listener, client_key),
@@ -254,7 +258,7 @@
         for action in self.engine.poll(self.now) {
             self.check(action);
         }
-        assert!(self.engine.next_wakeup() > self.now, "it would be polled again at once");
+        assert!(self.engine.next_wakeup() > self.now, "the next wakeup is not in the future");
     }
 }
 
@@ -276,16 +280,17 @@
     })]
 
     #[test]
-    fn each_action_is_for_a_session_that_may_have_it(steps in prop::collection::vec(step(), 1..200)) {
+    fn each_action_is_allowed_in_the_state_of_its_session(steps in prop::collection::vec(step(), 1..200)) {
         let mut checker = Checker::new();
         (0..6).for_each(|id| checker.change_endpoint(id, EndpointState::Ready));
         steps.into_iter().for_each(|step| checker.step(step));
     }
 }
 
-/// The number of an attempt is a byte: the 256th would be taken for the first.
+/// `AttemptNumber` is a byte: after 256 attempts the count would wrap around, and the next attempt would have the
+/// number of the first.
 #[test]
-fn a_session_with_hundreds_of_dials_ends_before_their_numbers_do() {
+fn a_session_is_over_before_its_attempt_numbers_wrap_around() {
     let text = SETTINGS.replace(r#""send_cap": 3"#, r#""send_cap": 1000"#);
     let mut engine = Engine::new(&ProxySettings::from_json(text.as_bytes()).unwrap(), 7, Timestamp::ZERO);
     let entry =
--- a/crates/larklink-engine/tests/settings.rs
+++ b/crates/larklink-engine/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings object: names, units, defaults, and what is rejected with the path of its field.
+//! Tests of the settings object: field names, units, defaults and validation errors.
 #![expect(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use larklink_balancer::{AvailabilityNines, Idempotency, RetryBudgetSettings, Settings, TickDuration};
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn settings_are_read_by_name_and_units() {
+fn fields_are_read_by_their_names_and_units() {
     let proxy = read(SETTINGS);
     let balancer = &proxy.settings;
     assert_eq!(
@@ -39,9 +39,9 @@
     assert_eq!(balancer.listeners[1].idempotency, Idempotency::OnceOnly);
     assert!(
         ProxySettings::from_json(b"{}").is_ok_and(|settings| settings.listeners.is_empty()),
-        "what is missing has a cautious value"
+        "missing fields have conservative defaults"
     );
-    // A limit of 0 would make an endpoint count as failed by any latency reported.
+    // With a limit of 0, any reported latency would count as a failure of the endpoint.
     assert_eq!(
         (balancer.max_dial_timeout, balancer_settings("{}").max_dial_timeout),
         (TickDuration::from_secs(3), TickDuration::MAX)
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_ration_of_further_dials_and_the_nines_are_read_whole_or_absent() {
+fn the_retry_budget_and_availability_nines_are_complete_or_absent() {
     let all = balancer_settings(
         r#"{"safety":{"budget_free":3,"extra_per_request":0.05,"counted_over_ns":5000000000},
             "result_mix":{"nines_part":0.3,"top_nines":3}}"#,
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_proxy_keeps_near_only_where_a_crossing_costs_no_less_than_a_move() {
+fn the_local_zone_is_preferred_only_if_crossing_zones_costs_at_least_a_migration() {
     let local_zone =
         |costs: &str| balancer_settings(&format!(r#"{{"zone":1,"zones":["a","b"]{costs}}}"#)).local_zone;
     assert_eq!(local_zone(""), None, "without costs no zone is preferred");
@@ -74,33 +74,36 @@
 }
 
 #[test]
-fn settings_that_cannot_be_are_told_with_their_place() {
-    let wrong = |text: &str| ProxySettings::from_json(text.as_bytes()).unwrap_err().to_string();
-    for (text, place) in [
-        (r#"{"zone":2,"zones":["a","b"]}"#, "zone: 2 is no place among the 2"),
+fn invalid_settings_are_rejected_with_the_path_of_the_field() {
+    let error = |text: &str| ProxySettings::from_json(text.as_bytes()).unwrap_err().to_string();
+    for (text, expected) in [
+        (r#"{"zone":2,"zones":["a","b"]}"#, "zone: index 2 is out of range for the 2 names in zones"),
         (r#"{"zone":"b"}"#, "expected u16 at line 1 column 11"),
-        (r#"{"fees":{"cross_zone":-0.1}}"#, "fees.cross_zone: -0.1 is no price"),
+        (r#"{"fees":{"cross_zone":-0.1}}"#, "fees.cross_zone: invalid cost -0.1"),
         (r#"{"fees":{"moves":"dear"}}"#, "expected f64"),
-        (r#"{"grades":[{},{"deadline_ns":-1}]}"#, "grades[1].deadline_ns: -1 is under 0"),
-        (r#"{"grades":[{"gain":-1}]}"#, "grades[0].gain: -1 is no utility"),
-        (r#"{"grades":[{"name":"a"},{"name":"ab"},{"name":"a"}]}"#, "grades[2].name: \"a\" stands twice"),
+        (r#"{"grades":[{},{"deadline_ns":-1}]}"#, "grades[1].deadline_ns: negative duration -1 ns"),
+        (r#"{"grades":[{"gain":-1}]}"#, "grades[0].gain: invalid priority weight -1"),
+        (
+            r#"{"grades":[{"name":"a"},{"name":"ab"},{"name":"a"}]}"#,
+            "grades[2].name: duplicate listener name \"a\"",
+        ),
         (r#"{"safety":{"budget_free":3,"extra_per_request":0.05}}"#, "safety.counted_over_ns: missing"),
         (r#"{"safety":{"counted_over_ns":5000000000}}"#, "safety.budget_free: missing"),
         (
             r#"{"safety":{"budget_free":-3,"extra_per_request":0.05,"counted_over_ns":5000000000}}"#,
-            "safety.budget_free: -3 is no amount",
+            "safety.budget_free: invalid retry budget value -3",
         ),
         (
             r#"{"safety":{"budget_free":3,"extra_per_request":0.05,"counted_over_ns":0}}"#,
-            "safety.counted_over_ns: 0 is no period",
+            "safety.counted_over_ns: retry window of 0 ns is too short",
         ),
         (r#"{"safety":{"budget_free":"few"}}"#, "expected f64"),
         (
             r#"{"result_mix":{"nines_part":-0.3,"top_nines":3}}"#,
-            "result_mix.nines_part: -0.3 must be 0 or more",
+            "result_mix.nines_part: invalid availability value -0.3: must be 0 or more",
         ),
-        (r#"{"result_mix":{"nines_part":0.3}}"#, "result_mix.top_nines: must be above 0"),
+        (r#"{"result_mix":{"nines_part":0.3}}"#, "result_mix.top_nines: must be greater than 0"),
     ] {
-        assert!(wrong(text).contains(place), "{text}: {}", wrong(text));
+        assert!(error(text).contains(expected), "{text}: {}", error(text));
     }
 }
--- a/crates/larklink-engine/tests/sites.rs
+++ b/crates/larklink-engine/tests/sites.rs
@@ -1,5 +1,5 @@
-//! The deployments in `deploy/sites/`: each is complete, and its settings, written in the words of its own `wire.json`,
-//! are read as its site file has them.
+//! Tests of the deployments in `deploy/sites/`: each is complete, and the settings object built from its site
+//! file with the field names of its `wire.json` is read back with the same values.
 #![expect(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::path::{Path, PathBuf};
@@ -28,7 +28,7 @@
     Value::Object(pairs.into_iter().collect())
 }
 
-/// The files of one deployment.
+/// The files of a deployment.
 struct Site {
     name: String,
     site: Value,
@@ -49,27 +49,28 @@
         self.site["class"].as_array().unwrap()
     }
 
-    /// The word that the settings object has for a key.
-    fn word(&self, key: &str) -> String {
+    /// Returns the field name that the settings object uses for a key.
+    fn field_name(&self, key: &str) -> String {
         match &self.wire["init"]["rename"][key] {
-            Value::String(word) => word.clone(),
+            Value::String(name) => name.clone(),
             _ => key.to_owned(),
         }
     }
 
-    /// The word for the key of a duration.
-    fn duration_word(&self, key: &str) -> String {
-        format!("{}_ns", self.word(key))
+    /// Returns the field name for the key of a duration.
+    fn duration_field_name(&self, key: &str) -> String {
+        format!("{}_ns", self.field_name(key))
     }
 
     fn listener_object(&self, class: &Value) -> Value {
         let effect = self.wire["init"]["words"][class["effect"].as_str().unwrap()].clone();
         let mut listener = Map::new();
-        listener.insert(self.word("name"), class["name"].clone());
-        listener.insert(self.word("worth"), class["worth"].clone());
-        listener.insert(self.word("effect"), effect);
-        listener.insert(self.duration_word("aim"), json!(nanos_from_millis(&class["aim_ms"])));
-        listener.insert(self.duration_word("deadline"), json!(nanos_from_millis(&class["deadline_ms"])));
+        listener.insert(self.field_name("name"), class["name"].clone());
+        listener.insert(self.field_name("worth"), class["worth"].clone());
+        listener.insert(self.field_name("effect"), effect);
+        listener.insert(self.duration_field_name("aim"), json!(nanos_from_millis(&class["aim_ms"])));
+        listener
+            .insert(self.duration_field_name("deadline"), json!(nanos_from_millis(&class["deadline_ms"])));
         Value::Object(listener)
     }
 
@@ -81,20 +82,23 @@
         let rules = object(vec![
             ("fall_multiple".into(), rules["fall_multiple"].clone()),
             ("drain_grace_ns".into(), json!(nanos_from_millis(&rules["drain_grace_ms"]))),
-            (self.duration_word("fall"), json!(nanos_from_millis(&rules["fall_ms"]))),
+            (self.duration_field_name("fall"), json!(nanos_from_millis(&rules["fall_ms"]))),
         ]);
         let limits = object(vec![
-            (self.word("probes"), allow["probes"].clone()),
-            (self.word("max_attempts"), allow["max_attempts"].clone()),
-            (self.duration_word("connect_timeout"), json!(connect_timeout)),
+            (self.field_name("probes"), allow["probes"].clone()),
+            (self.field_name("max_attempts"), allow["max_attempts"].clone()),
+            (self.duration_field_name("connect_timeout"), json!(connect_timeout)),
         ]);
-        let report = object(vec![(self.word("fields"), tier["report"]["fields"].clone())]);
+        let report = object(vec![(self.field_name("fields"), tier["report"]["fields"].clone())]);
         object(vec![
-            (self.word("classes"), self.classes().iter().map(|class| self.listener_object(class)).collect()),
-            (self.word("zones"), self.site["net"]["zones"].clone()),
-            (self.word("report"), report),
-            (self.word("rules"), rules),
-            (self.word("limits"), limits),
+            (
+                self.field_name("classes"),
+                self.classes().iter().map(|class| self.listener_object(class)).collect(),
+            ),
+            (self.field_name("zones"), self.site["net"]["zones"].clone()),
+            (self.field_name("report"), report),
+            (self.field_name("rules"), rules),
+            (self.field_name("limits"), limits),
         ])
     }
 }
@@ -139,7 +143,7 @@
 }
 
 #[test]
-fn each_deployment_of_our_own_is_whole_and_its_settings_are_read() {
+fn each_site_is_complete_and_its_settings_are_read() {
     let folders = site_folders();
     assert!(folders.len() >= 2);
     for folder in folders {
