--- a/crates/larklink-balancer/tests/decision_trace.rs
+++ b/crates/larklink-balancer/tests/decision_trace.rs
@@ -1,5 +1,6 @@
-//! Holds the decisions still: seeded random events go in, and every output is folded, as numbers, into one hash a
-//! seed. The hashes were taken before the code was reshaped; one that differs means that a decision has changed.
+//! Regression test of the decisions: seeded random events are reported to a balancer, and all of its outputs
+//! are hashed, one hash per seed. A hash that differs from the recorded one means that a decision has
+//! changed. The hashes were recorded before the code was restructured.
 use larklink_balancer::{
     Action, AttemptOutcome, Balancer, Decision, DeduplicationGroup, EndpointEntry, EndpointIndex,
     EndpointState, HealthSummary, Idempotency, ListScope, Listener, Observation, RetryBudgetSettings,
@@ -19,32 +20,32 @@
 
 const SECOND: TickDuration = TickDuration::from_secs(1);
 const EVENTS: usize = 6_000;
-const SERVERS: usize = 14;
+const ENDPOINTS: usize = 14;
 
-/// What a server does with the sessions and health checks that reach it.
+/// How an endpoint responds to sessions and health checks.
 #[derive(Clone, Copy, PartialEq)]
 enum Health {
     Good,
     Slow,
     Hung,
     Full,
-    Erring,
+    Failing,
     Dead,
 }
 
-/// What the events of a run stress.
+/// The emphasis of a run's events.
 #[derive(Clone, Copy, PartialEq)]
 enum Stress {
-    /// Every kind of event and every setting.
+    /// All kinds of events and settings.
     Everything,
-    /// Large groups, endpoints that restart all the time, and times that fall on the edges of windows.
+    /// Large groups, frequent restarts of endpoints, and times at the edges of windows.
     SlowStart,
 }
 
 struct Open {
     handle: SessionHandle,
-    server: EndpointIndex,
-    dialling: bool,
+    endpoint: EndpointIndex,
+    connecting: bool,
     established: bool,
 }
 
@@ -57,7 +58,7 @@
     open: Vec<Open>,
     health: Vec<Health>,
     hash: Xxh3,
-    /// How often each kind of output was seen.
+    /// The number of outputs of each kind.
     seen: [usize; 11],
 }
 
@@ -105,12 +106,12 @@
     }
 }
 
-fn entry(server: usize, state: EndpointState, started_at: Timestamp) -> EndpointEntry {
-    let weight = [1.0, 2.0, 0.5][server % 3];
-    let (zone, cell) = (server as u16 % 2, server as u16 % 3);
+fn entry(endpoint: usize, state: EndpointState, started_at: Timestamp) -> EndpointEntry {
+    let weight = [1.0, 2.0, 0.5][endpoint % 3];
+    let (zone, cell) = (endpoint as u16 % 2, endpoint as u16 % 3);
     EndpointEntry {
-        endpoint: EndpointIndex(server),
-        id: 77 + 1000 * server as u32,
+        endpoint: EndpointIndex(endpoint),
+        id: 77 + 1000 * endpoint as u32,
         zone,
         cell,
         state,
@@ -137,14 +138,15 @@
             stress,
             now: Timestamp::ZERO,
             open: Vec::new(),
-            health: vec![Health::Good; SERVERS],
+            health: vec![Health::Good; ENDPOINTS],
             hash: Xxh3::with_seed(0),
             seen: [0; 11],
         };
-        trace.list(ListScope::Cached, SERVERS - 2);
+        trace.list(ListScope::Cached, ENDPOINTS - 2);
         trace
     }
 
+    /// Adds values to the hash.
     fn fold(&mut self, values: &[u64]) {
         for value in values {
             self.hash.update(&value.to_le_bytes());
@@ -157,27 +159,35 @@
         self.fold(values);
     }
 
-    fn list(&mut self, scope: ListScope, servers: usize) {
+    fn list(&mut self, scope: ListScope, endpoints: usize) {
         let entries: Vec<_> =
-            (0..servers).map(|s| entry(s, EndpointState::Ready, at(TickDuration::ZERO))).collect();
+            (0..endpoints).map(|s| entry(s, EndpointState::Ready, at(TickDuration::ZERO))).collect();
         self.balancer.update_endpoints(self.now, scope, &entries);
     }
 
     fn decided(&mut self, handle: SessionHandle, decision: Decision) {
         match decision {
-            Decision::Connect { endpoint: server, timeout: limit, send_deadline: by } => {
-                self.output(0, &[handle.number() as u64, server.0 as u64, limit.as_ticks(), by.as_ticks()]);
+            Decision::Connect { endpoint, timeout, send_deadline } => {
+                self.output(
+                    0,
+                    &[
+                        handle.number() as u64,
+                        endpoint.0 as u64,
+                        timeout.as_ticks(),
+                        send_deadline.as_ticks(),
+                    ],
+                );
                 match self.open.iter_mut().find(|o| o.handle == handle) {
-                    Some(open) => (open.server, open.dialling) = (server, true),
-                    None => self.open.push(Open { handle, server, dialling: true, established: false }),
+                    Some(open) => (open.endpoint, open.connecting) = (endpoint, true),
+                    None => self.open.push(Open { handle, endpoint, connecting: true, established: false }),
                 }
             }
             Decision::Wait => {
                 self.output(1, &[handle.number() as u64]);
                 self.open.push(Open {
                     handle,
-                    server: EndpointIndex(0),
-                    dialling: false,
+                    endpoint: EndpointIndex(0),
+                    connecting: false,
                     established: false,
                 });
             }
@@ -195,13 +205,13 @@
     fn poll(&mut self) {
         for action in self.balancer.poll(self.now) {
             match action {
-                Action::CheckHealth(server) => self.output(4, &[server.0 as u64]),
+                Action::CheckHealth(endpoint) => self.output(4, &[endpoint.0 as u64]),
                 Action::Decided(handle, decision) => {
                     self.output(5, &[handle.number() as u64]);
                     self.decided(handle, decision);
                 }
-                Action::LimitSendDeadline(handle, by) => {
-                    self.output(6, &[handle.number() as u64, by.as_ticks()])
+                Action::LimitSendDeadline(handle, send_deadline) => {
+                    self.output(6, &[handle.number() as u64, send_deadline.as_ticks()])
                 }
                 Action::Migrate(handle) => {
                     self.output(7, &[handle.number() as u64]);
@@ -212,8 +222,8 @@
                 Action::Log(_) => self.output(9, &[]),
             }
         }
-        let HealthSummary { listed: known, avoided: skipped } = self.balancer.health_summary();
-        self.fold(&[self.balancer.next_wakeup().as_ticks(), known as u64, skipped as u64]);
+        let HealthSummary { listed, avoided } = self.balancer.health_summary();
+        self.fold(&[self.balancer.next_wakeup().as_ticks(), listed as u64, avoided as u64]);
     }
 
     fn session(&mut self) -> SessionRequest {
@@ -232,7 +242,7 @@
         }
     }
 
-    /// Two fifths of the sessions are of one group, a fifth of none.
+    /// Two fifths of the sessions are in one group, and one fifth has no group.
     fn grouped_session(&mut self) -> SessionRequest {
         let client_key = self.rng.random_range(1..500u64);
         let group_key = match self.rng.random_range(0..5) {
@@ -258,11 +268,11 @@
         self.decided(handle, decision);
     }
 
-    fn settle(&mut self, at: usize, how: AttemptOutcome, over: bool) {
+    fn end_attempt(&mut self, at: usize, outcome: AttemptOutcome, over: bool) {
         let handle = self.open[at].handle;
-        self.open[at].dialling = false;
+        self.open[at].connecting = false;
         self.open[at].established = false;
-        match self.balancer.attempt_ended(self.now, handle, how, over) {
+        match self.balancer.attempt_ended(self.now, handle, outcome, over) {
             Some(decision) => self.decided(handle, decision),
             None => {
                 self.output(10, &[handle.number() as u64]);
@@ -271,42 +281,42 @@
         }
     }
 
-    /// Some dial that is out goes on as its server's health has it.
+    /// Establishes or ends an attempt in flight, depending on the health of its endpoint.
     fn attempt_ends(&mut self) {
-        let Some(at) = self.pick(|o| o.dialling && !o.established) else { return };
-        let odd = [
+        let Some(at) = self.pick(|o| o.connecting && !o.established) else { return };
+        let unusual = [
             AttemptOutcome::Cancelled,
             AttemptOutcome::NotSent,
             AttemptOutcome::Reset,
             AttemptOutcome::Succeeded,
         ];
-        let odd = odd[self.rng.random_range(0..4)];
-        let strange = self.rng.random_bool(0.04);
-        let how = match self.health[self.open[at].server.0] {
-            _ if strange => odd,
+        let unusual = unusual[self.rng.random_range(0..4)];
+        let is_unusual = self.rng.random_bool(0.04);
+        let outcome = match self.health[self.open[at].endpoint.0] {
+            _ if is_unusual => unusual,
             Health::Good | Health::Slow => {
                 self.open[at].established = true;
                 return self.balancer.established(self.now, self.open[at].handle);
             }
             Health::Hung => AttemptOutcome::TimedOut,
             Health::Full => AttemptOutcome::AtCapacity,
-            Health::Erring => AttemptOutcome::Failed,
+            Health::Failing => AttemptOutcome::Failed,
             Health::Dead => AttemptOutcome::ConnectFailed,
         };
-        self.settle(at, how, how == AttemptOutcome::Succeeded);
+        self.end_attempt(at, outcome, outcome == AttemptOutcome::Succeeded);
     }
 
     fn established_ends(&mut self) {
         let Some(at) = self.pick(|o| o.established) else { return };
-        let broken = self.health[self.open[at].server.0] == Health::Dead || self.rng.random_bool(0.05);
+        let broken = self.health[self.open[at].endpoint.0] == Health::Dead || self.rng.random_bool(0.05);
         let over = !broken || self.rng.random_bool(0.5);
-        self.settle(at, if broken { AttemptOutcome::Reset } else { AttemptOutcome::Succeeded }, over);
+        self.end_attempt(at, if broken { AttemptOutcome::Reset } else { AttemptOutcome::Succeeded }, over);
     }
 
     fn observe(&mut self) {
         let Some(at) = self.pick(|o| o.established) else { return };
-        let health = self.health[self.open[at].server.0];
-        let note = match self.rng.random_range(0..10) {
+        let health = self.health[self.open[at].endpoint.0];
+        let observation = match self.rng.random_range(0..10) {
             0..5 => {
                 Observation::Load(self.rng.random_range(0.0..900.0) * if at % 7 == 0 { 8.0 } else { 1.0 })
             }
@@ -318,29 +328,30 @@
             _ if health == Health::Slow => Observation::MessageLatency(3 * SECOND),
             _ => Observation::MessageLatency(ticks(self.rng.random_range(0..1_000))),
         };
-        self.balancer.observe(self.now, self.open[at].handle, note);
+        self.balancer.observe(self.now, self.open[at].handle, observation);
     }
 
     fn health_check_ends(&mut self) {
-        let server = self.rng.random_range(0..SERVERS);
-        let (how, took) = match self.health[server] {
+        let endpoint = self.rng.random_range(0..ENDPOINTS);
+        let (outcome, took) = match self.health[endpoint] {
             Health::Good => (AttemptOutcome::Succeeded, ticks(self.rng.random_range(0..200))),
             Health::Slow => (AttemptOutcome::Succeeded, ticks(self.rng.random_range(0..900))),
             Health::Hung => (AttemptOutcome::TimedOut, SECOND / 5),
             Health::Full => (AttemptOutcome::AtCapacity, ticks(10)),
-            Health::Erring => (AttemptOutcome::Failed, ticks(10)),
+            Health::Failing => (AttemptOutcome::Failed, ticks(10)),
             Health::Dead => (AttemptOutcome::ConnectFailed, ticks(10)),
         };
-        let most = if self.health[server] == Health::Slow { 2.0 } else { 0.7 };
-        let (load, holds) = (self.rng.random_range(0.01..most), self.rng.random_range(0.0..90.0f64).floor());
-        self.balancer.health_checked(self.now, EndpointIndex(server), how, took, load, holds);
+        let max_load = if self.health[endpoint] == Health::Slow { 2.0 } else { 0.7 };
+        let (load, sessions) =
+            (self.rng.random_range(0.01..max_load), self.rng.random_range(0.0..90.0f64).floor());
+        self.balancer.health_checked(self.now, EndpointIndex(endpoint), outcome, took, load, sessions);
     }
 
     fn list_changes(&mut self) {
-        let server = self.rng.random_range(0..SERVERS);
+        let endpoint = self.rng.random_range(0..ENDPOINTS);
         match self.rng.random_range(0..12) {
-            0 => self.list(ListScope::Complete, SERVERS),
-            1 => self.list(ListScope::Complete, SERVERS - 3),
+            0 => self.list(ListScope::Complete, ENDPOINTS),
+            1 => self.list(ListScope::Complete, ENDPOINTS - 3),
             2 => self.balancer.discovery_failed(self.now),
             n => {
                 let states = [
@@ -355,42 +366,42 @@
                 self.balancer.update_endpoints(
                     self.now,
                     ListScope::Changes,
-                    &[entry(server, state, started_at)],
+                    &[entry(endpoint, state, started_at)],
                 );
             }
         }
     }
 
     fn health_changes(&mut self) {
-        let all = [Health::Slow, Health::Hung, Health::Full, Health::Erring, Health::Dead];
+        let all = [Health::Slow, Health::Hung, Health::Full, Health::Failing, Health::Dead];
         let bad = all[self.rng.random_range(0..5)];
         match self.rng.random_range(0..12) {
-            // The session store behind all servers fails or recovers.
-            0 => self.health.fill(if bad == Health::Erring { Health::Erring } else { Health::Hung }),
+            // The session store behind all endpoints fails or recovers.
+            0 => self.health.fill(if bad == Health::Failing { Health::Failing } else { Health::Hung }),
             1..5 => self.health.fill(Health::Good),
             5..8 => {
-                let server = self.rng.random_range(0..SERVERS);
-                self.health[server] = Health::Good;
+                let endpoint = self.rng.random_range(0..ENDPOINTS);
+                self.health[endpoint] = Health::Good;
             }
             _ => {
-                let server = self.rng.random_range(0..SERVERS);
-                self.health[server] = bad;
+                let endpoint = self.rng.random_range(0..ENDPOINTS);
+                self.health[endpoint] = bad;
             }
         }
     }
 
-    /// A new process of the proxy goes on with some sessions that are established.
+    /// A new process of the proxy adopts some of the established sessions.
     fn restart(&mut self) {
         let seed = self.rng.random();
         self.balancer = Balancer::new(self.settings.clone(), seed, self.now);
-        self.list(ListScope::Cached, SERVERS - 1);
+        self.list(ListScope::Cached, ENDPOINTS - 1);
         self.balancer.take_over(self.now);
-        let standing: Vec<_> = self.open.drain(..).filter(|o| o.established).collect();
-        for open in standing.into_iter().take(40) {
+        let established: Vec<_> = self.open.drain(..).filter(|o| o.established).collect();
+        for open in established.into_iter().take(40) {
             let session = self.session();
-            let handle = self.balancer.adopt_established(self.now, session, open.server);
+            let handle = self.balancer.adopt_established(self.now, session, open.endpoint);
             self.fold(&[handle.number() as u64]);
-            self.open.push(Open { handle, server: open.server, dialling: false, established: true });
+            self.open.push(Open { handle, endpoint: open.endpoint, connecting: false, established: true });
         }
     }
 
@@ -399,15 +410,15 @@
         (!fit.is_empty()).then(|| fit[self.rng.random_range(0..fit.len())])
     }
 
-    /// Often a whole fraction of the window of the retry budget, or one tick more or less.
+    /// Returns a duration that is often a whole fraction of the retry budget's window, give or take a tick.
     fn edge_of_a_window(&mut self) -> TickDuration {
         [ticks(1), ticks(1_999), ticks(2_000), ticks(2_001), SECOND][self.rng.random_range(0..5)]
     }
 
-    /// A new process of the proxy comes up while half of the endpoints have just started.
+    /// A new process of the proxy starts when half of the endpoints have just started.
     fn restart_with_endpoints(&mut self) {
         self.restart();
-        let started: Vec<_> = (0..SERVERS / 2).map(|s| entry(s, EndpointState::Ready, self.now)).collect();
+        let started: Vec<_> = (0..ENDPOINTS / 2).map(|s| entry(s, EndpointState::Ready, self.now)).collect();
         self.balancer.update_endpoints(self.now, ListScope::Changes, &started);
     }
 
@@ -420,9 +431,9 @@
             760..800 => self.observe(),
             800..840 => self.health_check_ends(),
             840..855 => {
-                let server = self.rng.random_range(0..SERVERS);
-                let line = entry(server, EndpointState::Ready, self.now);
-                self.balancer.update_endpoints(self.now, ListScope::Changes, &[line]);
+                let endpoint = self.rng.random_range(0..ENDPOINTS);
+                let restarted = entry(endpoint, EndpointState::Ready, self.now);
+                self.balancer.update_endpoints(self.now, ListScope::Changes, &[restarted]);
             }
             855..862 => self.health_changes(),
             _ => {
@@ -449,8 +460,8 @@
                 self.balancer.client_left(handle);
             }
             _ => {
-                let longest = if n % 4_000 < 2_500 { SECOND / 10 } else { 2 * SECOND };
-                self.now += ticks(self.rng.random_range(1..longest.as_ticks()));
+                let max_wait = if n % 4_000 < 2_500 { SECOND / 10 } else { 2 * SECOND };
+                self.now += ticks(self.rng.random_range(1..max_wait.as_ticks()));
             }
         }
         self.poll();
@@ -504,7 +515,7 @@
     0x9fb8_33c1_04b8_cc54, 0x9f24_154c_9f02_0302, 0x4393_e702_cd5c_14af, 0x3640_1f83_45fa_660c,
 ];
 
-/// Runs every seed; returns its hashes and how often each kind of output was seen.
+/// Runs all seeds and returns their hashes and the number of outputs of each kind.
 fn run_all(stress: Stress, seeds: usize) -> (Vec<u64>, [usize; 11]) {
     let runs: Vec<_> = (0..seeds as u64).map(|variant| Trace::run(stress, variant)).collect();
     let mut seen = [0; 11];
@@ -515,15 +526,15 @@
 }
 
 #[test]
-fn every_decision_is_as_it_was() {
+fn decisions_match_the_recorded_hashes() {
     let (hashes, seen) = run_all(Stress::Everything, HASHES.len());
-    assert!(seen.iter().all(|&n| n >= 50), "an output that is hardly seen: {seen:?}");
+    assert!(seen.iter().all(|&n| n >= 50), "a kind of output is too rare: {seen:?}");
     assert_eq!(hashes, HASHES, "{seen:?} {hashes:#x?}");
 }
 
 #[test]
-fn every_decision_on_slow_starts_and_groups_is_as_it_was() {
+fn decisions_on_slow_starts_and_groups_match_the_recorded_hashes() {
     let (hashes, seen) = run_all(Stress::SlowStart, SLOW_START_HASHES.len());
-    assert!(seen[..5].iter().all(|&n| n >= 50), "an output that is hardly seen: {seen:?}");
+    assert!(seen[..5].iter().all(|&n| n >= 50), "a kind of output is too rare: {seen:?}");
     assert_eq!(hashes, SLOW_START_HASHES, "{seen:?} {hashes:#x?}");
 }
--- a/crates/larklink-balancer/tests/decisions/fixture.rs
+++ b/crates/larklink-balancer/tests/decisions/fixture.rs
@@ -1,4 +1,4 @@
-//! What the tests of the decisions share: settings, endpoints and sessions with sensible defaults.
+//! Test fixtures: default settings, endpoints and sessions.
 use std::ops::Range;
 
 use larklink_balancer::{
@@ -10,7 +10,7 @@
 
 pub(crate) const START: Timestamp = Timestamp::ZERO;
 
-/// The time so long after the start.
+/// Returns the time that is `since_start` after the start.
 pub(crate) fn at(since_start: TickDuration) -> Timestamp {
     START + since_start
 }
@@ -22,7 +22,7 @@
 pub(crate) const IDEMPOTENCY_OF_LISTENERS: [Idempotency; 5] = [
     Idempotency::Idempotent,
     Idempotency::OnceOnly,
-    // Long enough for a rejection, and no longer than a dial timeout and a Retry-After.
+    // The window allows a rejection, and is shorter than a dial timeout plus a Retry-After.
     Idempotency::WithKey { group: DeduplicationGroup::All, window: TickDuration::from_secs(2) },
     Idempotency::WithKey { group: DeduplicationGroup::Zone, window: SECOND },
     Idempotency::WithKey { group: DeduplicationGroup::Cell, window: SECOND },
@@ -51,7 +51,7 @@
     }
 }
 
-/// An endpoint of an id, zone and cell that follow from its index.
+/// Returns an endpoint whose id, zone and cell are derived from its index.
 pub(crate) fn entry(index: usize, state: EndpointState, started_at: Timestamp) -> EndpointEntry {
     EndpointEntry {
         endpoint: EndpointIndex(index),
@@ -74,14 +74,14 @@
     }
 }
 
-/// A balancer with so many ready endpoints.
-pub(crate) fn balancer_with(set: Settings, endpoints: usize) -> Balancer {
-    seeded_balancer(set, 7, 0..endpoints)
+/// Returns a balancer with `endpoints` ready endpoints.
+pub(crate) fn balancer_with(settings: Settings, endpoints: usize) -> Balancer {
+    seeded_balancer(settings, 7, 0..endpoints)
 }
 
-/// A balancer with these ready endpoints, whose random choices follow from the seed.
-pub(crate) fn seeded_balancer(set: Settings, seed: u64, endpoints: Range<usize>) -> Balancer {
-    let mut balancer = Balancer::new(set, seed, START);
+/// Returns a balancer with the given seed and ready endpoints.
+pub(crate) fn seeded_balancer(settings: Settings, seed: u64, endpoints: Range<usize>) -> Balancer {
+    let mut balancer = Balancer::new(settings, seed, START);
     let entries: Vec<_> = endpoints.map(|s| entry(s, EndpointState::Ready, START)).collect();
     balancer.update_endpoints(START, ListScope::Cached, &entries);
     balancer
@@ -98,7 +98,7 @@
     matches!(decision, Decision::Connect { endpoint, .. } if endpoint.0 == expected)
 }
 
-/// The final decision on a session that may wait, once the health checks of all endpoints have succeeded.
+/// Returns the decision on a session once all health checks that it waits for have succeeded.
 pub(crate) fn after_health_checks(
     balancer: &mut Balancer,
     now: Timestamp,
@@ -109,18 +109,18 @@
         (0..endpoints).for_each(|s| {
             balancer.health_checked(now, EndpointIndex(s), AttemptOutcome::Succeeded, ticks(10), 0.0, 0.0)
         });
-        let tell = |c| if let Action::Decided(_, decision) = c { Some(decision) } else { None };
+        let decided = |action| if let Action::Decided(_, decision) = action { Some(decision) } else { None };
         decision = balancer
             .poll(now)
             .into_iter()
-            .filter_map(tell)
+            .filter_map(decided)
             .next_back()
             .expect("the health checks have ended");
     }
     decision
 }
 
-/// The endpoint of the first attempt of a session, at a proxy in that zone.
-pub(crate) fn endpoint_of_first_attempt(zone: Option<u16>, ask: SessionRequest) -> usize {
-    endpoint_of(balancer_with(Settings { local_zone: zone, ..settings() }, 12).place(START, ask).1)
+/// Returns the endpoint of a session's first attempt by a proxy in `zone`.
+pub(crate) fn endpoint_of_first_attempt(zone: Option<u16>, request: SessionRequest) -> usize {
+    endpoint_of(balancer_with(Settings { local_zone: zone, ..settings() }, 12).place(START, request).1)
 }
--- a/crates/larklink-balancer/tests/decisions/health_check.rs
+++ b/crates/larklink-balancer/tests/decisions/health_check.rs
@@ -1,4 +1,4 @@
-//! When an endpoint is checked.
+//! Tests of when endpoints are health-checked.
 use std::collections::BTreeMap;
 
 use larklink_balancer::{
@@ -12,9 +12,9 @@
 };
 
 #[test]
-fn proxies_check_a_lost_endpoint_less_and_less_often_and_not_in_step() {
-    // A hundred proxies sent 170 health checks a second to the three endpoints of a lost zone.
-    let (mut asked, mut first) = (vec![0; 12], BTreeMap::new());
+fn proxies_check_a_lost_endpoint_with_backoff_and_not_in_lockstep() {
+    // A hundred proxies once sent 170 health checks per second to the three endpoints of a lost zone.
+    let (mut checks, mut first) = (vec![0; 12], BTreeMap::new());
     for seed in 0..100 {
         let mut balancer = Balancer::new(Settings { health_checks: true, ..settings() }, seed, START);
         balancer.update_endpoints(START, ListScope::Cached, &[entry(0, EndpointState::Ready, START)]);
@@ -22,8 +22,8 @@
         balancer.health_checked(START, EndpointIndex(0), AttemptOutcome::ConnectFailed, ticks(10), 0.0, 0.0);
         while balancer.next_wakeup() < at(12 * SECOND) {
             let now = balancer.next_wakeup();
-            for _ in balancer.poll(now).iter().filter(|c| matches!(c, Action::CheckHealth(_))) {
-                asked[(now.as_ticks() / SECOND.as_ticks()) as usize] += 1;
+            for _ in balancer.poll(now).iter().filter(|action| matches!(action, Action::CheckHealth(_))) {
+                checks[(now.as_ticks() / SECOND.as_ticks()) as usize] += 1;
                 balancer.health_checked(
                     now,
                     EndpointIndex(0),
@@ -35,9 +35,9 @@
             }
         }
     }
-    assert!(asked[0] >= 80, "a first failure is checked soon: {asked:?}");
-    assert!(asked[6..].iter().sum::<i32>() < 300 && asked[6..].iter().all(|n| *n > 0), "{asked:?}");
-    assert!(first.values().max() < Some(&5), "proxies check in step: {first:?}");
+    assert!(checks[0] >= 80, "too few checks soon after the first failure: {checks:?}");
+    assert!(checks[6..].iter().sum::<i32>() < 300 && checks[6..].iter().all(|n| *n > 0), "{checks:?}");
+    assert!(first.values().max() < Some(&5), "proxies check in lockstep: {first:?}");
 }
 
 #[test]
@@ -55,30 +55,36 @@
         1.2,
         0.0,
     );
-    let asked: Vec<_> =
-        balancer.poll(at(ticks(50))).into_iter().filter(|c| matches!(c, Action::CheckHealth(_))).collect();
+    let checked: Vec<_> = balancer
+        .poll(at(ticks(50)))
+        .into_iter()
+        .filter(|action| matches!(action, Action::CheckHealth(_)))
+        .collect();
     assert!(
-        asked.len() == 1 && asked[0] != Action::CheckHealth(EndpointIndex(owner)),
-        "the second is checked next: {asked:?}"
+        checked.len() == 1 && checked[0] != Action::CheckHealth(EndpointIndex(owner)),
+        "the second endpoint is not checked next: {checked:?}"
     );
-    let late = balancer.poll(at(SECOND)).into_iter().find_map(|c| match c {
-        Action::Decided(sess, decision) if sess == session => Some(endpoint_of(decision)),
+    let endpoint = balancer.poll(at(SECOND)).into_iter().find_map(|action| match action {
+        Action::Decided(handle, decision) if handle == session => Some(endpoint_of(decision)),
         _ => None,
     });
-    assert!(late.is_some_and(|s| s != owner), "a health check without an answer is not waited for: {late:?}");
+    assert!(
+        endpoint.is_some_and(|s| s != owner),
+        "not sent elsewhere after an unanswered health check: {endpoint:?}"
+    );
 }
 
-/// A report from before the first session says nothing of the load that came with it.
+/// A load report from before the first session does not include the load of the new sessions.
 #[test]
 fn an_endpoint_with_new_sessions_is_checked_soon_and_then_less_often() {
     let mut balancer = balancer_with(Settings { health_checks: true, load_reports: true, ..settings() }, 1);
-    let asked = |balancer: &mut Balancer, from: u64, to: u64| {
+    let checks_between = |balancer: &mut Balancer, from: u64, to: u64| {
         let rounds = (from * 5..to * 5).map(|n| at(n * SECOND / 5));
         let mut checks = 0;
         for now in rounds {
-            let asks = balancer.poll(now).contains(&Action::CheckHealth(EndpointIndex(0)));
-            checks += u32::from(asks);
-            if asks {
+            let due = balancer.poll(now).contains(&Action::CheckHealth(EndpointIndex(0)));
+            checks += u32::from(due);
+            if due {
                 balancer.health_checked(
                     now,
                     EndpointIndex(0),
@@ -95,9 +101,15 @@
     let (session, decision) = balancer.place(start, request(5, 0));
     assert!(connects_to(after_health_checks(&mut balancer, start, 1, decision), 0));
     balancer.established(start, session);
-    assert!((2..=3).contains(&asked(&mut balancer, 10, 12)), "twice in its first two seconds");
-    assert!((1..=2).contains(&asked(&mut balancer, 12, 18)), "after as long again as it has been checked");
-    assert!((7..=9).contains(&asked(&mut balancer, 40, 140)), "once in 64 connect timeouts in the end");
+    assert!((2..=3).contains(&checks_between(&mut balancer, 10, 12)), "not twice in its first two seconds");
+    assert!(
+        (1..=2).contains(&checks_between(&mut balancer, 12, 18)),
+        "not once or twice in the next six seconds"
+    );
+    assert!(
+        (7..=9).contains(&checks_between(&mut balancer, 40, 140)),
+        "not once in 64 connect timeouts in the end"
+    );
 }
 
 #[test]
@@ -110,20 +122,20 @@
     let checks = |from, balancer: &mut Balancer| {
         (from..from + 4)
             .flat_map(|n| balancer.poll(at(n * SECOND / 4)))
-            .filter(|c| *c == Action::CheckHealth(EndpointIndex(0)))
+            .filter(|action| *action == Action::CheckHealth(EndpointIndex(0)))
             .count()
     };
-    assert_eq!(checks(4, &mut balancer), 0, "it answered lately");
+    assert_eq!(checks(4, &mut balancer), 0, "checked although it answered recently");
     balancer.observe(at(2 * SECOND), session, Observation::Unresponsive);
-    assert!(checks(8, &mut balancer) > 0, "and is suspected now");
+    assert!(checks(8, &mut balancer) > 0, "not checked after an unanswered message");
 }
 
-/// Each check fails, so that the next endpoint is an unknown one again.
+/// Each check fails, so the next endpoint has no result either.
 #[test]
 fn a_session_waits_for_three_health_checks_at_most() {
     for seed in 0..20 {
-        let set = Settings { health_checks: true, ..settings() };
-        let mut balancer = seeded_balancer(set, seed, 0..12);
+        let settings = Settings { health_checks: true, ..settings() };
+        let mut balancer = seeded_balancer(settings, seed, 0..12);
         let (session, mut decision) = balancer.place(START, request(5, 0));
         let mut waits = 0;
         while decision == Decision::Wait {
@@ -144,7 +156,8 @@
                 _ => None,
             };
             let actions = balancer.poll(at(ticks(now)));
-            decision = actions.into_iter().find_map(decided).expect("its health check has ended");
+            decision =
+                actions.into_iter().find_map(decided).expect("a decision after its health check has ended");
         }
         assert_eq!(waits, 3, "seed {seed}");
         assert!(matches!(decision, Decision::Connect { .. }), "{decision:?}");
--- a/crates/larklink-balancer/tests/decisions/main.rs
+++ b/crates/larklink-balancer/tests/decisions/main.rs
@@ -1,4 +1,5 @@
-//! The decisions, a file for each concern: plain cases, most of them once met in a fleet, and random runs.
+//! Tests of the decisions, one file per concern: scenarios, most of them observed in a fleet, and property
+//! tests.
 mod bucket_table;
 mod concurrency_limit;
 mod discovery_schedule;
--- a/crates/larklink-balancer/tests/decisions/placement.rs
+++ b/crates/larklink-balancer/tests/decisions/placement.rs
@@ -1,4 +1,4 @@
-//! Which endpoint of a ranking a session goes to.
+//! Tests of the choice of a session's endpoint from its ranking.
 use std::collections::BTreeSet;
 
 use larklink_balancer::{
@@ -18,40 +18,40 @@
     for _ in 0..80 {
         count[endpoint_of(balancer.place(START, request(5, 0)).1)] += 1;
     }
-    assert!(count.iter().max() < Some(&60), "one group stays on one endpoint: {count:?}");
+    assert!(count.iter().max() < Some(&60), "all sessions stay on one endpoint: {count:?}");
 }
 
 #[test]
 fn a_reconnecting_client_passes_over_an_unused_endpoint_half_the_time() {
-    let again = SessionRequest { reconnecting: true, ..request(5, 0) };
-    let to = |ask: SessionRequest| {
+    let reconnecting = SessionRequest { reconnecting: true, ..request(5, 0) };
+    let endpoints = |request: SessionRequest| {
         (0..200).map(move |seed| {
             let mut balancer = seeded_balancer(settings(), seed, 0..8);
-            endpoint_of(balancer.place(START, ask).1)
+            endpoint_of(balancer.place(START, request).1)
         })
     };
-    let owner = to(request(5, 0)).next().expect("200 of them");
-    assert!(to(request(5, 0)).all(|s| s == owner), "a new client goes to the owner");
-    assert!((70..130).contains(&to(again).filter(|s| *s == owner).count()));
+    let owner = endpoints(request(5, 0)).next().expect("200 placements");
+    assert!(endpoints(request(5, 0)).all(|s| s == owner), "a new client does not go to the owner");
+    assert!((70..130).contains(&endpoints(reconnecting).filter(|s| *s == owner).count()));
 }
 
 #[test]
-fn an_established_session_goes_to_the_earlier_owner_of_its_bucket() {
-    let (mut balancer, early) = (
+fn an_established_session_goes_to_the_previous_owner_of_its_bucket() {
+    let (mut balancer, owner) = (
         balancer_with(settings(), 8),
         endpoint_of(balancer_with(settings(), 8).place(START, request(9, 0)).1),
     );
     let now = at(60 * SECOND);
-    balancer.update_endpoints(now, ListScope::Changes, &[entry(early, EndpointState::Draining, START)]);
+    balancer.update_endpoints(now, ListScope::Changes, &[entry(owner, EndpointState::Draining, START)]);
     let established = SessionRequest { established: true, ..request(9, 0) };
-    assert_eq!(endpoint_of(balancer.place(now + SECOND / 10, established).1), early);
-    assert_ne!(endpoint_of(balancer.place(now + SECOND, established).1), early);
+    assert_eq!(endpoint_of(balancer.place(now + SECOND / 10, established).1), owner);
+    assert_ne!(endpoint_of(balancer.place(now + SECOND, established).1), owner);
 }
 
-/// Half of 169 proxies died; the established sessions that came then must not all go to an endpoint that restarted
-/// three seconds before.
+/// When half of 169 proxies died, the established sessions that reconnected all went to an endpoint that had
+/// restarted three seconds before.
 #[test]
-fn a_recently_restarted_endpoint_is_not_the_earlier_owner_of_a_bucket() {
+fn a_recently_restarted_endpoint_is_not_the_previous_owner_of_a_bucket() {
     let (owner, now) =
         (endpoint_of(balancer_with(settings(), 8).place(START, request(9, 0)).1), at(60 * SECOND));
     let mut balancer = balancer_with(settings(), 8);
@@ -74,17 +74,17 @@
 #[test]
 fn overload_does_not_scatter_a_small_group_over_all_endpoints() {
     let mut balancer = balancer_with(settings(), 8);
-    let mut met = BTreeSet::new();
+    let mut used = BTreeSet::new();
     for key in 1..41 {
         let (session, decision) = balancer.place(START, request(key, 0));
         balancer.established(at(ticks(10)), session);
         balancer.observe(at(ticks(20)), session, Observation::MessageLatency(ticks(400)));
-        met.insert(endpoint_of(decision));
+        used.insert(endpoint_of(decision));
     }
-    assert_eq!(met.len(), 8, "all endpoints are overloaded");
-    let small: BTreeSet<_> =
+    assert_eq!(used.len(), 8, "not all endpoints are overloaded");
+    let group: BTreeSet<_> =
         (0..8).map(|_| endpoint_of(balancer.place(at(ticks(30)), request(50, 0)).1)).collect();
-    assert!(small.len() <= 3, "one group on {small:?}");
+    assert!(group.len() <= 3, "one group is on {group:?}");
 }
 
 /// The first two endpoints of the ranking have different weights.
@@ -93,21 +93,22 @@
     let mut sent = [0; 8];
     for seed in 0..300 {
         let mut balancer = Balancer::new(settings(), seed, START);
-        let weigh = |s| EndpointEntry {
+        let weighted_entry = |s| EndpointEntry {
             weight: if s % 2 == 0 { 4.0 } else { 1.0 },
             ..entry(s, EndpointState::Ready, at(TickDuration::ZERO))
         };
-        balancer.update_endpoints(START, ListScope::Cached, &(0..8).map(weigh).collect::<Vec<_>>());
+        balancer.update_endpoints(START, ListScope::Cached, &(0..8).map(weighted_entry).collect::<Vec<_>>());
         (0..12).for_each(|n| sent[endpoint_of(balancer.place(START, request(3, 0)).1)] += u32::from(n > 5));
     }
-    let mean = |rest| {
-        let met: Vec<_> = (0..8).filter(|s| s % 2 == rest && sent[*s] > 0).map(|s| sent[s]).collect();
-        f64::from(met.iter().sum::<u32>()) / met.len() as f64
+    let mean = |remainder| {
+        let used: Vec<_> = (0..8).filter(|s| s % 2 == remainder && sent[*s] > 0).map(|s| sent[s]).collect();
+        f64::from(used.iter().sum::<u32>()) / used.len() as f64
     };
     assert!(mean(0) > 2.0 * mean(1), "{sent:?}");
 }
 
-/// Two sessions that share a group by chance must not be taken for half of all sessions.
+/// A proxy with two sessions that share a group by chance must not estimate that the group has half of all
+/// sessions.
 #[test]
 fn two_sessions_of_one_group_do_not_count_as_a_large_group() {
     let entries: Vec<_> = (0..40).map(|s| entry(s, EndpointState::Ready, START)).collect();
@@ -117,25 +118,26 @@
         balancer.place(START, request(3, 0));
         endpoint_of(balancer.place(START, request(3, 0)).1)
     };
-    let met: BTreeSet<_> = (0..200).map(second).collect();
-    assert!(met.len() > 1 && met.len() < 9, "{met:?}");
+    let used: BTreeSet<_> = (0..200).map(second).collect();
+    assert!(used.len() > 1 && used.len() < 9, "{used:?}");
 }
 
-/// 150 proxies of ten sessions each: none sees by itself that the group is eight times the mean load.
+/// With 150 proxies of ten sessions each, no proxy sees from its own sessions that the group has eight times
+/// the mean load.
 #[test]
 fn hundreds_of_proxies_spread_a_group_that_is_larger_than_an_endpoint() {
-    let most = |group: fn(u64) -> u64, set: Settings| {
+    let max_sessions = |group: fn(u64) -> u64, settings: Settings| {
         let mut held = [0; 8];
         for seed in 0..150 {
-            let mut balancer = seeded_balancer(set.clone(), seed, 0..8);
+            let mut balancer = seeded_balancer(settings.clone(), seed, 0..8);
             (0..10).for_each(|n| {
                 held[endpoint_of(balancer.place(START, request(group(seed * 10 + n), 0)).1)] += 1
             });
         }
         held.into_iter().max().unwrap()
     };
-    let reported = most(|_| 3, Settings { load_reports: true, ..settings() });
-    let spread = most(|_| 3, settings());
+    let reported = max_sessions(|_| 3, Settings { load_reports: true, ..settings() });
+    let spread = max_sessions(|_| 3, settings());
     assert!(
         spread < 400 && reported > 400,
         "{spread} of 1500 on one endpoint, {reported} where loads are reported"
@@ -143,6 +145,6 @@
     assert_eq!(
         endpoint_of_first_attempt(None, request(5, 0)),
         endpoint_of(balancer_with(settings(), 12).place(at(ticks(9)), request(5, 0)).1),
-        "a single session is no large group"
+        "a single session is spread like a large group"
     );
 }
--- a/crates/larklink-balancer/tests/decisions/safety_rules.rs
+++ b/crates/larklink-balancer/tests/decisions/safety_rules.rs
@@ -1,4 +1,4 @@
-//! Random runs that check the safety rules after every step.
+//! Property tests that check the safety rules after every step of a random run.
 use std::collections::BTreeMap;
 
 use larklink_balancer::{
@@ -68,7 +68,7 @@
     sent_at: Timestamp,
 }
 
-/// A session that is not over.
+/// The expected state of a session that is not over.
 struct OpenSession {
     request: SessionRequest,
     deadline: Timestamp,
@@ -77,7 +77,7 @@
     /// The latest time at which the attempt in flight may be sent.
     send_deadline: Timestamp,
     established: bool,
-    /// It waits for a health check.
+    /// Whether the session waits for a health check.
     waiting: bool,
     /// The first attempt that may have run.
     may_have_run: Option<Attempt>,
@@ -105,7 +105,7 @@
         self.in_flight.is_some() && !self.established
     }
 
-    /// A session that may have run is retried only within its group and window.
+    /// Checks that a session that may have run is retried only within its deduplication group and window.
     fn check_retry(&self, now: Timestamp, endpoint: EndpointIndex, send_deadline: Timestamp) {
         let Some(first) = self.may_have_run else { return };
         let ran_at = entry(first.endpoint.0, EndpointState::Ready, at(TickDuration::ZERO));
@@ -124,7 +124,7 @@
         }
     }
 
-    /// A rejection tells the client that a retry has no second effect.
+    /// Checks that a session is rejected only if a retry by its client has no second effect.
     fn check_rejection(&self, now: Timestamp, retry_after: TickDuration) {
         let harmless = match (self.idempotency(), self.may_have_run) {
             (_, None) | (Idempotency::Idempotent, _) => true,
@@ -149,12 +149,12 @@
 
 impl RuleChecker {
     fn new(removal_not_binding: bool) -> Self {
-        let set = Settings { health_checks: true, removal_not_binding, ..settings() };
-        let balancer = balancer_with(set, 6);
+        let settings = Settings { health_checks: true, removal_not_binding, ..settings() };
+        let balancer = balancer_with(settings, 6);
         Self { balancer, now: START, open: BTreeMap::new(), notified: BTreeMap::new(), removal_not_binding }
     }
 
-    /// The four rules, as far as one proxy can break them.
+    /// Checks a decision against the safety rules, as far as a single proxy can break them.
     fn check(&mut self, handle: SessionHandle, decision: Decision) {
         let session = self.open.get_mut(&handle).expect("a decision on a session that is over");
         match decision {
@@ -177,7 +177,7 @@
         timeout: TickDuration,
         send_deadline: Timestamp,
     ) {
-        let (now, set) = (self.now, settings());
+        let (now, settings) = (self.now, settings());
         let session = self.open.get_mut(&handle).expect("an attempt of a session that is over");
         assert!(session.in_flight.is_none() && !session.established, "two attempts in flight");
         let in_time = now + timeout <= session.deadline && timeout > TickDuration::ZERO;
@@ -185,17 +185,17 @@
         let may_be_sent = now <= send_deadline && send_deadline <= session.deadline;
         assert!(may_be_sent, "a send deadline that is over, or after the client gives up");
         if let Some(notified) = self.notified.get(&endpoint) {
-            let within_grace = send_deadline <= *notified + set.drain_grace;
+            let within_grace = send_deadline <= *notified + settings.drain_grace;
             assert!(within_grace, "an attempt that may be sent past the drain grace");
         }
         session.check_retry(now, endpoint, send_deadline);
         session.attempts += 1;
-        assert!(session.attempts <= set.max_attempts, "too many attempts");
+        assert!(session.attempts <= settings.max_attempts, "too many attempts");
         session.in_flight = Some(Attempt { endpoint, sent_at: now });
         session.send_deadline = send_deadline;
     }
 
-    /// The n-th open session of those that fit, counted in turn.
+    /// Returns the n-th open session that satisfies `fits`, modulo their number.
     fn pick(&self, n: usize, fits: impl Fn(&OpenSession) -> bool) -> Option<SessionHandle> {
         let fit: Vec<_> =
             self.open.iter().filter(|(_, session)| fits(session)).map(|(handle, _)| *handle).collect();
@@ -245,8 +245,11 @@
         self.poll();
         for session in self.open.values().filter(|session| !session.established) {
             let forwarded = session.in_flight.is_some() || session.waiting;
-            assert!(forwarded, "a session neither answered nor forwarded");
-            assert!(self.now <= session.deadline, "a session without its answer past its dial timeout");
+            assert!(forwarded, "a session without a decision");
+            assert!(
+                self.now <= session.deadline,
+                "a session without a final decision after its dial timeout"
+            );
         }
     }
 
@@ -282,7 +285,7 @@
         }
     }
 
-    /// Lets time pass, polls whenever it is due, and ends attempts as their clients give up.
+    /// Advances the time, polls whenever it is due, and ends the attempts whose clients give up.
     fn wait(&mut self, duration: TickDuration) {
         let end = self.now + duration;
         while self.now < end {
--- a/crates/larklink-balancer/tests/decisions/slow_start.rs
+++ b/crates/larklink-balancer/tests/decisions/slow_start.rs
@@ -1,4 +1,4 @@
-//! What an endpoint that has just started gets.
+//! Tests of the quota of endpoints in slow start.
 use std::collections::BTreeMap;
 
 use larklink_balancer::{
@@ -11,7 +11,8 @@
     seeded_balancer, settings, ticks,
 };
 
-/// Three endpoints with 80 sessions, and a fourth, of index 0, in slow start.
+/// Returns a balancer with 80 sessions on three endpoints and a fourth endpoint, of index 0, that starts at
+/// the returned time.
 fn with_endpoint_in_slow_start() -> (Balancer, Timestamp) {
     let (mut balancer, now) = (balancer_with(settings(), 4), at(60 * SECOND));
     balancer.update_endpoints(START, ListScope::Changes, &[entry(0, EndpointState::Removed, START)]);
@@ -60,9 +61,10 @@
     }
 }
 
-/// Sessions sent to an endpoint in slow start in each second of it, and what the settings allow in it, where `proxies`
-/// place `rate` sessions a second each, all at the same moments, and the other endpoints report a capacity of 50;
-/// `full`: the others take no more.
+/// Returns the sessions sent to an endpoint in each second of its slow start, and a function that gives the
+/// number that the settings allow. Each of `proxies` places `rate` sessions per second, all at the same
+/// times, and the other endpoints report a capacity of 50. If `full`, the other endpoints accept no more
+/// sessions.
 fn sent_during_slow_start(
     proxies: u32,
     rate: u64,
@@ -85,7 +87,7 @@
                 in_flight,
             );
         } else {
-            // Without a count of sessions a load alone says nothing of the capacity.
+            // A load without a number of sessions does not determine the capacity.
             balancer.health_checked(START, EndpointIndex(1), AttemptOutcome::Succeeded, ticks(10), 0.5, 0.0);
             for n in 0..50 {
                 let (session, decision) = balancer.place(START, request(9 + n * 77, 0));
@@ -100,10 +102,10 @@
             &[entry(EndpointIndex(0).0, EndpointState::Ready, now)],
         );
         for n in 0..20 * rate {
-            let moment = now + n * SECOND / rate;
+            let now = now + n * SECOND / rate;
             for s in 1..endpoints * usize::from(full) {
                 balancer.health_checked(
-                    moment,
+                    now,
                     EndpointIndex(s),
                     AttemptOutcome::Succeeded,
                     ticks(10),
@@ -111,7 +113,7 @@
                     45.0,
                 );
             }
-            let (session, decision) = balancer.place(moment, request(1 + seed + n * 1000, 0));
+            let (session, decision) = balancer.place(now, request(1 + seed + n * 1000, 0));
             sent[(n / rate) as usize] += u32::from(connects_to(decision, 0));
             balancer.client_left(session);
         }
@@ -121,32 +123,35 @@
 
 #[test]
 fn any_number_of_proxies_use_the_slow_start_quota_and_keep_to_it() {
-    // Many proxies use less of the quota than a few, which send in turn: what each of hundreds sends is random, and its
-    // deviation has to fit in.
+    // Many proxies use less of the quota than a few, which send at regular intervals. Each of hundreds sends
+    // at random, and the deviation of their total must stay within the quota.
     let fleets =
         [(1, 300, 0.9), (4, 75, 0.9), (4, 300, 0.9), (100, 3, 0.45), (100, 10, 0.45), (300, 1, 0.45)];
     for (proxies, rate, used) in fleets {
         let (sent, allowed) = sent_during_slow_start(proxies, rate, 25.0, false);
         for (second, &sent) in sent.iter().enumerate() {
             let n = allowed(second);
-            let falls = n + 2.0 * n.sqrt() + 2.0;
-            assert!(f64::from(sent) <= falls, "{proxies} proxies: {sent} sends in second {second}");
+            let limit = n + 2.0 * n.sqrt() + 2.0;
+            assert!(f64::from(sent) <= limit, "{proxies} proxies: {sent} sends in second {second}");
         }
         let (all, n) = (sent.iter().sum::<u32>(), (0..20).map(allowed).sum::<f64>());
         assert!(f64::from(all) > used * n, "{proxies} proxies: {all} sends, {n} allowed");
         assert!(f64::from(all) < 1.05 * n, "{proxies} proxies: {all} sends, {n} allowed");
     }
     let (sent, _) = sent_during_slow_start(4, 75, 0.0, false);
-    assert!(sent.iter().sum::<u32>() > 10, "a load alone closes endpoints in slow start: {sent:?}");
+    assert!(
+        sent.iter().sum::<u32>() > 10,
+        "a load without a number of sessions stops the slow start: {sent:?}"
+    );
 }
 
-/// At twice the present capacity half of what four times allows, and its root, is sent.
+/// A multiple of two allows half of what a multiple of four allows, less the margin for random variation.
 #[test]
-fn a_smaller_overload_multiple_lets_less_through() {
+fn a_smaller_overload_multiple_admits_fewer_sessions() {
     let sends = |overload_multiple| {
-        let set = Settings { proxy_count: 40, overload_multiple, ..settings() };
+        let settings = Settings { proxy_count: 40, overload_multiple, ..settings() };
         let proxy = |seed| {
-            let mut balancer = seeded_balancer(set.clone(), seed, 1..10);
+            let mut balancer = seeded_balancer(settings.clone(), seed, 1..10);
             balancer.health_checked(START, EndpointIndex(1), AttemptOutcome::Succeeded, ticks(10), 0.5, 25.0);
             let now = at(60 * SECOND);
             balancer.update_endpoints(
@@ -167,16 +172,16 @@
         };
         (1..401).map(proxy).sum::<usize>() as f64
     };
-    let (tight, wide) = (sends(2.0), sends(4.0));
-    assert!(tight > 0.2 * wide && tight < 0.65 * wide, "{tight} at twice, {wide} at four times");
+    let (at_two, at_four) = (sends(2.0), sends(4.0));
+    assert!(at_two > 0.2 * at_four && at_two < 0.65 * at_four, "{at_two} at two, {at_four} at four");
 }
 
 #[test]
-fn a_session_keeps_its_share_of_the_quota_while_a_health_check_is_in_flight() {
-    let set = Settings { health_checks: true, load_reports: true, proxy_count: 10, ..settings() };
+fn a_session_keeps_its_quota_while_a_health_check_is_in_flight() {
+    let settings = Settings { health_checks: true, load_reports: true, proxy_count: 10, ..settings() };
     let (now, mut waited) = (at(60 * SECOND), 0);
     for seed in 0..100 {
-        let mut balancer = Balancer::new(set.clone(), seed, START);
+        let mut balancer = Balancer::new(settings.clone(), seed, START);
         balancer.update_endpoints(
             START,
             ListScope::Cached,
@@ -207,7 +212,7 @@
     assert!(waited > 10, "{waited} of 100");
 }
 
-/// All other endpoints are full, so that each session walks on to the one that has started.
+/// All other endpoints are full, so every session reaches the one in slow start.
 #[test]
 fn sessions_that_pass_over_full_endpoints_do_not_overload_one_in_slow_start() {
     let (sent, allowed) = sent_during_slow_start(57, 5, 25.0, true);
@@ -224,7 +229,7 @@
 }
 
 #[test]
-fn odd_slow_start_settings_let_little_through() {
+fn invalid_slow_start_settings_admit_few_sessions() {
     for (overload_multiple, initial_capacity, proxies) in
         [(-1.0, 0.2, 9), (0.5, 0.0, 9), (f64::NAN, 0.2, 9), (4.0, 0.2, 0)]
     {
@@ -237,13 +242,13 @@
             ListScope::Changes,
             &[entry(EndpointIndex(0).0, EndpointState::Ready, at(SECOND))],
         );
-        let cold = |key: &u64| {
+        let uses_slow_start = |key: &u64| {
             let (session, decision) = balancer.place(at(SECOND), request(*key, 0));
             balancer.established(at(SECOND), session);
             endpoint_of(decision) == 0
         };
-        let sent = (1..200).filter(cold).count();
-        assert!(sent <= 2, "{sent} at a multiple of {overload_multiple}, {proxies} proxies");
+        let sent = (1..200).filter(uses_slow_start).count();
+        assert!(sent <= 2, "{sent} sent at a multiple of {overload_multiple}, {proxies} proxies");
     }
 }
 
@@ -259,20 +264,21 @@
     assert!(sent <= 2, "{sent} sends to an endpoint that has just started");
 }
 
-/// Two hundred proxies learn of a new endpoint as a group migrates there, a session from each.
+/// Two hundred proxies are notified of a new endpoint while a group migrates to it, with one session at each
+/// proxy.
 #[test]
 fn a_group_that_reconnects_does_not_overload_its_new_endpoint() {
-    let sends = |again, others, health_checks| {
-        let set = Settings { proxy_count: 200, health_checks, ..settings() };
+    let sends = |reconnecting, others, health_checks| {
+        let fleet_settings = Settings { proxy_count: 200, health_checks, ..settings() };
         let key = (1..)
             .find(|key| endpoint_of(balancer_with(settings(), 30).place(START, request(*key, 0)).1) == 0)
             .unwrap();
         let proxy = |seed| {
-            let mut balancer = Balancer::new(set.clone(), seed, START);
+            let mut balancer = Balancer::new(fleet_settings.clone(), seed, START);
             let listed: Vec<_> = (1..30).map(|s| entry(s, EndpointState::Ready, START)).collect();
             balancer.update_endpoints(START, ListScope::Cached, &listed);
-            let first = |balancer: &mut Balancer, now, ask| {
-                let (session, decision) = balancer.place(now, ask);
+            let first = |balancer: &mut Balancer, now, request| {
+                let (session, decision) = balancer.place(now, request);
                 let endpoint = endpoint_of(after_health_checks(balancer, now, 30, decision));
                 balancer.established(now, session);
                 endpoint == 0
@@ -284,34 +290,38 @@
                 ListScope::Changes,
                 &[entry(EndpointIndex(0).0, EndpointState::Ready, now - SECOND)],
             );
-            first(&mut balancer, now + SECOND, SessionRequest { reconnecting: again, ..request(key, 0) })
+            first(&mut balancer, now + SECOND, SessionRequest { reconnecting, ..request(key, 0) })
         };
         (1..201).filter(|seed| proxy(*seed)).count()
     };
     for health_checks in [false, true] {
-        // 800 sessions on 29 endpoints: a fifth of an endpoint's 27 is six, which four times over makes it fall.
-        // Answers to health checks come too late: 339 proxies sent 19 within a second.
-        let (again, new) = (sends(true, 4, health_checks), sends(false, 4, health_checks));
-        assert!(again <= 24, "{again} at once to an endpoint that has just started");
+        // With 800 sessions on 29 endpoints, an endpoint has 27. The initial capacity, a fifth of them, is
+        // six sessions, and the endpoint is overloaded at four times that number. Health checks do not help,
+        // as their results arrive too late: 339 proxies sent 19 sessions within a second.
+        let (reconnecting, new) = (sends(true, 4, health_checks), sends(false, 4, health_checks));
+        assert!(reconnecting <= 24, "{reconnecting} at once to an endpoint that has just started");
         assert!(
-            new > 2 * again,
-            "{new} new sessions are spread over all endpoints, which needs no such care"
+            new > 2 * reconnecting,
+            "{new} new sessions at once: they are spread over all endpoints and need no such limit"
         );
     }
-    // A fleet with small groups only: new endpoints must not stay idle.
-    let (again, new) = (sends(true, 20, false), sends(false, 20, false));
-    assert!(again * 2 > new, "{again} of {new}, where twenty sessions of a proxy share no group");
+    // In a fleet with small groups only, new endpoints must not stay idle.
+    let (reconnecting, new) = (sends(true, 20, false), sends(false, 20, false));
+    assert!(
+        reconnecting * 2 > new,
+        "{reconnecting} of {new}, with twenty sessions per proxy that share no group"
+    );
 }
 
-/// A failed connection is evidence of a restart; a message that is only late is none.
+/// A failed connection is evidence of a restart. A handshake that only times out is not.
 #[test]
-fn an_endpoint_that_failed_unseen_by_the_list_comes_back_in_slow_start() {
-    let sent = |how| {
+fn an_endpoint_that_recovers_without_a_list_update_is_in_slow_start() {
+    let sent = |outcome| {
         let mut balancer = balancer_with(settings(), 4);
         let placed: Vec<_> = (1..81).map(|key| balancer.place(START, request(key, 0))).collect();
         placed.iter().for_each(|(session, _)| balancer.established(at(ticks(10)), *session));
-        let on = placed.iter().find(|(_, to)| endpoint_of(*to) == 0).unwrap().0;
-        balancer.attempt_ended(at(SECOND), on, how, true);
+        let session = placed.iter().find(|(_, to)| endpoint_of(*to) == 0).unwrap().0;
+        balancer.attempt_ended(at(SECOND), session, outcome, true);
         balancer.health_checked(
             at(2 * SECOND),
             EndpointIndex(0),
@@ -325,12 +335,12 @@
     };
     assert!(
         sent(AttemptOutcome::Reset) <= 2,
-        "{} sessions to an endpoint that has just come back",
+        "{} sessions to an endpoint that has just recovered",
         sent(AttemptOutcome::Reset)
     );
     assert!(
         sent(AttemptOutcome::TimedOut) > 20,
-        "{} sessions to an endpoint that was late once",
+        "{} sessions to an endpoint that timed out once",
         sent(AttemptOutcome::TimedOut)
     );
 }
--- a/crates/larklink-balancer/tests/session_store_overload.rs
+++ b/crates/larklink-balancer/tests/session_store_overload.rs
@@ -1,6 +1,8 @@
-//! A session store shared by all endpoints, behind a fleet whose proxies are restarted in turn. It has a fixed rate,
-//! serves its queue in order, and goes on with attempts whose clients have gone. Rejected and timed-out clients retry a
-//! bounded number of times, and new ones keep arriving. A restarted proxy knows nothing of the overload that it meets.
+//! Simulation of a fleet whose proxies are restarted one after another, with a session store shared by all
+//! endpoints. Guards against an overload of the store that outlasts the restarts. The store has a fixed rate,
+//! processes its queue in order, and also processes attempts whose clients have left. Rejected and timed-out
+//! clients retry a bounded number of times, and new ones keep arriving. A restarted proxy does not know that
+//! the store is overloaded.
 use std::collections::BTreeSet;
 use std::ops::Range;
 
@@ -24,18 +26,20 @@
 }
 
 const SECOND: TickDuration = TickDuration::from_secs(1);
-/// Handshakes a second that the store can do, at 30 proxies and at 300. Under about 0.4 a second for each proxy the
-/// half-open attempts alone, one in four seconds, are most of it.
+/// The number of proxies and the handshakes per second that the store can process. Below about 0.4 handshakes
+/// per second and proxy, the half-open attempts, one in four seconds per proxy, would use most of the
+/// capacity.
 const STORE_CAPACITY: [(usize, u64); 2] = [(30, 120), (300, 240)];
 const ENDPOINTS: usize = 40;
-/// One in so many endpoints hangs all the time.
+/// One in this many endpoints hangs all the time.
 const HANGING_PERIOD: usize = 20;
-/// Sessions established at the start; new ones come at OFFERED_LOAD times the capacity of the store.
+/// The number of sessions established at the start.
 const ESTABLISHED: usize = 3000;
+/// The rate of new sessions, as a multiple of the store's capacity.
 const OFFERED_LOAD: f64 = 1.3;
-/// The most retries of a client.
+/// A client gives up before this number of retries.
 const MAX_CLIENT_RETRIES: u32 = 10;
-/// A tenth of the proxies is restarted each step.
+/// The time between restarts of a tenth of the proxies.
 const RESTART_STEP: TickDuration = TickDuration::from_millis(1_600);
 const FIRST_RESTART: Timestamp = Timestamp::from_ticks(200_000);
 const LAST_RESTART: Timestamp = Timestamp::from_ticks(200_000 + 9 * 16_000);
@@ -67,9 +71,9 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A client arrives, after so many retries.
+    /// A client arrives after a number of retries.
     ClientArrives(u32),
-    /// The store has finished the handshake of an attempt.
+    /// The store has completed the handshake of an attempt.
     HandshakeDone {
         proxy: usize,
         incarnation: u32,
@@ -94,24 +98,26 @@
 struct Proxy {
     balancer: Balancer,
     incarnation: u32,
-    /// Sessions by their handle: retries of the client before this one, and the number of their latest attempt.
+    /// By handle of the session: the number of the client's earlier retries and the number of the latest
+    /// attempt.
     sessions: std::collections::BTreeMap<SessionHandle, (u32, u32)>,
 }
 
 struct Fleet {
-    set: Settings,
+    settings: Settings,
     rng: ChaCha8Rng,
     entries: Vec<EndpointEntry>,
-    proxies_state: Vec<Proxy>,
+    proxies: Vec<Proxy>,
     events: BTreeSet<(Timestamp, u64, Event)>,
     count: u64,
     capacity: u64,
-    /// Since when each proxy has rejected sessions without an attempt, and how many; and which proxies rejected
-    /// everything, fifteen sessions or more, for four seconds.
+    /// For each proxy, the start and the number of its rejections since the latest attempt.
     rejections: Vec<(Timestamp, u32)>,
+    /// The proxies that rejected all sessions, at least fifteen, for four seconds.
     rejecting_all: BTreeSet<usize>,
-    /// When the queue of the store is empty.
+    /// When the store has processed its queue.
     store_free_at: Timestamp,
+    /// When the store completed each handshake.
     served: Vec<Timestamp>,
 }
 
@@ -123,31 +129,31 @@
 
     fn retry_later(&mut self, now: Timestamp, retries: u32, wait: TickDuration) {
         if retries + 1 < MAX_CLIENT_RETRIES {
-            let own = random_duration(&mut self.rng, SECOND / 50..SECOND * 15 / 100);
+            let backoff = random_duration(&mut self.rng, SECOND / 50..SECOND * 15 / 100);
             // Seven in ten clients respect Retry-After.
-            let wait = if self.rng.random_bool(0.7) { wait.max(own) } else { own };
+            let wait = if self.rng.random_bool(0.7) { wait.max(backoff) } else { backoff };
             self.schedule(now + wait, Event::ClientArrives(retries + 1));
         }
     }
 
     fn carry_out(&mut self, now: Timestamp, p: usize, handle: SessionHandle, decision: Decision) {
-        let incarnation = self.proxies_state[p].incarnation;
+        let incarnation = self.proxies[p].incarnation;
         match decision {
-            Decision::Connect { timeout: limit, endpoint, .. } => {
+            Decision::Connect { timeout, endpoint, .. } => {
                 self.rejections[p].1 = 0;
-                let proxy_state = self.proxies_state[p].sessions.get_mut(&handle).expect("a session of ours");
-                proxy_state.1 += 1;
-                let attempt = proxy_state.1;
-                // The network and the endpoint take some milliseconds besides.
+                let session = self.proxies[p].sessions.get_mut(&handle).expect("an open session");
+                session.1 += 1;
+                let attempt = session.1;
+                // The network and the endpoint add some milliseconds.
                 let hangs = endpoint.0 % HANGING_PERIOD == 0;
                 self.store_free_at = self.store_free_at.max(now)
                     + if hangs { TickDuration::ZERO } else { SECOND / self.capacity };
-                let through = self.store_free_at + ticks(self.rng.random_range(30..60));
-                if through < now + limit && !hangs {
-                    self.schedule(through, Event::HandshakeDone { proxy: p, incarnation, handle, attempt });
+                let done_at = self.store_free_at + ticks(self.rng.random_range(30..60));
+                if done_at < now + timeout && !hangs {
+                    self.schedule(done_at, Event::HandshakeDone { proxy: p, incarnation, handle, attempt });
                 } else {
                     self.schedule(
-                        now + limit,
+                        now + timeout,
                         Event::AttemptTimedOut { proxy: p, incarnation, handle, attempt },
                     );
                 }
@@ -160,19 +166,19 @@
                 if *n >= 15 && *since + 4 * SECOND <= now {
                     self.rejecting_all.insert(p);
                 }
-                let (retries, _) = self.proxies_state[p].sessions.remove(&handle).expect("a session of ours");
+                let (retries, _) = self.proxies[p].sessions.remove(&handle).expect("an open session");
                 self.retry_later(now, retries, retry_after);
             }
             Decision::Fail => {
-                let (retries, _) = self.proxies_state[p].sessions.remove(&handle).expect("a session of ours");
+                let (retries, _) = self.proxies[p].sessions.remove(&handle).expect("an open session");
                 self.retry_later(now, retries, TickDuration::ZERO);
             }
         }
     }
 
     fn poll(&mut self, now: Timestamp, p: usize) {
-        let incarnation = self.proxies_state[p].incarnation;
-        for action in self.proxies_state[p].balancer.poll(now) {
+        let incarnation = self.proxies[p].incarnation;
+        for action in self.proxies[p].balancer.poll(now) {
             match action {
                 Action::CheckHealth(endpoint) => {
                     self.schedule(now + ticks(20), Event::HealthChecked { proxy: p, incarnation, endpoint })
@@ -180,8 +186,8 @@
                 Action::Decided(handle, decision) => self.carry_out(now, p, handle, decision),
                 // The clients of migrated sessions reconnect.
                 Action::Migrate(handle) => {
-                    if let Some((_, _)) = self.proxies_state[p].sessions.remove(&handle) {
-                        self.proxies_state[p].balancer.client_left(handle);
+                    if let Some((_, _)) = self.proxies[p].sessions.remove(&handle) {
+                        self.proxies[p].balancer.client_left(handle);
                         self.retry_later(now, 0, TickDuration::ZERO);
                     }
                 }
@@ -190,60 +196,54 @@
         }
     }
 
-    fn restarted(&mut self, now: Timestamp, p: usize) -> Proxy {
-        let mut balancer = Balancer::new(self.set.clone(), self.rng.random(), now);
+    /// Returns a new process of a proxy.
+    fn new_process(&mut self, now: Timestamp, p: usize) -> Proxy {
+        let mut balancer = Balancer::new(self.settings.clone(), self.rng.random(), now);
         balancer.update_endpoints(now, ListScope::Cached, &self.entries);
-        let incarnation = self.proxies_state.get(p).map_or(0, |old| old.incarnation + 1);
+        let incarnation = self.proxies.get(p).map_or(0, |old| old.incarnation + 1);
         Proxy { balancer, incarnation, sessions: Default::default() }
     }
 
     fn request(&mut self, reconnecting: bool) -> SessionRequest {
-        let (client_key, dial_timeout) = (self.rng.random(), self.set.max_dial_timeout);
+        let (client_key, dial_timeout) = (self.rng.random(), self.settings.max_dial_timeout);
         SessionRequest { client_key, dial_timeout, reconnecting, ..SessionRequest::default() }
     }
 
-    fn event(&mut self, now: Timestamp, event: Event) {
+    fn handle_event(&mut self, now: Timestamp, event: Event) {
         match event {
             Event::ClientArrives(retries) => {
-                let (p, request) = (self.rng.random_range(0..self.proxies_state.len()), self.request(false));
-                let (handle, decision) = self.proxies_state[p].balancer.place(now, request);
-                self.proxies_state[p].sessions.insert(handle, (retries, 0));
+                let (p, request) = (self.rng.random_range(0..self.proxies.len()), self.request(false));
+                let (handle, decision) = self.proxies[p].balancer.place(now, request);
+                self.proxies[p].sessions.insert(handle, (retries, 0));
                 self.carry_out(now, p, handle, decision);
                 self.poll(now, p);
             }
             Event::HandshakeDone { proxy, incarnation, handle, attempt }
             | Event::AttemptTimedOut { proxy, incarnation, handle, attempt } => {
-                let proxy_state = &mut self.proxies_state[proxy];
-                if proxy_state.incarnation != incarnation
-                    || proxy_state.sessions.get(&handle).is_none_or(|s| s.1 != attempt)
+                let state = &mut self.proxies[proxy];
+                if state.incarnation != incarnation
+                    || state.sessions.get(&handle).is_none_or(|s| s.1 != attempt)
                 {
                     return;
                 }
                 if matches!(event, Event::HandshakeDone { .. }) {
-                    proxy_state.balancer.established(now, handle);
+                    state.balancer.established(now, handle);
                     self.served.push(now);
                 } else {
-                    let (retries, _) = proxy_state.sessions.remove(&handle).expect("just seen");
-                    proxy_state.balancer.attempt_ended(now, handle, AttemptOutcome::TimedOut, true);
+                    let (retries, _) = state.sessions.remove(&handle).expect("an open session");
+                    state.balancer.attempt_ended(now, handle, AttemptOutcome::TimedOut, true);
                     self.retry_later(now, retries, TickDuration::ZERO);
                 }
                 self.poll(now, proxy);
             }
             Event::HealthChecked { proxy, incarnation, endpoint } => {
-                if self.proxies_state[proxy].incarnation == incarnation {
+                if self.proxies[proxy].incarnation == incarnation {
                     let outcome = if endpoint.0 % HANGING_PERIOD == 0 {
                         AttemptOutcome::TimedOut
                     } else {
                         AttemptOutcome::Succeeded
                     };
-                    self.proxies_state[proxy].balancer.health_checked(
-                        now,
-                        endpoint,
-                        outcome,
-                        ticks(20),
-                        0.3,
-                        30.0,
-                    );
+                    self.proxies[proxy].balancer.health_checked(now, endpoint, outcome, ticks(20), 0.3, 30.0);
                     self.poll(now, proxy);
                 }
             }
@@ -252,10 +252,10 @@
                 self.schedule(now + SECOND / 5, Event::Poll(p));
             }
             Event::Restart(p) => {
-                let new = self.restarted(now, p);
+                let new = self.new_process(now, p);
                 self.rejections[p].1 = 0;
-                let old = std::mem::replace(&mut self.proxies_state[p], new);
-                // Its clients reconnect within a second, to any proxy.
+                let old = std::mem::replace(&mut self.proxies[p], new);
+                // The clients of the old process reconnect within a second, to any proxy.
                 for _ in old.sessions {
                     let back = now + random_duration(&mut self.rng, SECOND * 6 / 100..SECOND * 9 / 10);
                     self.schedule(back, Event::ClientArrives(0));
@@ -265,9 +265,10 @@
     }
 }
 
-/// Handshakes done in each second, as shares of the capacity of the store, and how many proxies rejected everything.
-fn simulate(proxies: usize, capacity: u64, dial_timeout: TickDuration, seed: u64) -> (Vec<f64>, usize) {
-    let (set, rng) = (settings(proxies, dial_timeout), ChaCha8Rng::seed_from_u64(seed));
+/// Runs the simulation. Returns the handshakes completed in each second as fractions of the store's capacity,
+/// and the number of proxies that rejected all sessions for a time.
+fn simulate(proxy_count: usize, capacity: u64, dial_timeout: TickDuration, seed: u64) -> (Vec<f64>, usize) {
+    let (settings, rng) = (settings(proxy_count, dial_timeout), ChaCha8Rng::seed_from_u64(seed));
     let entry = |s: usize| EndpointEntry {
         endpoint: EndpointIndex(s),
         id: 77 + 1000 * s as u32,
@@ -275,13 +276,13 @@
         ..EndpointEntry::default()
     };
     let entries = (0..ENDPOINTS).map(entry).collect();
-    let (proxies_state, events, served) = (Vec::new(), BTreeSet::new(), Vec::new());
-    let (rejections, rejecting_all) = (vec![(Timestamp::ZERO, 0); proxies], BTreeSet::new());
-    let mut d = Fleet {
-        set,
+    let (proxies, events, served) = (Vec::new(), BTreeSet::new(), Vec::new());
+    let (rejections, rejecting_all) = (vec![(Timestamp::ZERO, 0); proxy_count], BTreeSet::new());
+    let mut fleet = Fleet {
+        settings,
         rng,
         entries,
-        proxies_state,
+        proxies,
         events,
         count: 0,
         capacity,
@@ -290,41 +291,42 @@
         store_free_at: Timestamp::ZERO,
         served,
     };
-    for p in 0..proxies {
-        let new = d.restarted(Timestamp::ZERO, p);
-        d.proxies_state.push(new);
-        d.schedule(at(ticks(d.count % 200 * 10)), Event::Poll(p));
-        d.schedule(FIRST_RESTART + (p * 10 / proxies) as u64 * RESTART_STEP, Event::Restart(p));
+    for p in 0..proxy_count {
+        let new = fleet.new_process(Timestamp::ZERO, p);
+        fleet.proxies.push(new);
+        fleet.schedule(at(ticks(fleet.count % 200 * 10)), Event::Poll(p));
+        fleet.schedule(FIRST_RESTART + (p * 10 / proxy_count) as u64 * RESTART_STEP, Event::Restart(p));
     }
     for n in 0..ESTABLISHED {
-        let request = d.request(false);
-        let proxy_state = &mut d.proxies_state[n % proxies];
-        let handle = proxy_state.balancer.adopt_established(
-            Timestamp::ZERO,
-            request,
-            EndpointIndex(n * 7 % ENDPOINTS),
-        );
-        proxy_state.sessions.insert(handle, (0, 0));
+        let request = fleet.request(false);
+        let proxy = &mut fleet.proxies[n % proxy_count];
+        let handle =
+            proxy.balancer.adopt_established(Timestamp::ZERO, request, EndpointIndex(n * 7 % ENDPOINTS));
+        proxy.sessions.insert(handle, (0, 0));
     }
     let gap = TickDuration::from_f64(SECOND.as_f64() / (capacity as f64 * OFFERED_LOAD));
     let arrivals_until = |end: Timestamp| end.as_ticks() / gap.as_ticks();
-    (0..arrivals_until(FIRST_RESTART) / 2).for_each(|n| d.schedule(at(n * gap * 2), Event::ClientArrives(0)));
+    (0..arrivals_until(FIRST_RESTART) / 2)
+        .for_each(|n| fleet.schedule(at(n * gap * 2), Event::ClientArrives(0)));
     (arrivals_until(FIRST_RESTART)..arrivals_until(END))
-        .for_each(|n| d.schedule(at(n * gap), Event::ClientArrives(0)));
-    while let Some((now, _, event)) = d.events.pop_first().filter(|e| e.0 < END) {
-        d.event(now, event);
+        .for_each(|n| fleet.schedule(at(n * gap), Event::ClientArrives(0)));
+    while let Some((now, _, event)) = fleet.events.pop_first().filter(|e| e.0 < END) {
+        fleet.handle_event(now, event);
     }
-    let share =
-        |from: Timestamp| d.served.iter().filter(|t| (from..from + SECOND).contains(*t)).count() as f64;
+    let completed =
+        |from: Timestamp| fleet.served.iter().filter(|t| (from..from + SECOND).contains(*t)).count() as f64;
     (
-        (0..END.as_ticks() / SECOND.as_ticks()).map(|s| share(at(s * SECOND)) / capacity as f64).collect(),
-        d.rejecting_all.len(),
+        (0..END.as_ticks() / SECOND.as_ticks())
+            .map(|s| completed(at(s * SECOND)) / capacity as f64)
+            .collect(),
+        fleet.rejecting_all.len(),
     )
 }
 
-/// Restarted proxies must take timeouts for a sign of the store: else what they send keeps its queue full for good.
+/// Restarted proxies must treat timeouts as overload of the store. Otherwise their attempts keep its queue
+/// full forever.
 #[test]
-fn overload_that_restarts_begin_ends_with_them() {
+fn overload_caused_by_restarts_ends_after_them() {
     let second = |time: Timestamp| (time.as_ticks() / SECOND.as_ticks()) as usize;
     let seconds = |from: Timestamp, to: Timestamp| second(from)..second(to);
     for ((proxies, capacity), dial_timeout) in STORE_CAPACITY.iter().flat_map(|b| [(*b, 9), (*b, 32)]) {
@@ -334,9 +336,9 @@
                 "{proxies} proxies, dial timeout of {dial_timeout} tenths of a second, seed {seed}: {served:.2?}"
             );
             let mean = |s: std::ops::Range<usize>| served[s.clone()].iter().sum::<f64>() / s.len() as f64;
-            let calm = mean(seconds(at(3 * SECOND), FIRST_RESTART)) / OFFERED_LOAD * 2.0;
-            assert!(calm > 0.97, "{calm:.2} of the load before the restarts, {name}");
-            assert!(rejecting_all * 10 <= proxies, "{rejecting_all} reject everything, {name}");
+            let before = mean(seconds(at(3 * SECOND), FIRST_RESTART)) / OFFERED_LOAD * 2.0;
+            assert!(before > 0.97, "{before:.2} of the load is served before the restarts, {name}");
+            assert!(rejecting_all * 10 <= proxies, "{rejecting_all} proxies reject all sessions, {name}");
             for from in seconds(LAST_RESTART + 5 * SECOND, END - 2 * SECOND) {
                 assert!(mean(from..from + 3) >= 0.9, "{from} s, {name}");
             }
--- a/crates/larklink-balancer/tests/slow_start_fleet.rs
+++ b/crates/larklink-balancer/tests/slow_start_fleet.rs
@@ -1,6 +1,8 @@
-//! What all proxies together send to each endpoint in slow start when seven in ten of them are killed, half of the
-//! endpoints have started lately, one after another, and all clients reconnect within a second, large groups each to
-//! one owner. The killed proxies come back one by one, and each learns of the new endpoints at its own time.
+//! Simulations of the load that all proxies together send to endpoints in slow start. Guards against an
+//! overload of such an endpoint after a mass restart: seven in ten proxies are killed, half of the endpoints
+//! have started recently, one after another, and all clients reconnect within a second, each large group to a
+//! single owner. The killed proxies restart one by one, and each is notified of the new endpoints at its own
+//! time.
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 
@@ -21,54 +23,57 @@
 
 const SECOND: TickDuration = TickDuration::from_secs(1);
 const NOW: Timestamp = Timestamp::from_ticks(1_000_000);
-/// The sessions that an endpoint can take after its slow start, and its mean number.
+/// The number of sessions that an endpoint can take after its slow start, and the mean number that it has.
 const CAPACITY: f64 = 60.0;
 const MEAN_SESSIONS: usize = 25;
 
-/// What the settings allow of an endpoint in slow start.
+/// The settings of slow start.
 #[derive(Clone, Copy)]
-struct Allowance {
+struct SlowStartSettings {
     overload_multiple: f64,
     overload_window: TickDuration,
     slow_start_duration: TickDuration,
 }
 
-const USUAL: Allowance = Allowance {
+const USUAL: SlowStartSettings = SlowStartSettings {
     overload_multiple: 3.0,
     overload_window: TickDuration::from_secs(2),
     slow_start_duration: TickDuration::from_secs(20),
 };
 
-/// A fleet, and how many sessions share a key.
+/// A fleet and its settings.
 #[derive(Clone, Copy)]
 struct FleetModel {
     proxies: usize,
     endpoints: usize,
+    /// The number of sessions that share a group key.
     group: usize,
-    allowed: Allowance,
-    /// All proxies are back and notified when the clients reconnect; else each at its own time.
-    step: bool,
-    /// Without it proxies know of no slow start.
-    budget: bool,
+    slow_start: SlowStartSettings,
+    /// Whether all proxies are up and notified when the clients start to reconnect. Otherwise each starts or
+    /// is notified at its own time.
+    simultaneous: bool,
+    /// Whether proxies enforce the slow start quota.
+    quota: bool,
 }
 
-/// What one or more runs of a model show.
+/// The result of one or more runs of a model.
 #[derive(Clone, Copy, Default)]
 struct RunResult {
-    /// The most that an endpoint in slow start was sent, over its limit.
+    /// The maximum over all endpoints in slow start of the sessions sent within a window, divided by the
+    /// limit.
     worst_overload: f64,
-    /// Sessions sent to endpoints in slow start.
+    /// The number of sessions sent to endpoints in slow start.
     sent: usize,
-    /// Sessions that arrived.
+    /// The number of sessions that arrived.
     arrived: usize,
 }
 
-/// A run of a model: its proxies, and what they sent to endpoints in slow start.
+/// A run of a model.
 struct Run {
     model: FleetModel,
     seed: u64,
     rng: ChaCha8Rng,
-    /// Every other endpoint is in slow start.
+    /// The endpoints, every other one in slow start.
     entries: Vec<EndpointEntry>,
     proxies: Vec<Balancer>,
     /// When sessions were sent to each endpoint in slow start.
@@ -86,9 +91,9 @@
             proxy_count: self.proxies as u32,
             drain_grace: SECOND / 2,
             initial_capacity: 0.2,
-            slow_start_duration: self.allowed.slow_start_duration,
-            overload_multiple: self.allowed.overload_multiple,
-            overload_window: self.allowed.overload_window,
+            slow_start_duration: self.slow_start.slow_start_duration,
+            overload_multiple: self.slow_start.overload_multiple,
+            overload_window: self.slow_start.overload_window,
             connect_timeout: SECOND / 5,
             max_attempts: 3,
             load_reports: true,
@@ -98,13 +103,14 @@
         }
     }
 
-    /// What the proxies are told.
+    /// Returns the settings of the proxies.
     fn settings_of_proxies(&self) -> Settings {
-        let known = if self.budget { self.allowed.slow_start_duration } else { TickDuration::ZERO };
-        Settings { slow_start_duration: known, ..self.settings() }
+        let slow_start_duration =
+            if self.quota { self.slow_start.slow_start_duration } else { TickDuration::ZERO };
+        Settings { slow_start_duration, ..self.settings() }
     }
 
-    /// How many sessions an endpoint of that age may be sent within the overload window.
+    /// Returns the number of sessions that an endpoint of that age may be sent within the overload window.
     fn limit(&self, age: TickDuration) -> f64 {
         let settings = self.settings();
         let duration = settings.slow_start_duration.as_f64();
@@ -115,7 +121,7 @@
 }
 
 impl Run {
-    /// `started_at` of every other endpoint; the others started long ago.
+    /// Creates a run. `started_at` gives the start of every other endpoint; the others started long ago.
     fn new(model: FleetModel, seed: u64, started_at: impl Fn(u64) -> Timestamp) -> Self {
         let entry = |endpoint: usize| EndpointEntry {
             endpoint: EndpointIndex(endpoint),
@@ -138,12 +144,13 @@
         }
     }
 
-    /// A proxy that starts with the endpoint list and one report of an endpoint that started long ago.
-    fn add_proxy(&mut self, started: Timestamp, knows_new: bool, reported_at: Timestamp) {
+    /// Adds a proxy that starts with the endpoint list and one load report of an endpoint that started long
+    /// ago.
+    fn add_proxy(&mut self, started: Timestamp, lists_new: bool, reported_at: Timestamp) {
         let seed = self.seed * 1000 + self.proxies.len() as u64;
         let mut balancer = Balancer::new(self.model.settings_of_proxies(), seed, started);
-        let known = |entry: &&EndpointEntry| knows_new || entry.started_at == Timestamp::ZERO;
-        let listed: Vec<_> = self.entries.iter().filter(known).copied().collect();
+        let is_listed = |entry: &&EndpointEntry| lists_new || entry.started_at == Timestamp::ZERO;
+        let listed: Vec<_> = self.entries.iter().filter(is_listed).copied().collect();
         balancer.update_endpoints(started, ListScope::Cached, &listed);
         balancer.health_checked(
             reported_at,
@@ -156,7 +163,7 @@
         self.proxies.push(balancer);
     }
 
-    /// The n-th session, counted from 0.
+    /// Returns the request of the n-th session, from 0.
     fn request(&self, n: usize, reconnecting: bool) -> SessionRequest {
         SessionRequest {
             listener: 0,
@@ -183,11 +190,11 @@
         }
     }
 
-    /// The most that an endpoint was sent within a window, over its limit. The limit is taken in the middle of the
-    /// window, since capacity grows within it, and only while the slow start lasts: a short one is over before the
-    /// last sessions arrive.
+    /// Returns the maximum number of sessions sent to an endpoint within a window, divided by its limit. The
+    /// limit is that of the middle of the window, since capacity grows within it. Only sessions during the
+    /// slow start count: a short slow start is over before the last sessions arrive.
     fn overload(&self, endpoint: EndpointIndex, times: &[Timestamp]) -> f64 {
-        let Allowance { overload_window, slow_start_duration, .. } = self.model.allowed;
+        let SlowStartSettings { overload_window, slow_start_duration, .. } = self.model.slow_start;
         let age = |time: Timestamp| time - self.entries[endpoint.0].started_at;
         let counted: Vec<_> = times.iter().copied().filter(|at| age(*at) < slow_start_duration).collect();
         let sent = |from: Timestamp| {
@@ -202,16 +209,18 @@
     endpoint.0.is_multiple_of(2)
 }
 
-/// When a proxy starts, and when it is notified of the new endpoints if it does not know them from the start.
+/// When a proxy starts, and when it is notified of the new endpoints. A proxy whose `notified` is zero lists
+/// them from its start.
 #[derive(Clone, Copy)]
 struct ProxyTimes {
     starts: Timestamp,
     notified: Timestamp,
 }
 
-/// Seven in ten proxies are killed; the survivors keep their sessions, which are on endpoints after their slow start.
+/// Simulates that seven in ten proxies are killed. The survivors keep their sessions, which are on endpoints
+/// past their slow start.
 fn mass_restart(model: FleetModel, seed: u64) -> RunResult {
-    let slow_start = model.allowed.slow_start_duration;
+    let slow_start = model.slow_start.slow_start_duration;
     let mut run = Run::new(model, seed, |n| NOW - ((n / 2 * 7 % 16) * slow_start / 40 + slow_start / 40));
     let survivors = model.proxies.div_ceil(3);
     let times = proxy_times(&mut run, survivors);
@@ -238,7 +247,7 @@
     while let Some((now, n, retries)) = queue.pop_first() {
         let proxy = run.rng.random_range(0..model.proxies);
         if now < times[proxy].starts {
-            // The proxy is down: the client tries another one at once.
+            // The proxy is down, and the client tries another one shortly after.
             queue.insert((now + SECOND / 20, n, retries));
             continue;
         }
@@ -252,32 +261,34 @@
     run.result(arrived)
 }
 
-/// A survivor may be notified late; the killed ones come back one by one.
+/// Returns the times of all proxies. Survivors may be notified late, and the killed proxies restart one by
+/// one.
 fn proxy_times(run: &mut Run, survivors: usize) -> Vec<ProxyTimes> {
     let model = run.model;
     let mut times = Vec::new();
     for n in 0..model.proxies {
-        let moment = if model.step {
+        let time = if model.simultaneous {
             NOW
         } else {
             NOW + random_duration(&mut run.rng, TickDuration::ZERO..SECOND / 2)
         };
         let survives = n < survivors;
         times.push(if survives {
-            ProxyTimes { starts: Timestamp::ZERO, notified: moment }
+            ProxyTimes { starts: Timestamp::ZERO, notified: time }
         } else {
-            ProxyTimes { starts: moment, notified: Timestamp::ZERO }
+            ProxyTimes { starts: time, notified: Timestamp::ZERO }
         });
     }
     times
 }
 
-/// Whether the session is rejected. Every other one was reset and reconnects; the rest are redirected and look new.
+/// Places the n-th session and returns whether it is rejected. Every other session was reset and is marked as
+/// reconnecting. The others are redirected and look new.
 fn reconnect(run: &mut Run, now: Timestamp, proxy: usize, n: usize) -> bool {
     let request = run.request(n, n.is_multiple_of(2));
     let (handle, decision) = run.proxies[proxy].place(now, request);
     if let Decision::Connect { endpoint, .. } = decision {
-        // Handshakes are prompt: only the quota limits an endpoint in slow start.
+        // Handshakes are prompt, so only the quota limits the sessions of an endpoint in slow start.
         run.proxies[proxy].established(now, handle);
         run.record_sent(now, endpoint);
     }
@@ -288,14 +299,15 @@
 enum BurstEvent {
     /// A proxy is notified of an endpoint.
     ListUpdate(usize, EndpointIndex),
-    /// A session arrives, after so many retries.
+    /// A session arrives after a number of retries.
     SessionArrives(usize, u32),
     /// A session of a proxy ends.
     SessionEnds(usize, SessionHandle),
 }
 
-/// Every other endpoint starts, one after another, during a burst of four seconds, and all proxies survive: groups arrive
-/// within a tenth of a second, and sessions end soon, so that capacity never limits an endpoint in slow start.
+/// Simulates a burst of four seconds during which every other endpoint starts, one after another. All proxies
+/// survive. Each group arrives within a tenth of a second, and sessions end soon, so that only the quota
+/// limits an endpoint in slow start.
 fn burst(model: FleetModel, seed: u64) -> RunResult {
     let mut run = Run::new(model, seed, |n| NOW - SECOND + (n * 7 % 16) * SECOND / 4);
     for _ in 0..model.proxies {
@@ -331,7 +343,7 @@
     run.result(arrived)
 }
 
-/// Each proxy is notified of each new endpoint within a fifth of a second.
+/// Schedules the notification of each proxy of each new endpoint, within a fifth of a second.
 fn schedule_list_updates(run: &mut Run, queue: &mut BTreeSet<(Timestamp, BurstEvent)>) {
     let started: Vec<_> = run.entries.iter().filter(|e| e.started_at > Timestamp::ZERO).copied().collect();
     for entry in started {
@@ -342,7 +354,8 @@
     }
 }
 
-/// Five usual seconds, then four with three times the sessions; returns how many arrive.
+/// Schedules the sessions: five seconds at the usual rate, then four at three times the rate. Returns their
+/// number.
 fn schedule_sessions(run: &mut Run, queue: &mut BTreeSet<(Timestamp, BurstEvent)>) -> usize {
     let FleetModel { endpoints, group, .. } = run.model;
     let mut arrived = 0;
@@ -360,7 +373,7 @@
     arrived
 }
 
-/// The worst overload of all runs, and the sums of the sessions.
+/// Runs all seeds and returns the worst overload and the total numbers of sessions.
 fn run_seeds(run: fn(FleetModel, u64) -> RunResult, model: FleetModel, seeds: u64) -> RunResult {
     let results = (1..=seeds).map(|seed| run(model, seed));
     results.fold(RunResult::default(), |all, one| RunResult {
@@ -370,9 +383,10 @@
     })
 }
 
-/// A group of 150 must not come to its owner at several times the limit, although each proxy has seen few of it.
+/// A group of 150 sessions must not exceed its owner's limit, although each proxy has seen few sessions of
+/// the group.
 #[test]
-fn no_size_of_fleet_overloads_an_endpoint_in_slow_start() {
+fn no_fleet_size_overloads_an_endpoint_in_slow_start() {
     let sizes = [
         (1, 12, 24),
         (4, 12, 24),
@@ -385,38 +399,47 @@
     ];
     for (proxies, endpoints, seeds) in sizes {
         for group in [1, 50, 150] {
-            let model = FleetModel { proxies, endpoints, group, allowed: USUAL, step: true, budget: true };
+            let model =
+                FleetModel { proxies, endpoints, group, slow_start: USUAL, simultaneous: true, quota: true };
             let RunResult { worst_overload, sent, arrived } = run_seeds(mass_restart, model, seeds);
             let name = format!("{proxies} proxies, {endpoints} endpoints, groups of {group}");
             assert!(worst_overload <= 1.0, "{name}: {worst_overload:.2} of the limit");
             assert!(
                 sent * 100 > arrived,
-                "{name}: {sent} of {arrived} to endpoints in slow start, which stay idle"
+                "{name}: only {sent} of {arrived} are sent to endpoints in slow start"
             );
             let RunResult { worst_overload, .. } =
-                run_seeds(mass_restart, FleetModel { step: false, ..model }, seeds);
+                run_seeds(mass_restart, FleetModel { simultaneous: false, ..model }, seeds);
             assert!(worst_overload <= 1.0, "{name}, each at its own time: {worst_overload:.2} of the limit");
         }
     }
 }
 
-/// The least and the greatest overload multiple, with the shortest and the longest window and slow start; without the
-/// quota the model is overloaded.
+/// The smallest and the largest overload multiple, with the shortest and the longest window and slow start.
+/// Without the quota, endpoints with a slow start of 10 s or longer are overloaded, which shows that the
+/// model detects an overload.
 #[test]
 fn no_settings_let_a_fleet_overload_an_endpoint_in_slow_start() {
     for (proxies, endpoints) in [(4, 12), (20, 30), (30, 30), (300, 90)] {
         for multiple in [1.5, 8.0] {
-            for (span, slow_start) in
+            for (window, duration) in
                 [(SECOND / 2, 3 * SECOND), (SECOND / 2, 30 * SECOND), (3 * SECOND, 8 * SECOND)]
             {
-                let allowed = Allowance {
+                let slow_start = SlowStartSettings {
                     overload_multiple: multiple,
-                    overload_window: span,
-                    slow_start_duration: slow_start,
+                    overload_window: window,
+                    slow_start_duration: duration,
+                };
+                let model = FleetModel {
+                    proxies,
+                    endpoints,
+                    group: 150,
+                    slow_start,
+                    simultaneous: false,
+                    quota: true,
                 };
-                let model = FleetModel { proxies, endpoints, group: 150, allowed, step: false, budget: true };
                 let name = format!(
-                    "{proxies} proxies, multiple {multiple}, span {span:?}, slow start of {slow_start:?}"
+                    "{proxies} proxies, multiple {multiple}, window {window:?}, slow start of {duration:?}"
                 );
                 for group in [1, 50, 150] {
                     let RunResult { worst_overload, .. } =
@@ -427,9 +450,9 @@
                     );
                 }
                 let RunResult { worst_overload, .. } =
-                    run_seeds(mass_restart, FleetModel { budget: false, ..model }, 2);
+                    run_seeds(mass_restart, FleetModel { quota: false, ..model }, 2);
                 assert!(
-                    slow_start < 10 * SECOND || worst_overload > 1.0,
+                    duration < 10 * SECOND || worst_overload > 1.0,
                     "{name}: no overload without a quota"
                 );
             }
@@ -437,20 +460,21 @@
     }
 }
 
-/// Twenty to thirty proxies together send an endpoint in slow start no more than its quota, in a burst as well.
+/// Twenty to thirty proxies together keep within the quota of an endpoint in slow start, even in a burst.
 #[test]
 fn no_burst_overloads_an_endpoint_in_slow_start() {
     for (proxies, endpoints) in [(20, 12), (30, 12), (20, 40), (30, 40)] {
         for group in [1, 50, 150] {
-            let model = FleetModel { proxies, endpoints, group, allowed: USUAL, step: true, budget: true };
+            let model =
+                FleetModel { proxies, endpoints, group, slow_start: USUAL, simultaneous: true, quota: true };
             let name = format!("{proxies} proxies, {endpoints} endpoints, groups of {group}");
             let RunResult { worst_overload, sent, arrived } = run_seeds(burst, model, 8);
             assert!(worst_overload <= 1.0, "{name}: {worst_overload:.2} of the limit");
             assert!(
                 sent * 400 > arrived,
-                "{name}: {sent} of {arrived} to endpoints in slow start, which stay idle"
+                "{name}: only {sent} of {arrived} are sent to endpoints in slow start"
             );
-            let RunResult { worst_overload, .. } = run_seeds(burst, FleetModel { budget: false, ..model }, 1);
+            let RunResult { worst_overload, .. } = run_seeds(burst, FleetModel { quota: false, ..model }, 1);
             assert!(worst_overload > 1.0, "{name}: no overload without a quota");
         }
     }
