--- a/crates/larklink-balancer/src/bucket_table.rs
+++ b/crates/larklink-balancer/src/bucket_table.rs
@@ -97,12 +97,10 @@
 /// The prior for open sessions. It keeps a proxy with few sessions from taking two that share a group by
 /// chance for a large group.
 const OPEN_PAIRS_PRIOR: PairPrior = PairPrior { same_group: 1.0, all: 50.0 };
-/// The prior for received sessions, used for an endpoint in slow start, where a whole group may arrive at
-/// once.
+/// The prior for received sessions, used for endpoints in slow start, where a whole group may arrive at once.
 const RECEIVED_PAIRS_PRIOR: PairPrior = PairPrior { same_group: 3.0, all: 50.0 };
 
-/// Counts of ordered pairs of sessions that were open at this proxy at the same time. Recent pairs weigh
-/// most.
+/// Counts of ordered pairs of sessions that were open at this proxy together. Recent pairs weigh most.
 #[derive(Debug)]
 struct PairCounts {
     same_bucket: f64,
--- a/crates/larklink-balancer/src/retry_policy.rs
+++ b/crates/larklink-balancer/src/retry_policy.rs
@@ -1,5 +1,4 @@
-//! The rules for retries: whether a session may run again, where and until when, and what its final decision
-//! is.
+//! The rules for retries: whether, where and until when a session may run again, and its final decision.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
--- a/crates/larklink-balancer/src/session.rs
+++ b/crates/larklink-balancer/src/session.rs
@@ -243,8 +243,7 @@
     }
 }
 
-// Indexing does not panic: a handle used as an index was inserted or found in the same call and not removed
-// since.
+// Indexing does not panic: a handle used as an index was inserted or found in the same call and not removed.
 impl Index<SessionHandle> for SessionTable {
     type Output = Session;
 
--- a/crates/larklink-balancer/src/slow_start.rs
+++ b/crates/larklink-balancer/src/slow_start.rs
@@ -10,12 +10,12 @@
 //! proxies. An endpoint of weight 1 that started 15 s ago may have 0.2 + 0.8 * 15 / 40 = 0.5 of that, which
 //! is 80 sessions, and all proxies may send it 2 * 80 / 40 = 4 sessions per second, or n = 40 per window.
 //!
-//! - With 4 proxies, each has 40 sessions on the first endpoint. It may have 20 on the second and accrues 4 /
-//!   4 = 1 session per second. Four proxies send at regular intervals, so no margin is kept for random
+//! - With 4 proxies, each has 40 sessions on the first endpoint. It may have 20 on the second and accrues
+//!   4 / 4 = 1 session per second. Four proxies send at regular intervals, so no margin is kept for random
 //!   variation.
-//! - With 40 proxies, each has 4 sessions on the first endpoint and may have 2 on the second. Random
-//!   variation counts with a factor of 1 - 4 / 40 = 0.9, so each accrues 4 / 40 / (1 + sqrt(0.9 / 40)) = 0.1
-//!   / 1.15 sessions per second, or one in 11.5 s.
+//! - With 40 proxies, each has 4 sessions on the first endpoint and may have 2 on the second. Random variation
+//!   counts with a factor of 1 - 4 / 40 = 0.9, so each accrues
+//!   4 / 40 / (1 + sqrt(0.9 / 40)) = 0.1 / 1.15 sessions per second, or one in 11.5 s.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -120,9 +120,9 @@
 
     /// Returns the sessions that this proxy may send per tick.
     ///
-    /// If all proxies send n sessions per overload window on average, random variation makes it up to n + 2
-    /// sqrt(n) + 2. Few proxies send at regular intervals. Each of hundreds sends at random, so a margin of
-    /// their relative standard deviation is kept.
+    /// If all proxies send n sessions per overload window on average, random variation makes it up to
+    /// n + 2 sqrt(n) + 2. Few proxies send at regular intervals. Each of hundreds sends at random, so a margin
+    /// of their relative standard deviation is kept.
     fn rate(&self, present_capacity: f64) -> f64 {
         let multiple = self.settings.overload_multiple;
         let duration = self.settings.slow_start_duration.as_f64();
--- a/crates/larklink-balancer/tests/decisions/health_check.rs
+++ b/crates/larklink-balancer/tests/decisions/health_check.rs
@@ -13,7 +13,8 @@
 
 #[test]
 fn proxies_check_a_lost_endpoint_with_backoff_and_not_in_lockstep() {
-    // A hundred proxies once sent 170 health checks per second to the three endpoints of a lost zone.
+    // Guards against the load of health checks on a failed zone: a hundred proxies once sent 170 per second to
+    // its three endpoints.
     let (mut checks, mut first) = (vec![0; 12], BTreeMap::new());
     for seed in 0..100 {
         let mut balancer = Balancer::new(Settings { health_checks: true, ..settings() }, seed, START);
--- a/crates/larklink-balancer/tests/decisions/placement.rs
+++ b/crates/larklink-balancer/tests/decisions/placement.rs
@@ -48,7 +48,7 @@
     assert_ne!(endpoint_of(balancer.place(now + SECOND, established).1), owner);
 }
 
-/// When half of 169 proxies died, the established sessions that reconnected all went to an endpoint that had
+/// After half of 169 proxies died, the established sessions that reconnect must not all go to an endpoint that
 /// restarted three seconds before.
 #[test]
 fn a_recently_restarted_endpoint_is_not_the_previous_owner_of_a_bucket() {
--- a/crates/larklink-balancer/tests/slow_start_fleet.rs
+++ b/crates/larklink-balancer/tests/slow_start_fleet.rs
@@ -23,8 +23,9 @@
 
 const SECOND: TickDuration = TickDuration::from_secs(1);
 const NOW: Timestamp = Timestamp::from_ticks(1_000_000);
-/// The number of sessions that an endpoint can take after its slow start, and the mean number that it has.
+/// The number of sessions that an endpoint can take after its slow start.
 const CAPACITY: f64 = 60.0;
+/// The mean number of sessions of an endpoint.
 const MEAN_SESSIONS: usize = 25;
 
 /// The settings of slow start.
@@ -59,8 +60,7 @@
 /// The result of one or more runs of a model.
 #[derive(Clone, Copy, Default)]
 struct RunResult {
-    /// The maximum over all endpoints in slow start of the sessions sent within a window, divided by the
-    /// limit.
+    /// The most sessions sent to an endpoint in slow start within a window, divided by its limit.
     worst_overload: f64,
     /// The number of sessions sent to endpoints in slow start.
     sent: usize,
