--- a/crates/larklink-testbed/src/admin_client.rs
+++ b/crates/larklink-testbed/src/admin_client.rs
@@ -1,4 +1,4 @@
-//! Calls to a proxy's admin endpoint.
+//! HTTP client for a proxy's admin endpoint.
 use std::io::{Error, ErrorKind, Result};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
@@ -6,35 +6,35 @@
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 
-/// How long a caller waits for its answer.
-const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long a request may take.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// An answer.
-pub(crate) struct AdminAnswer {
-    /// The HTTP status.
+/// A response of an admin endpoint.
+pub(crate) struct AdminResponse {
+    /// The HTTP status code.
     pub(crate) status: u16,
-    /// The body.
+    /// The response body.
     pub(crate) body: String,
 }
 
-/// Makes one call.
+/// Sends a GET request and reads the response.
 ///
 /// # Errors
-/// There is no answer within a second, or it is not HTTP.
-pub(crate) async fn get(address: SocketAddr, path: &str) -> Result<AdminAnswer> {
+/// Fails if the connection fails, or if there is no valid HTTP response within a second.
+pub(crate) async fn get(address: SocketAddr, path: &str) -> Result<AdminResponse> {
     let timeout = async {
-        Timer::after(CALL_TIMEOUT).await;
+        Timer::after(REQUEST_TIMEOUT).await;
         Err(Error::from(ErrorKind::TimedOut))
     };
-    call(address, path).or(timeout).await
+    request(address, path).or(timeout).await
 }
 
-async fn call(address: SocketAddr, path: &str) -> Result<AdminAnswer> {
+async fn request(address: SocketAddr, path: &str) -> Result<AdminResponse> {
     let mut stream = Async::<TcpStream>::connect(address).await?;
     stream.write_all(format!("GET {path} HTTP/1.1\r\nHost: {address}\r\n\r\n").as_bytes()).await?;
     let mut reply = String::new();
     stream.read_to_string(&mut reply).await?;
     let (head, body) = reply.split_once("\r\n\r\n").ok_or(ErrorKind::InvalidData)?;
     let status = head.split(' ').nth(1).and_then(|status| status.parse().ok());
-    Ok(AdminAnswer { status: status.ok_or(ErrorKind::InvalidData)?, body: body.to_owned() })
+    Ok(AdminResponse { status: status.ok_or(ErrorKind::InvalidData)?, body: body.to_owned() })
 }
--- a/crates/larklink-testbed/src/clients.rs
+++ b/crates/larklink-testbed/src/clients.rs
@@ -1,4 +1,4 @@
-//! Scripted clients: a task and a connection for each session, which record all that they receive.
+//! Scripted clients. Each session has a task and a connection, and records what it receives in the event log.
 use std::collections::VecDeque;
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,10 +13,10 @@
     LineStream, MessageStamp, NextInput, client_message, next_input, open_line, parse_message, parse_response,
 };
 
-/// How long a client looks for further lines after a response that ends its session.
-const LOOKS_FOR_MORE: Duration = Duration::from_millis(400);
+/// How long a client waits for an unexpected line after a response that ends its session.
+const EXTRA_LINE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Opens a session, at the proxy that the external load balancer picks. Its task ends with its connection.
+/// Opens a session at the proxy that the external load balancer selects. The session's task ends with its connection.
 pub(crate) fn start(context: &Rc<TestbedContext>, request: ClientRequest) {
     let now = context.now();
     let Some(proxy) = context.world.borrow_mut().assign_proxy(now, &request) else { return };
@@ -31,7 +31,7 @@
     });
 }
 
-/// Connects to the proxy, and serves the session from its first line to its end.
+/// Connects to the proxy and runs the session from its first line to its end.
 async fn connect(
     context: &Rc<TestbedContext>,
     request: ClientRequest,
@@ -41,17 +41,17 @@
     let id = request.id;
     let listener = request.listener;
     let first_line = open_line(&request, &context.scenario.listeners[listener].get_ref().name);
-    let connected = LineStream::connect(context.addresses.client_side[proxy]).await;
-    // Before the line is written: what follows from it has to stand behind it in the event log.
+    let connected = LineStream::connect(context.addresses.client_facing[proxy]).await;
+    // Recorded before the line is written, so that it precedes the line's consequences in the event log.
     context.world.borrow_mut().event_log.record(context.now(), EventKind::Opened { request, proxy });
     let Ok(lines) = connected else {
         return context.world.borrow_mut().proxy_unreachable(context.now(), id, proxy);
     };
     context.client_connected(proxy);
-    ClientSession { context, id, listener, lines, commands }.open(&first_line).await;
+    ClientSession { context, id, listener, lines, commands }.run(&first_line).await;
 }
 
-/// A session on its client's side.
+/// The client side of a session.
 struct ClientSession<'a> {
     context: &'a Rc<TestbedContext>,
     id: u64,
@@ -61,8 +61,8 @@
 }
 
 impl ClientSession<'_> {
-    /// Sends the first line, and goes on by its response.
-    async fn open(mut self, first_line: &str) {
+    /// Sends the first line and continues according to the response.
+    async fn run(mut self, first_line: &str) {
         if self.lines.write(first_line).await.is_err() {
             return self.ended_without_response(ConnectionEnd::Broken);
         }
@@ -77,10 +77,14 @@
         self.record_response(response);
         self.context.wake();
         if response != Some(ClientResponse::Accepted) {
-            return self.expect_nothing_more().await;
+            return self.check_for_extra_line().await;
+        }
+        let unread_kb = self.context.scenario.listeners[self.listener].get_ref().unread_kb;
+        if unread_kb > 0 {
+            self.send_without_reading(unread_kb).await
+        } else {
+            self.exchange_messages().await
         }
-        let flood_kb = self.context.scenario.listeners[self.listener].get_ref().unread_kb;
-        if flood_kb > 0 { self.request_flood(flood_kb).await } else { self.exchange_messages().await }
     }
 
     fn record_response(&self, response: Option<ClientResponse>) {
@@ -107,20 +111,21 @@
         self.context.world.borrow_mut().connection_ended(self.context.now(), self.id, end);
     }
 
-    /// After a response that ends the session there must be no other line.
-    async fn expect_nothing_more(mut self) {
+    /// Records an extra message if another line follows a response that ends the session.
+    async fn check_for_extra_line(mut self) {
         let line = async { matches!(self.lines.next_line().await, Ok(Some(_))) };
-        let limit = async {
-            Timer::after(LOOKS_FOR_MORE).await;
+        let timeout = async {
+            Timer::after(EXTRA_LINE_TIMEOUT).await;
             false
         };
-        if line.or(limit).await {
+        if line.or(timeout).await {
             self.record(EventKind::ExtraMessage { id: self.id });
         }
     }
 
-    /// Asks for many kilobytes, sends its messages and reads nothing, until its connection ends.
-    async fn request_flood(self, kilobytes: usize) {
+    /// Requests this many kilobytes and sends messages, but reads nothing, until the connection ends. This fills the
+    /// buffers of the proxy.
+    async fn send_without_reading(self, kilobytes: usize) {
         let mut written = self.lines.write(&format!("G {kilobytes}\r\n")).await;
         while let Ok(command) = self.commands.recv().await {
             match command {
@@ -129,27 +134,27 @@
                 }
                 ClientCommand::SendMessage(_) => break,
                 ClientCommand::Reset => return self.lines.reset(),
-                ClientCommand::Leave => return,
+                ClientCommand::Close => return,
             }
         }
         self.connection_ended(ConnectionEnd::Broken);
     }
 
-    /// An established session, to its end.
+    /// Exchanges messages on an established session until it ends.
     async fn exchange_messages(mut self) {
         let mut migrated = false;
-        // Messages without an answer, in the order in which they come back.
+        // Messages that have not been returned yet, in the order in which they are expected.
         let mut unanswered = VecDeque::new();
         loop {
             match next_input(&mut self.lines, self.commands).await {
                 NextInput::Command(ClientCommand::SendMessage(number)) => {
                     let sent_at = self.context.now();
                     unanswered.push_back(MessageStamp { number, sent_at, returned_at: None });
-                    // If it cannot be written, the way back shows how the connection ended.
+                    // If the write fails, the next read shows how the connection ended.
                     let _ = self.lines.write(&client_message(number, sent_at)).await;
                 }
                 NextInput::Command(ClientCommand::Reset) => return self.lines.reset(),
-                NextInput::Command(ClientCommand::Leave) => return,
+                NextInput::Command(ClientCommand::Close) => return,
                 NextInput::Line(Ok(Some(line))) if line == b"MOVE" => migrated = true,
                 NextInput::Line(Ok(Some(line))) => self.receive(&line, &mut unanswered),
                 NextInput::Line(end) => {
@@ -164,7 +169,7 @@
         }
     }
 
-    /// A line of an established session.
+    /// Handles a line received on an established session.
     fn receive(&self, line: &[u8], unanswered: &mut VecDeque<MessageStamp>) {
         if let Some(message) = parse_message(line) {
             self.message_returned(message, unanswered);
@@ -188,7 +193,7 @@
             message.returned_at,
         );
         if let Some(took) = took {
-            let _ = self.context.message_times.borrow_mut()[self.listener].record(took);
+            let _ = self.context.message_round_trips.borrow_mut()[self.listener].record(took);
         }
     }
 }
--- a/crates/larklink-testbed/src/context.rs
+++ b/crates/larklink-testbed/src/context.rs
@@ -1,4 +1,4 @@
-//! What all tasks of a run share: the model, its time, and the channels to each connection.
+//! State shared by all tasks of a run: the model, its clock, and the channels to each connection.
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -18,88 +18,89 @@
 
 use crate::histogram::new_histogram;
 
-/// Microseconds in a tick.
+/// Microseconds per tick.
 const US_PER_TICK: u64 = 100;
 
-/// The wall time that a number of ticks takes.
-pub(crate) fn duration_of(ticks: TickDuration) -> Duration {
+/// Converts model ticks to a wall-clock duration.
+pub(crate) fn ticks_to_duration(ticks: TickDuration) -> Duration {
     Duration::from_micros(ticks * US_PER_TICK)
 }
 
-/// What a client's task is to do.
+/// A command from the model to a client's task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ClientCommand {
-    /// Send the message of that number.
+    /// Send the message with this number.
     SendMessage(u64),
-    /// End the session: its client has what it wanted, or waits no longer.
-    Leave,
+    /// Close the connection: the session is complete, or the client stopped waiting for it.
+    Close,
     /// Reset the connection.
     Reset,
 }
 
-/// What a server's listener is to do.
+/// A command from the model to a server's listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListenerCommand {
     /// Accept connections.
     Listen,
-    /// Refuse connections.
+    /// Close the listening socket, so that the kernel refuses connections.
     StopListening,
 }
 
-/// A fault that a proxy is to suffer.
+/// A fault to inject into a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ProxyCommand {
     /// The proxy's number.
     pub(crate) proxy: usize,
-    /// What is to happen to it.
+    /// The fault.
     pub(crate) fault: ProxyFault,
 }
 
-/// A connection that a server has accepted.
+/// A connection that a stand-in server has accepted.
 pub(crate) struct ServerConnection {
     /// The server's number.
     pub(crate) server: usize,
-    /// What the server is to send on it.
+    /// Messages to send on the connection.
     pub(crate) messages: Sender<ServerMessage>,
 }
 
-/// The addresses of a run's parts.
+/// The addresses that clients and proxies connect to.
 pub(crate) struct TestbedAddresses {
-    /// Each server's.
+    /// The address of each server.
     pub(crate) servers: Vec<SocketAddr>,
-    /// Where clients reach each proxy: its own address, or that of a faulty relay before it.
-    pub(crate) client_side: Vec<SocketAddr>,
+    /// The address at which clients reach each proxy: the proxy's own, or that of a faulty relay in front of it.
+    pub(crate) client_facing: Vec<SocketAddr>,
 }
 
-/// The channels to tasks that stay for the whole run.
+/// The channels to tasks that live for the whole run.
 pub(crate) struct TestbedChannels {
     /// Wakes the task that advances the model.
     pub(crate) wake: Sender<()>,
-    /// To the supervisor of the proxies.
+    /// Commands to the supervisor of the proxies.
     pub(crate) proxies: Sender<ProxyCommand>,
-    /// To each server's listener.
+    /// Commands to the listener of each server.
     pub(crate) listeners: Vec<Sender<ListenerCommand>>,
 }
 
-/// What all tasks of a run share.
+/// State shared by all tasks of a run.
 pub(crate) struct TestbedContext {
     pub(crate) scenario: Scenario,
     pub(crate) world: RefCell<World>,
     pub(crate) addresses: TestbedAddresses,
     pub(crate) channels: TestbedChannels,
-    /// The task of each session's client, by session id.
+    /// Command channels to the client tasks, by session id.
     pub(crate) clients: RefCell<HashMap<u64, Sender<ClientCommand>>>,
     pub(crate) server_connections: RefCell<HashMap<ConnectionId, ServerConnection>>,
-    /// Round trips of messages in ticks, by listener.
-    pub(crate) message_times: RefCell<Vec<Histogram<u64>>>,
-    next_connection: Cell<ConnectionId>,
-    /// Proxies that are killed with the next connection that they accept, and how long after that they restart.
-    kill_at_accept: RefCell<BTreeMap<usize, Option<TickDuration>>>,
-    /// When the run began; the model's time stands still before.
+    /// Round-trip times of messages in ticks, by listener.
+    pub(crate) message_round_trips: RefCell<Vec<Histogram<u64>>>,
+    next_connection_id: Cell<ConnectionId>,
+    /// Proxies to kill when they accept their next connection, with the delay before they are restarted.
+    kill_on_next_accept: RefCell<BTreeMap<usize, Option<TickDuration>>>,
+    /// When the run began. The model's clock reads 0 until then.
     began_at: Cell<Option<Instant>>,
-    /// The same as wall time, in milliseconds.
-    began_at_wall_ms: Cell<u64>,
-    /// Weak, so that all tasks are dropped with the executor at the run's end.
+    /// The start of the run as Unix time in milliseconds.
+    began_at_unix_ms: Cell<u64>,
+    /// Weak, because the tasks that the executor owns hold this context: a strong reference would keep them all alive
+    /// after the run.
     executor: Weak<LocalExecutor<'static>>,
 }
 
@@ -111,7 +112,7 @@
         channels: TestbedChannels,
         executor: &Rc<LocalExecutor<'static>>,
     ) -> Rc<Self> {
-        let message_times = scenario.listeners.iter().map(|_| new_histogram()).collect();
+        let message_round_trips = scenario.listeners.iter().map(|_| new_histogram()).collect();
         Rc::new(Self {
             scenario,
             world: world.into(),
@@ -119,76 +120,76 @@
             channels,
             clients: RefCell::default(),
             server_connections: RefCell::default(),
-            message_times: RefCell::new(message_times),
-            next_connection: Cell::new(1),
-            kill_at_accept: RefCell::default(),
+            message_round_trips: RefCell::new(message_round_trips),
+            next_connection_id: Cell::new(1),
+            kill_on_next_accept: RefCell::default(),
             began_at: Cell::new(None),
-            began_at_wall_ms: Cell::new(0),
+            began_at_unix_ms: Cell::new(0),
             executor: Rc::downgrade(executor),
         })
     }
 
-    /// Runs a task until it ends, or until the executor is dropped at the end of the run.
+    /// Spawns a detached task. It is dropped with the executor at the end of the run.
     pub(crate) fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         if let Some(executor) = self.executor.upgrade() {
             executor.spawn(task).detach();
         }
     }
 
-    /// The model's time.
+    /// Returns the model's current time.
     pub(crate) fn now(&self) -> Timestamp {
         self.began_at.get().map_or(0, |began| (began.elapsed().as_micros() / u128::from(US_PER_TICK)) as u64)
     }
 
-    /// Starts the model's time.
-    pub(crate) fn begin(&self) {
+    /// Starts the model's clock.
+    pub(crate) fn start_clock(&self) {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        self.began_at_wall_ms.set(wall.as_millis() as u64);
+        self.began_at_unix_ms.set(wall.as_millis() as u64);
         self.began_at.set(Some(Instant::now()));
     }
 
-    /// A server's start as wall time in milliseconds; 0 if that was long ago.
-    pub(crate) fn wall_ms(&self, started_at: Timestamp) -> u64 {
-        if started_at == 0 { 0 } else { self.began_at_wall_ms.get() + started_at / TICKS_PER_MS }
+    /// Converts a server's start time to Unix milliseconds. A start time of 0 means long before the run and stays 0.
+    pub(crate) fn to_unix_ms(&self, started_at: Timestamp) -> u64 {
+        if started_at == 0 { 0 } else { self.began_at_unix_ms.get() + started_at / TICKS_PER_MS }
     }
 
-    /// Has the model advance now, whatever its next event was before.
+    /// Advances the model now instead of at its next event, which may have changed.
     pub(crate) fn wake(&self) {
         let _ = self.channels.wake.try_send(());
     }
 
-    /// The id of a connection that a server has accepted.
-    pub(crate) fn next_connection(&self) -> ConnectionId {
-        let id = self.next_connection.get();
-        self.next_connection.set(id + 1);
+    /// Allocates an id for a connection that a server has accepted.
+    pub(crate) fn next_connection_id(&self) -> ConnectionId {
+        let id = self.next_connection_id.get();
+        self.next_connection_id.set(id + 1);
         id
     }
 
-    /// Sends a command to the task of a session's client, if there is one.
+    /// Sends a command to the client task of a session, if it still runs.
     pub(crate) fn command_client(&self, session: u64, command: ClientCommand) {
         if let Some(commands) = self.clients.borrow().get(&session) {
             let _ = commands.try_send(command);
         }
     }
 
-    /// Sends a command to the supervisor of the proxies.
+    /// Asks the supervisor to inject a fault into a proxy.
     pub(crate) fn command_proxy(&self, proxy: usize, fault: ProxyFault) {
         let _ = self.channels.proxies.try_send(ProxyCommand { proxy, fault });
     }
 
-    /// Has a proxy killed with the next connection that it accepts, and restarted so long after that.
-    pub(crate) fn kill_at_accept(&self, proxy: usize, restart_after: Option<TickDuration>) {
-        self.kill_at_accept.borrow_mut().insert(proxy, restart_after);
+    /// Arranges for a proxy to be killed when it accepts its next connection, and restarted after the given delay.
+    pub(crate) fn kill_on_next_accept(&self, proxy: usize, restart_after: Option<TickDuration>) {
+        self.kill_on_next_accept.borrow_mut().insert(proxy, restart_after);
     }
 
-    /// A client's connection to a proxy is established: it may be the last that this proxy accepted.
+    /// Called when a client has connected to a proxy. Kills the proxy if that was requested for its next accept.
     pub(crate) fn client_connected(self: &Rc<Self>, proxy: usize) {
-        let Some(restart_after) = self.kill_at_accept.borrow_mut().remove(&proxy) else { return };
+        let Some(restart_after) = self.kill_on_next_accept.borrow_mut().remove(&proxy) else { return };
         self.command_proxy(proxy, ProxyFault::Kill);
         if let Some(ticks) = restart_after {
             let context = Rc::clone(self);
             self.spawn(async move {
-                Timer::after(duration_of(ticks)).await;
+                Timer::after(ticks_to_duration(ticks)).await;
                 context.command_proxy(proxy, ProxyFault::Start);
             });
         }
--- a/crates/larklink-testbed/src/discovery.rs
+++ b/crates/larklink-testbed/src/discovery.rs
@@ -1,4 +1,5 @@
-//! Stand-in discovery: each proxy has addresses of its own, so that what it was notified of, and when, is known.
+//! Stand-in discovery. Each proxy has its own discovery addresses, so that the event log shows what it was notified of and
+//! when.
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,10 +11,10 @@
 use crate::context::TestbedContext;
 use crate::protocol::{LineStream, listen};
 
-/// How often a watch looks at the list.
+/// How often a watch checks the list for a change.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Answers a proxy's calls at that address until the run ends. Each connection has a task of its own.
+/// Serves a proxy's requests at this address until the run ends. Each connection has its own task.
 pub(crate) async fn serve(context: Rc<TestbedContext>, proxy: usize, address: SocketAddr) {
     let Ok(listener) = listen(address) else { return };
     while let Ok((stream, _)) = listener.accept().await {
@@ -30,9 +31,9 @@
     let mut lines = LineStream::new(stream);
     while let Some(request_line) = lines.next_line().await? {
         while lines.next_line().await?.is_some_and(|header| !header.is_empty()) {}
-        let call = ListCall::parse(&String::from_utf8_lossy(&request_line));
-        call.wait(&context).await;
-        let body = list_body(&context, proxy, call.after);
+        let request = ListRequest::parse(&String::from_utf8_lossy(&request_line));
+        request.wait(&context).await;
+        let body = list_body(&context, proxy, request.after_version);
         let head = format!(
             "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
             body.len()
@@ -42,15 +43,15 @@
     Ok(())
 }
 
-/// A call for the list.
-struct ListCall {
-    /// The version that the proxy has: a watch; none for the complete list.
-    after: Option<u64>,
+/// A request for the endpoint list.
+struct ListRequest {
+    /// The version that the proxy has, for a watch; `None` requests the complete list.
+    after_version: Option<u64>,
     /// How long a watch waits for a change.
     max_wait: Duration,
 }
 
-impl ListCall {
+impl ListRequest {
     fn parse(request_line: &str) -> Self {
         let path = request_line.split(' ').nth(1).unwrap_or("");
         let query = path.split_once('?').map_or("", |(_, query)| query);
@@ -58,49 +59,53 @@
             let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
             pairs.find(|(name, _)| *name == wanted)?.1.parse::<u64>().ok()
         };
-        Self { after: number("after"), max_wait: Duration::from_millis(number("wait_ms").unwrap_or(0)) }
+        Self {
+            after_version: number("after"),
+            max_wait: Duration::from_millis(number("wait_ms").unwrap_or(0)),
+        }
     }
 
-    /// Waits until there is an answer: a newer list, or the end of the watch.
+    /// Waits until the request can be answered: with a newer list, or because the watch has timed out.
     async fn wait(&self, context: &TestbedContext) {
         let newer = async {
-            while !self.has_news(context) {
+            while !self.has_update(context) {
                 Timer::after(POLL_INTERVAL).await;
             }
         };
-        let over = async {
-            if self.after.is_none() {
+        let timed_out = async {
+            if self.after_version.is_none() {
                 future::pending::<()>().await;
             }
             Timer::after(self.max_wait).await;
-            // Out of reach, it does not answer at all.
+            // While a fault makes discovery unreachable, it does not answer at all.
             while !context.world.borrow().endpoint_list.is_reachable(context.now()) {
                 Timer::after(POLL_INTERVAL).await;
             }
         };
-        newer.or(over).await;
+        newer.or(timed_out).await;
     }
 
-    fn has_news(&self, context: &TestbedContext) -> bool {
+    fn has_update(&self, context: &TestbedContext) -> bool {
         let world = context.world.borrow();
         let list = &world.endpoint_list;
-        list.is_reachable(context.now()) && self.after.is_none_or(|version| list.version() > version)
+        list.is_reachable(context.now()) && self.after_version.is_none_or(|version| list.version() > version)
     }
 }
 
-/// The list, or what is newer than a version of it, as discovery writes it.
-fn list_body(context: &TestbedContext, proxy: usize, after: Option<u64>) -> String {
-    let (version, entries) = context.world.borrow_mut().notify_proxy(context.now(), proxy, after);
+/// Serializes the complete list, or the entries that changed after a version, as discovery sends them.
+fn list_body(context: &TestbedContext, proxy: usize, after_version: Option<u64>) -> String {
+    let (version, entries) = context.world.borrow_mut().notify_proxy(context.now(), proxy, after_version);
     let entries: Vec<_> = entries.iter().map(|entry| entry_json(context, entry)).collect();
-    serde_json::json!({"index": version, "snapshot": after.is_none(), "endpoints": entries}).to_string()
+    serde_json::json!({"index": version, "snapshot": after_version.is_none(), "endpoints": entries})
+        .to_string()
 }
 
-/// An entry of the list as discovery writes it.
+/// Serializes an entry of the list as discovery sends it.
 pub(crate) fn entry_json(context: &TestbedContext, entry: &EndpointListEntry) -> serde_json::Value {
     let weight = context.scenario.each_server().nth(entry.server).map_or(1.0, |server| server.weight);
     serde_json::json!({
         "name": format!("s-{}", entry.server), "address": context.addresses.servers[entry.server].to_string(),
         "zone": context.scenario.zone(entry.server), "type": "std", "group": 1, "status": entry.status.name(),
-        "weight": weight, "since_ms": context.wall_ms(entry.started),
+        "weight": weight, "since_ms": context.to_unix_ms(entry.started),
     })
 }
--- a/crates/larklink-testbed/src/dispatch.rs
+++ b/crates/larklink-testbed/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Carries the model's actions onto sockets and processes, and advances the model in time.
+//! Advances the model in time and performs its actions on sockets and processes.
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
 use larklink_simulation::world::WorldAction;
 
 use crate::clients;
-use crate::context::{ClientCommand, ListenerCommand, TestbedContext, duration_of};
+use crate::context::{ClientCommand, ListenerCommand, TestbedContext, ticks_to_duration};
 
-/// The model is advanced at least this often, in ticks.
-const MAX_WAIT: TickDuration = 500;
+/// The longest time between two advances of the model, in ticks.
+const MAX_ADVANCE_INTERVAL: TickDuration = 500;
 
 /// Performs the model's actions.
 pub(crate) fn perform(context: &Rc<TestbedContext>, actions: Vec<WorldAction>) {
@@ -34,7 +34,7 @@
         WorldAction::Listen { server } => {
             let _ = context.channels.listeners[server].try_send(ListenerCommand::Listen);
         }
-        // Stand-in discovery looks at the list by itself.
+        // The stand-in discovery polls the list.
         WorldAction::EndpointListChanged => {}
         WorldAction::Client(action) => perform_client_action(context, action),
         WorldAction::DisconnectClients(sessions) => {
@@ -42,12 +42,14 @@
                 context.command_client(session, ClientCommand::Reset);
             }
         }
-        WorldAction::Proxy(proxy, ProxyFault::KillAtAccept { back }) => context.kill_at_accept(proxy, back),
+        WorldAction::Proxy(proxy, ProxyFault::KillAtAccept { back }) => {
+            context.kill_on_next_accept(proxy, back)
+        }
         WorldAction::Proxy(proxy, fault) => context.command_proxy(proxy, fault),
     }
 }
 
-/// A server's listener goes, and all its connections are reset.
+/// Closes a server's listener and resets all its connections.
 fn stop_listening(context: &TestbedContext, server: usize) {
     let _ = context.channels.listeners[server].try_send(ListenerCommand::StopListening);
     for connection in context.server_connections.borrow().values() {
@@ -64,20 +66,20 @@
             context.command_client(id, ClientCommand::SendMessage(number));
         }
         ClientAction::TimeOut { id } | ClientAction::Leave { id } => {
-            context.command_client(id, ClientCommand::Leave);
+            context.command_client(id, ClientCommand::Close);
         }
         ClientAction::Silent { .. } => {}
     }
 }
 
-/// Advances the model whenever something is due or it is woken; never ends.
+/// Advances the model whenever an event is due or the task is woken. Never returns.
 pub(crate) async fn advance_world(context: Rc<TestbedContext>, wake: Receiver<()>) {
     loop {
         let now = context.now();
         let actions = context.world.borrow_mut().advance(now);
         perform(&context, actions);
         let due = context.world.borrow_mut().next_event_at();
-        let wait: Duration = duration_of(due.saturating_sub(context.now()).min(MAX_WAIT));
+        let wait: Duration = ticks_to_duration(due.saturating_sub(context.now()).min(MAX_ADVANCE_INTERVAL));
         let timer = async {
             Timer::after(wait).await;
         };
--- a/crates/larklink-testbed/src/error.rs
+++ b/crates/larklink-testbed/src/error.rs
@@ -1,93 +1,93 @@
-//! Why a scenario could not be run to its end.
+//! Errors that prevent a run or end it early.
 use std::path::PathBuf;
 use std::process::ExitStatus;
 use std::time::Duration;
 
-/// Why a scenario could not be run, or not to its end.
+/// An error that prevents a run or ends it early.
 #[derive(Debug, thiserror::Error)]
 pub enum TestbedError {
-    /// The scenario has more proxies than one machine starts.
-    #[error("proxies.count: {count} daemons, and one machine starts {most} at most")]
+    /// The scenario has more proxies than the testbed starts.
+    #[error("proxies.count: {count} proxies, but the testbed starts at most {max}")]
     TooManyProxies {
-        /// Proxies of the scenario.
+        /// The number of proxies in the scenario.
         count: usize,
-        /// The most that are started.
-        most: usize,
+        /// The most that the testbed starts.
+        max: usize,
     },
-    /// The testbed may not open as many descriptors as the scenario's sessions need.
+    /// The scenario needs more descriptors than the testbed may open.
     #[error(
-        "{needed} descriptors are needed for some {sessions} sessions, and this process may hold {allowed}"
+        "{needed} descriptors are needed for about {sessions} sessions, but this process may open only {allowed}"
     )]
     TooFewDescriptors {
-        /// Descriptors that clients and servers need.
+        /// The descriptors that the testbed needs.
         needed: u64,
-        /// Sessions established at once.
+        /// The expected number of concurrent sessions.
         sessions: usize,
-        /// What the system allows this process.
+        /// The descriptor limit of this process.
         allowed: u64,
     },
-    /// The scenario allows each proxy fewer descriptors than its sessions need.
+    /// The scenario allows each proxy fewer descriptors than its share of the sessions needs.
     #[error(
-        "each daemon needs {needed} descriptors for its part of some {sessions} sessions, and proxies.descriptors is {allowed}"
+        "each daemon needs {needed} descriptors for its share of about {sessions} sessions, but proxies.descriptors is {allowed}"
     )]
     TooFewProxyDescriptors {
-        /// Descriptors that each proxy needs.
+        /// The descriptors that each proxy needs.
         needed: usize,
-        /// Sessions established at once.
+        /// The expected number of concurrent sessions.
         sessions: usize,
-        /// What the scenario allows each proxy.
+        /// The descriptors that the scenario allows each proxy.
         allowed: usize,
     },
-    /// The folder for configurations and logs cannot be made.
-    #[error("{}: {source}", .path.display())]
-    CreateFolder {
-        /// Where it was to be made.
+    /// The directory for configurations and logs cannot be created.
+    #[error("cannot create the run directory in {}: {source}", .path.display())]
+    CreateDirectory {
+        /// The parent directory.
         path: PathBuf,
-        /// The system's reason.
+        /// The cause.
         source: std::io::Error,
     },
-    /// Signals cannot be received.
-    #[error("signals: {0}")]
+    /// The handlers for SIGINT and SIGTERM cannot be installed.
+    #[error("cannot install signal handlers: {0}")]
     Signals(std::io::Error),
-    /// A proxy cannot be started.
-    #[error("{}: {source}", .program.display())]
+    /// A proxy process cannot be started.
+    #[error("cannot start proxy process {}: {source}", .program.display())]
     StartProxy {
-        /// The proxy's program.
+        /// The path of the proxy executable.
         program: PathBuf,
-        /// The system's reason.
+        /// The cause.
         source: std::io::Error,
     },
-    /// A proxy ended before it answered.
+    /// A proxy process exited before it was ready.
     #[error("proxy {proxy} ended at its start ({status})\n{log_tail}")]
-    EndedAtStart {
+    ExitedAtStartup {
         /// The proxy's number.
         proxy: usize,
-        /// How it ended.
+        /// The exit status.
         status: ExitStatus,
-        /// The last lines of its log.
+        /// The last lines of the proxy's log.
         log_tail: String,
     },
-    /// A proxy runs and does not answer.
-    #[error("proxy {proxy} does not answer {timeout:?} after its start\n{log_tail}")]
+    /// A proxy process runs but does not become ready.
+    #[error("proxy {proxy} did not become ready within {timeout:?} of its start\n{log_tail}")]
     NotReady {
         /// The proxy's number.
         proxy: usize,
-        /// How long it was waited for.
+        /// How long the testbed waited.
         timeout: Duration,
-        /// The last lines of its log.
+        /// The last lines of the proxy's log.
         log_tail: String,
     },
-    /// A proxy ended though the scenario did not ask for it.
-    #[error("proxy {proxy} {} ({status})\n{log_tail}", if .status.code().is_none() { "was killed" } else { "ended by itself" })]
+    /// A proxy process exited although no fault of the scenario ended it.
+    #[error("proxy {proxy} {} ({status})\n{log_tail}", if .status.code().is_none() { "was killed" } else { "exited unexpectedly" })]
     Ended {
         /// The proxy's number.
         proxy: usize,
-        /// How it ended.
+        /// The exit status.
         status: ExitStatus,
-        /// The last lines of its log.
+        /// The last lines of the proxy's log.
         log_tail: String,
     },
-    /// SIGINT or SIGTERM came.
+    /// SIGINT or SIGTERM was received.
     #[error("interrupted")]
     Interrupted,
 }
--- a/crates/larklink-testbed/src/faulty_relay.rs
+++ b/crates/larklink-testbed/src/faulty_relay.rs
@@ -1,5 +1,5 @@
-//! Relays that stand between clients and a real proxy and break one rule on purpose, to show that the audit finds it. The
-//! proxy itself has no switches for faults.
+//! Relays between the clients and a real proxy that break one rule on purpose, to test that the audit finds it. The proxy
+//! itself has no fault injection.
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,48 +14,48 @@
 use crate::context::TestbedContext;
 use crate::protocol::{LineStream, listen, parse_open_line, parse_response};
 
-/// Longer than the testbed may be late.
-const STALL: Duration = Duration::from_millis(40);
-/// How long a second attempt stays beside the proxy's own.
-const SECOND_ATTEMPT: Duration = Duration::from_millis(200);
-/// An established session is cut off after this time.
+/// How long a stall blocks the testbed: longer than the timer delay that invalidates a run.
+const STALL_DURATION: Duration = Duration::from_millis(40);
+/// How long a second attempt stays open next to the proxy's own.
+const SECOND_ATTEMPT_DURATION: Duration = Duration::from_millis(200);
+/// How long a session is established before the relay cuts it off.
 const CUT_AFTER: Duration = Duration::from_secs(1);
-/// A server under this share of its capacity has just started.
-const JUST_STARTED: f64 = 0.5;
-/// Most faults act on one connection in so many.
-const OFTEN: u64 = 20;
-/// A dropped connection is one in so many.
+/// A server below this share of its full capacity is in early slow start.
+const EARLY_SLOW_START: f64 = 0.5;
+/// Most faults apply to one connection in this many.
+const DEFAULT_ONE_IN: u64 = 20;
+/// One connection in this many is dropped.
 const DROPS_ONE_IN: u64 = 50;
-/// A swallowed response is one in so many.
+/// One response in this many is swallowed.
 const SWALLOWS_ONE_IN: u64 = 500;
 
-/// What a relay does wrong.
+/// A fault that the testbed plants outside the proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlantedFault {
-    /// Sends the final response twice, one time in 20.
+    /// Sends one final response in 20 twice.
     RespondsTwice,
     /// Swallows one final response in 500.
     SwallowsResponses,
-    /// Makes an attempt at a second server while the proxy's is in flight, one time in 20.
+    /// Makes a second attempt while the proxy's is in flight, for one session in 20.
     AttemptsTwo,
-    /// Goes on making attempts at a server that drains.
+    /// Makes attempts at a draining server.
     AttemptsDraining,
-    /// Retries a once-only session that failed.
+    /// Retries failed sessions that may run only once.
     RetriesFailed,
-    /// Cuts an established session off without `MOVE`, one in 20.
+    /// Cuts off one established session in 20 without `MOVE`.
     Cuts,
-    /// Sends all sessions to a server that has just started.
+    /// Sends all sessions to a server in early slow start.
     OverloadsSlowStart,
-    /// Ends one connection in 50 without a response, like those that wait at a listener that closes.
+    /// Closes one connection in 50 without a response, like connections queued at a listening socket that is closed.
     DropsQueued,
-    /// Counts one session in 10 twice in the metrics.
+    /// Counts one session in 10 twice in the metrics. Breaks no rule.
     CountsTwice,
-    /// Breaks no rule but makes the testbed itself late, one time in 20.
+    /// Blocks the testbed itself for one connection in 20, so that its timers are late. Breaks no rule.
     StallsTestbed,
 }
 
 impl PlantedFault {
-    /// Those that break a rule.
+    /// The faults that break a rule.
     pub const BREAKING: [Self; 8] = [
         Self::RespondsTwice,
         Self::SwallowsResponses,
@@ -68,28 +68,28 @@
     ];
 }
 
-/// Where a relay stands.
+/// The addresses of a relay.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct RelayPlace {
-    /// Where clients connect.
+pub(crate) struct RelayAddresses {
+    /// The address to which clients connect.
     pub(crate) listen: SocketAddr,
-    /// The proxy behind it.
+    /// The address of the proxy.
     pub(crate) proxy: SocketAddr,
 }
 
-/// Accepts connections until the run ends; each has a task of its own. All relays count them together.
+/// Accepts connections until the run ends. Each connection has its own task. All relays share one count of connections.
 pub(crate) async fn serve(
     context: Rc<TestbedContext>,
-    place: RelayPlace,
+    addresses: RelayAddresses,
     planted: PlantedFault,
     connections: Rc<Cell<u64>>,
 ) {
-    let Ok(listener) = listen(place.listen) else { return };
+    let Ok(listener) = listen(addresses.listen) else { return };
     while let Ok((stream, _)) = listener.accept().await {
         connections.set(connections.get() + 1);
         let relay = FaultyRelay {
             context: Rc::clone(&context),
-            proxy: place.proxy,
+            proxy: addresses.proxy,
             planted,
             number: connections.get(),
         };
@@ -107,61 +107,61 @@
 }
 
 impl FaultyRelay {
-    /// Whether the fault is planted and acts on this connection, one in so many.
-    fn acts(&self, fault: PlantedFault, one_in: u64) -> bool {
+    /// Returns whether this fault is planted and applies to this connection, which is one in `one_in`.
+    fn applies(&self, fault: PlantedFault, one_in: u64) -> bool {
         self.planted == fault && self.number.is_multiple_of(one_in)
     }
 
     async fn serve(&self, mut client: LineStream) -> std::io::Result<()> {
-        if self.acts(PlantedFault::DropsQueued, DROPS_ONE_IN) {
+        if self.applies(PlantedFault::DropsQueued, DROPS_ONE_IN) {
             return Ok(());
         }
         let Some(first_line) = client.next_line().await? else { return Ok(()) };
-        let text = line_text(&first_line);
-        if let Some(server) = self.direct_server()
-            && let Some(stream) = accepted_directly(server, &text, &client).await?
+        let text = with_crlf(&first_line);
+        if let Some(server) = self.bypass_server()
+            && let Some(stream) = connect_directly(server, &text, &client).await?
         {
-            return copy(client, stream, None).await;
+            return relay_lines(client, stream, None).await;
         }
-        if self.acts(PlantedFault::StallsTestbed, OFTEN) {
-            std::thread::sleep(STALL);
+        if self.applies(PlantedFault::StallsTestbed, DEFAULT_ONE_IN) {
+            std::thread::sleep(STALL_DURATION);
         }
         let mut proxy = LineStream::connect(self.proxy).await?;
         proxy.write(&text).await?;
-        if self.acts(PlantedFault::AttemptsTwo, OFTEN) {
+        if self.applies(PlantedFault::AttemptsTwo, DEFAULT_ONE_IN) {
             self.second_attempt(&text).await?;
         }
         let Some(response) = first_response(&mut proxy, &mut client).await? else { return Ok(()) };
-        if self.retries(&first_line, &response) {
+        if self.must_retry(&first_line, &response) {
             proxy = LineStream::connect(self.proxy).await?;
             proxy.write(&text).await?;
-            return copy(client, proxy, None).await;
+            return relay_lines(client, proxy, None).await;
         }
-        self.respond(client, proxy, &line_text(&response)).await
+        self.respond(client, proxy, &with_crlf(&response)).await
     }
 
-    /// The server to which the fault sends sessions past the proxy.
-    fn direct_server(&self) -> Option<SocketAddr> {
+    /// Returns the server to which the fault sends sessions directly, bypassing the proxy.
+    fn bypass_server(&self) -> Option<SocketAddr> {
         match self.planted {
             PlantedFault::AttemptsDraining => self.server(|state, _| state == ServerState::Draining),
             PlantedFault::OverloadsSlowStart => {
-                self.server(|state, warmth| state == ServerState::Up && warmth < JUST_STARTED)
+                self.server(|state, warmth| state == ServerState::Up && warmth < EARLY_SLOW_START)
             }
             _ => None,
         }
     }
 
-    /// An attempt beside the proxy's, long enough for both to be in flight.
+    /// Makes an attempt next to the proxy's, long enough for both to be in flight.
     async fn second_attempt(&self, text: &str) -> std::io::Result<()> {
         let Some(address) = self.server(|state, _| state == ServerState::Up) else { return Ok(()) };
         let second = LineStream::connect(address).await?;
         second.write(text).await?;
-        Timer::after(SECOND_ATTEMPT).await;
+        Timer::after(SECOND_ATTEMPT_DURATION).await;
         Ok(())
     }
 
-    /// Whether this response is followed by a retry that is not allowed.
-    fn retries(&self, first_line: &[u8], response: &[u8]) -> bool {
+    /// Returns whether to follow this response with a retry that is not allowed.
+    fn must_retry(&self, first_line: &[u8], response: &[u8]) -> bool {
         let is_once_only = || {
             let Some(open) = parse_open_line(first_line) else { return false };
             let mut listeners = self.context.scenario.listeners.iter().map(toml::Spanned::get_ref);
@@ -172,40 +172,41 @@
             && is_once_only()
     }
 
-    /// Passes the response on, and then lines both ways.
+    /// Forwards the response, then lines in both directions.
     async fn respond(
         &self,
         mut client: LineStream,
         proxy: LineStream,
         response: &str,
     ) -> std::io::Result<()> {
-        if self.acts(PlantedFault::SwallowsResponses, SWALLOWS_ONE_IN) {
+        if self.applies(PlantedFault::SwallowsResponses, SWALLOWS_ONE_IN) {
             let _ = client.next_line().await;
             return Ok(());
         }
         client.write(response).await?;
-        if self.acts(PlantedFault::RespondsTwice, OFTEN) {
+        if self.applies(PlantedFault::RespondsTwice, DEFAULT_ONE_IN) {
             client.write(response).await?;
         }
-        copy(client, proxy, self.acts(PlantedFault::Cuts, OFTEN).then_some(CUT_AFTER)).await
+        relay_lines(client, proxy, self.applies(PlantedFault::Cuts, DEFAULT_ONE_IN).then_some(CUT_AFTER))
+            .await
     }
 
-    /// The first server whose state and share of its full capacity fit.
-    fn server(&self, fits: impl Fn(ServerState, f64) -> bool) -> Option<SocketAddr> {
+    /// Returns the first server whose state and share of its full capacity match.
+    fn server(&self, matches: impl Fn(ServerState, f64) -> bool) -> Option<SocketAddr> {
         let now = self.context.now();
         let world = self.context.world.borrow();
-        let number = world.servers.iter().position(|server| fits(server.state(), server.warmth(now)))?;
+        let number = world.servers.iter().position(|server| matches(server.state(), server.warmth(now)))?;
         Some(self.context.addresses.servers[number])
     }
 }
 
-/// A line as it is written again.
-fn line_text(line: &[u8]) -> String {
+/// Converts a line back to text with its CRLF.
+fn with_crlf(line: &[u8]) -> String {
     format!("{}\r\n", String::from_utf8_lossy(line))
 }
 
-/// A session sent to a server past the proxy; none if the server does not accept it.
-async fn accepted_directly(
+/// Opens a session at a server directly and forwards its response. Returns `None` if the server does not accept it.
+async fn connect_directly(
     server: SocketAddr,
     first_line: &str,
     client: &LineStream,
@@ -216,11 +217,12 @@
     if parse_response(&response) != Some(ClientResponse::Accepted) {
         return Ok(None);
     }
-    client.write(&line_text(&response)).await?;
+    client.write(&with_crlf(&response)).await?;
     Ok(Some(stream))
 }
 
-/// The proxy's response; none if either side ended: a client that leaves takes the attempt with it.
+/// Waits for the proxy's response. Returns `None` if either side closes: if the client does, the relay closes the
+/// connection to the proxy too, which abandons the attempt.
 async fn first_response(proxy: &mut LineStream, client: &mut LineStream) -> std::io::Result<Option<Vec<u8>>> {
     let response = async { proxy.next_line().await };
     let left = async {
@@ -230,33 +232,33 @@
     response.or(left).await
 }
 
-/// A line, and which way it goes.
-enum Relayed {
+/// A line to forward, or `None` at the end of the stream.
+enum RelayedLine {
     ToServer(Option<Vec<u8>>),
     ToClient(Option<Vec<u8>>),
 }
 
-/// Lines both ways until one side ends, or for so long.
-async fn copy(
+/// Forwards lines in both directions until one side closes or the time limit is reached.
+async fn relay_lines(
     mut client: LineStream,
     mut server: LineStream,
     limit: Option<Duration>,
 ) -> std::io::Result<()> {
-    let until = limit.map(|limit| Instant::now() + limit);
+    let deadline = limit.map(|limit| Instant::now() + limit);
     loop {
-        let up = async { Ok::<_, std::io::Error>(Relayed::ToServer(client.next_line().await?)) };
-        let down = async { Ok(Relayed::ToClient(server.next_line().await?)) };
-        let over = async {
-            match until {
-                Some(until) => _ = Timer::at(until).await,
+        let to_server = async { Ok::<_, std::io::Error>(RelayedLine::ToServer(client.next_line().await?)) };
+        let to_client = async { Ok(RelayedLine::ToClient(server.next_line().await?)) };
+        let timed_out = async {
+            match deadline {
+                Some(deadline) => _ = Timer::at(deadline).await,
                 None => future::pending().await,
             }
-            Ok(Relayed::ToServer(None))
+            Ok(RelayedLine::ToServer(None))
         };
-        match up.or(down).or(over).await? {
-            Relayed::ToServer(Some(line)) => server.write(&line_text(&line)).await?,
-            Relayed::ToClient(Some(line)) => client.write(&line_text(&line)).await?,
-            Relayed::ToServer(None) | Relayed::ToClient(None) => return Ok(()),
+        match to_server.or(to_client).or(timed_out).await? {
+            RelayedLine::ToServer(Some(line)) => server.write(&with_crlf(&line)).await?,
+            RelayedLine::ToClient(Some(line)) => client.write(&with_crlf(&line)).await?,
+            RelayedLine::ToServer(None) | RelayedLine::ToClient(None) => return Ok(()),
         }
     }
 }
--- a/crates/larklink-testbed/src/histogram.rs
+++ b/crates/larklink-testbed/src/histogram.rs
@@ -1,11 +1,11 @@
-//! Histograms of times.
+//! Histograms of durations.
 use hdrhistogram::Histogram;
 
-/// Significant digits that a histogram keeps.
-const DIGITS: u8 = 3;
+/// Significant decimal digits that a histogram keeps.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// An empty histogram that grows as it needs.
+/// Creates an empty histogram that resizes itself to fit its values.
 pub(crate) fn new_histogram() -> Histogram<u64> {
-    // It only fails for more than five digits.
-    Histogram::new(DIGITS).expect("three digits are allowed")
+    // Fails only for more than five digits.
+    Histogram::new(SIGNIFICANT_DIGITS).expect("three significant digits are supported")
 }
--- a/crates/larklink-testbed/src/lib.rs
+++ b/crates/larklink-testbed/src/lib.rs
@@ -1,11 +1,11 @@
-//! The model of `larklink-simulation` on loopback sockets, with real proxy processes between its clients and its servers.
+//! Runs the model of `larklink-simulation` on loopback sockets, with real proxy processes between its clients and servers.
 //!
-//! [`run`](run::run) starts the proxies, plays a [`Scenario`](larklink_simulation::scenario::Scenario) and returns a
-//! [`Report`](report::Report). The event log that the audit judges by is written by the stand-in clients and servers;
-//! the proxies under test add nothing to it.
+//! [`run`](run::run) starts the proxies, runs a [`Scenario`](larklink_simulation::scenario::Scenario) and returns a
+//! [`Report`](report::Report). The stand-in clients and servers write the event log that the audit checks; the
+//! proxies under test add nothing to it.
 //!
-//! Everything runs on one thread. Tasks are spawned by `TestbedContext::spawn` and are
-//! dropped with the executor when the run ends.
+//! Everything runs on one thread. Tasks are spawned with `TestbedContext::spawn` and are dropped together with the
+//! executor when the run ends.
 
 mod addresses;
 mod admin_client;
@@ -25,7 +25,7 @@
 mod proxy_slot;
 pub mod report;
 pub mod run;
-mod run_folder;
+mod run_directory;
 pub mod sample;
 mod servers;
 mod supervisor;
--- a/crates/larklink-testbed/src/metrics_poller.rs
+++ b/crates/larklink-testbed/src/metrics_poller.rs
@@ -1,4 +1,4 @@
-//! Asks every proxy for its metrics five times a second, and compares them with what clients recorded.
+//! Polls the metrics of every proxy five times a second and compares them with what the clients recorded.
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io::{Error, ErrorKind, Result};
@@ -11,36 +11,37 @@
 use crate::proxy_slot::{AdminEndpoint, ProcessKey, ProxySlot, ProxySlots};
 use crate::report::ListenerReport;
 
-/// How often each process is asked; what it counts after the last call before its end is in no metrics.
+/// How often each process is polled. What a process counts between its last poll and its exit is lost.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// The difference that is allowed for each process: so many sessions,
-const ALLOWED_SESSIONS: u64 = 3;
-/// or one in so many.
-const ALLOWED_ONE_IN: u64 = 100;
-/// A planted miscount adds one in so many.
+/// The allowed difference per process is the greater of this number of sessions and one in [`TOLERANCE_ONE_IN`].
+const MIN_TOLERANCE_SESSIONS: u64 = 3;
+/// One in this many sessions may be missing or extra per process.
+const TOLERANCE_ONE_IN: u64 = 100;
+/// A planted miscount counts one session in this many twice.
 const MISCOUNT_ONE_IN: u64 = 10;
-/// The status of a call that was answered.
+/// The HTTP status of a successful request.
 const HTTP_OK: u16 = 200;
 
 /// The metrics of one process, by name.
 type ProcessMetrics = BTreeMap<String, u64>;
 
-/// Asks every proxy for its metrics, and compares them with what clients recorded.
+/// Polls the metrics of every proxy and compares them with what the clients recorded.
 #[derive(Default)]
 pub(crate) struct MetricsPoller {
+    /// The latest metrics of each process, including those that have exited.
     latest: RefCell<BTreeMap<ProcessKey, ProcessMetrics>>,
-    /// A line for each call without an answer.
-    unanswered: RefCell<Vec<String>>,
-    /// Reads one session in ten twice, to show that a miscount is found.
-    counts_twice: bool,
+    /// A message for each request that failed.
+    failed_requests: RefCell<Vec<String>>,
+    /// Whether to count one session in ten twice, to test that a miscount is found.
+    double_counts: bool,
 }
 
 impl MetricsPoller {
-    pub(crate) fn new(counts_twice: bool) -> Rc<Self> {
-        Rc::new(Self { counts_twice, ..Self::default() })
+    pub(crate) fn new(double_counts: bool) -> Rc<Self> {
+        Rc::new(Self { double_counts, ..Self::default() })
     }
 
-    /// Asks all processes that run, again and again; never ends.
+    /// Polls all running processes periodically. Never returns.
     pub(crate) async fn run(self: Rc<Self>, slots: ProxySlots) {
         loop {
             Timer::after(POLL_INTERVAL).await;
@@ -48,12 +49,13 @@
         }
     }
 
-    /// Asks all processes that run.
+    /// Polls all running processes once.
     pub(crate) async fn poll_all(&self, slots: &ProxySlots) {
         let endpoints: Vec<_> = slots.borrow().iter().filter_map(ProxySlot::admin_endpoint).collect();
         for endpoint in endpoints {
             let Err(error) = self.poll(endpoint).await else { continue };
-            // A process that has ended meanwhile need not answer, nor one that does not listen yet.
+            // A failed request counts only if the process has answered before and still runs: it may not listen yet, or
+            // may have exited since.
             let answered_before = self.latest.borrow().contains_key(&endpoint.process);
             let runs = || {
                 slots
@@ -64,27 +66,31 @@
             };
             if answered_before && runs() {
                 let proxy = endpoint.process.proxy;
-                self.unanswered.borrow_mut().push(format!("proxy {proxy}: /metrics: {error}"));
+                self.failed_requests.borrow_mut().push(format!("proxy {proxy}: /metrics: {error}"));
             }
         }
     }
 
-    /// Asks a process for its metrics and keeps them.
+    /// Requests the metrics of a process and stores them.
     ///
     /// # Errors
-    /// There is no answer, or it cannot be read.
+    /// Fails if the request fails or its response cannot be parsed.
     pub(crate) async fn poll(&self, endpoint: AdminEndpoint) -> Result<()> {
-        let answer = admin_client::get(endpoint.address, "/metrics").await?;
-        let metrics = parse_metrics(&answer.body).filter(|_| answer.status == HTTP_OK).ok_or_else(|| {
-            Error::new(ErrorKind::InvalidData, format!("{} {:?}", answer.status, answer.body))
-        })?;
+        let response = admin_client::get(endpoint.address, "/metrics").await?;
+        let metrics =
+            parse_metrics(&response.body).filter(|_| response.status == HTTP_OK).ok_or_else(|| {
+                Error::new(
+                    ErrorKind::InvalidData,
+                    format!("status {}, body {:?}", response.status, response.body),
+                )
+            })?;
         self.latest.borrow_mut().insert(endpoint.process, metrics);
         Ok(())
     }
 
-    /// Calls without an answer, and metrics that differ from what clients recorded.
+    /// Returns the failed requests, and the metrics that differ too much from what the clients recorded.
     pub(crate) fn findings(&self, listeners: &[ListenerReport]) -> Vec<String> {
-        let mut findings = self.unanswered.borrow().clone();
+        let mut findings = self.failed_requests.borrow().clone();
         for listener in listeners {
             let outcomes = &listener.outcomes;
             for (metric, recorded) in [
@@ -93,7 +99,7 @@
                 ("bad_gateway", outcomes.failed),
             ] {
                 let reported = self.sum(&format!("app.handled.{}.{metric}", listener.listener));
-                if reported.abs_diff(recorded) > self.allowed_difference(recorded) {
+                if reported.abs_diff(recorded) > self.tolerance(recorded) {
                     let name = &listener.listener;
                     findings.push(format!("{name}: {metric} is {reported}, clients recorded {recorded}"));
                 }
@@ -102,18 +108,18 @@
         findings
     }
 
-    /// A metric over all processes.
+    /// Sums a metric over all processes.
     fn sum(&self, metric: &str) -> u64 {
         let sum = self.latest.borrow().values().filter_map(|metrics| metrics.get(metric)).sum::<u64>();
-        if self.counts_twice { sum + sum / MISCOUNT_ONE_IN } else { sum }
+        if self.double_counts { sum + sum / MISCOUNT_ONE_IN } else { sum }
     }
 
-    fn allowed_difference(&self, recorded: u64) -> u64 {
-        ALLOWED_SESSIONS.max(recorded / ALLOWED_ONE_IN) * self.latest.borrow().len() as u64
+    fn tolerance(&self, recorded: u64) -> u64 {
+        MIN_TOLERANCE_SESSIONS.max(recorded / TOLERANCE_ONE_IN) * self.latest.borrow().len() as u64
     }
 }
 
-/// Lines of name and value; none if one of them is something else.
+/// Parses lines of the form `name=value`. Returns `None` if any line has another form.
 fn parse_metrics(text: &str) -> Option<ProcessMetrics> {
     let parse_line = |line: &str| {
         let (name, value) = line.split_once('=')?;
--- a/crates/larklink-testbed/src/options.rs
+++ b/crates/larklink-testbed/src/options.rs
@@ -1,4 +1,4 @@
-//! How a scenario is to be run.
+//! Options of a run.
 use std::path::{Path, PathBuf};
 
 use async_channel::Sender;
@@ -6,23 +6,23 @@
 use crate::faulty_relay::PlantedFault;
 use crate::sample::Sample;
 
-/// How a scenario is to be run.
+/// Options of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The proxy's program.
+    /// The path of the proxy executable.
     pub proxy_program: PathBuf,
-    /// Takes the place of the scenario's seed.
+    /// The seed, which overrides that of the scenario.
     pub seed: u64,
-    /// A fault that is planted before the proxies, to show that the audit finds it.
+    /// A fault to plant in front of the proxies, to test that the audit finds it.
     pub planted: Option<PlantedFault>,
-    /// Where the run makes a folder of its own for configurations and logs; it is removed at the end.
+    /// The directory in which the run creates its own directory for configurations and logs, removed at the end.
     pub folder: PathBuf,
-    /// Gets a sample four times a second; a full channel loses it.
+    /// Receives a sample four times a second. Samples are dropped while the channel is full.
     pub progress: Option<Sender<Sample>>,
 }
 
 impl Options {
-    /// Without a planted fault or progress, in the folder for temporary files.
+    /// Options without a planted fault or progress channel, using the system's directory for temporary files.
     #[must_use]
     pub fn new(proxy_program: &Path, seed: u64) -> Self {
         Self {
--- a/crates/larklink-testbed/src/protocol.rs
+++ b/crates/larklink-testbed/src/protocol.rs
@@ -1,5 +1,5 @@
-//! The lines of the protocol as the stand-ins read and write them, apart from the proxy's own code: a parser shared with
-//! the program under test would share its mistakes.
+//! Parsing and formatting of protocol lines for the stand-ins. Deliberately independent of the proxy's code: a parser
+//! shared with the program under test would share its mistakes.
 use std::io::{ErrorKind, Result};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
@@ -13,9 +13,9 @@
 use larklink_simulation::time::Timestamp;
 use socket2::{Domain, SockRef, Socket, Type};
 
-/// The longest line, in bytes.
+/// The maximum length of a line in bytes.
 const MAX_LINE_BYTES: usize = 4096;
-/// Connections that the kernel queues for a listener.
+/// The number of pending connections that the kernel queues for a listener.
 const LISTEN_BACKLOG: i32 = 1024;
 
 /// A connection that is read line by line.
@@ -33,15 +33,16 @@
     /// Connects to an address.
     ///
     /// # Errors
-    /// No connection can be made.
+    /// Fails if the connection cannot be established.
     pub(crate) async fn connect(address: SocketAddr) -> Result<Self> {
         Ok(Self::new(Async::<TcpStream>::connect(address).await?))
     }
 
-    /// The next line without its CRLF; none at the end. May be dropped and called again at any time.
+    /// Reads the next line without its CRLF, or `None` at the end of the stream. Cancel-safe: dropping the future loses no
+    /// data.
     ///
     /// # Errors
-    /// The connection broke, or a line is too long.
+    /// Fails if the connection breaks or the line is too long.
     pub(crate) async fn next_line(&mut self) -> Result<Option<Vec<u8>>> {
         loop {
             if let Some(end) = self.unread.windows(2).position(|pair| pair == b"\r\n") {
@@ -60,29 +61,29 @@
         }
     }
 
-    /// Writes the text completely.
+    /// Writes the whole text.
     ///
     /// # Errors
-    /// The connection broke.
+    /// Fails if the connection breaks.
     pub(crate) async fn write(&self, text: &str) -> Result<()> {
         (&self.stream).write_all(text.as_bytes()).await
     }
 
-    /// Ends the connection by a reset.
+    /// Closes the connection with a reset.
     pub(crate) fn reset(self) {
         let _ = SockRef::from(self.stream.get_ref()).set_linger(Some(Duration::ZERO));
     }
 }
 
-/// What comes first on a connection.
+/// The next input of a connection's task.
 pub(crate) enum NextInput<T> {
-    /// A line; none at the connection's end.
+    /// A received line, or `None` at the end of the stream.
     Line(Result<Option<Vec<u8>>>),
     /// A command from the model.
     Command(T),
 }
 
-/// Waits for a line or a command; of both, the line comes first.
+/// Waits for a line or a command. If both are available, returns the line.
 pub(crate) async fn next_input<T>(lines: &mut LineStream, commands: &Receiver<T>) -> NextInput<T> {
     let line = async { NextInput::Line(lines.next_line().await) };
     let command = async {
@@ -94,10 +95,10 @@
     line.or(command).await
 }
 
-/// Listens on an address, also where connections of an earlier listener are still closing.
+/// Listens on an address, even if connections of an earlier listener on it are still closing.
 ///
 /// # Errors
-/// The address is in use, or no descriptors are left.
+/// Fails if the address is in use or the descriptor limit is reached.
 pub(crate) fn listen(address: SocketAddr) -> Result<Async<TcpListener>> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
@@ -106,7 +107,7 @@
     Async::new(socket.into())
 }
 
-/// A client's first line.
+/// Formats the first line of a client.
 pub(crate) fn open_line(request: &ClientRequest, listener: &str) -> String {
     let timeout_ms = request.patience / TICKS_PER_MS;
     let mut line = format!("OPEN {:x} {:x} c={listener},t=floor,d={timeout_ms}", request.id, request.key);
@@ -116,17 +117,17 @@
     line + "\r\n"
 }
 
-/// What a server reads from a first line.
+/// The fields of a first line that a server uses.
 pub(crate) struct OpenLine<'a> {
-    /// The session's id.
+    /// The session id.
     pub(crate) id: u64,
-    /// The listener's name.
+    /// The name of the listener.
     pub(crate) listener: &'a str,
-    /// How long the sender waits, in milliseconds.
+    /// How long the sender waits to be accepted, in milliseconds.
     pub(crate) timeout_ms: u64,
 }
 
-/// Parses a first line; none if it is another line.
+/// Parses a first line. Returns `None` for any other line.
 pub(crate) fn parse_open_line(line: &[u8]) -> Option<OpenLine<'_>> {
     let text = std::str::from_utf8(line).ok()?;
     let mut words = text.strip_prefix("OPEN ")?.split(' ');
@@ -140,7 +141,7 @@
     Some(OpenLine { id, listener: value("c")?, timeout_ms: value("d")?.parse().ok()? })
 }
 
-/// Parses a first response; none if the line is another one.
+/// Parses the response to a first line. Returns `None` for any other line.
 pub(crate) fn parse_response(line: &[u8]) -> Option<ClientResponse> {
     let text = std::str::from_utf8(line).ok()?;
     let (word, rest) = text.split_once(' ').unwrap_or((text, ""));
@@ -153,23 +154,23 @@
     }
 }
 
-/// What a message of an established session carries.
+/// The numbers in a message of an established session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct MessageStamp {
-    /// Its number in the session.
+    /// The number of the message within its session.
     pub(crate) number: u64,
-    /// When its client sent it.
+    /// When the client sent it.
     pub(crate) sent_at: Timestamp,
-    /// When its server sent it back.
+    /// When the server sent it back, if it did.
     pub(crate) returned_at: Option<Timestamp>,
 }
 
-/// A client's message.
+/// Formats a message of a client.
 pub(crate) fn client_message(number: u64, now: Timestamp) -> String {
     format!("M {number} {now}\r\n")
 }
 
-/// Parses a message, on its way to the server or back; none if the line is another one.
+/// Parses a message in either direction. Returns `None` for any other line.
 pub(crate) fn parse_message(line: &[u8]) -> Option<MessageStamp> {
     let text = std::str::from_utf8(line).ok()?.strip_prefix("M ")?;
     let numbers: Vec<u64> = text.split(' ').map(|number| number.parse().ok()).collect::<Option<_>>()?;
@@ -177,7 +178,7 @@
     Some(MessageStamp { number, sent_at, returned_at: rest.first().copied() })
 }
 
-/// The line for what a server sends; none where it resets the connection.
+/// Formats a server's message as a line. Returns `None` if the server resets the connection instead.
 pub(crate) fn server_line(message: &ServerMessage, connection: u64, now: Timestamp) -> Option<String> {
     Some(match message {
         ServerMessage::Accepted => format!("UP {connection:x}\r\n"),
--- a/crates/larklink-testbed/src/proxy_process.rs
+++ b/crates/larklink-testbed/src/proxy_process.rs
@@ -1,10 +1,10 @@
-//! A proxy's process, and what it uses.
+//! A proxy process and its resource usage.
 use std::process::{Child, ExitStatus};
 
 use rustix::process::{Pid, Signal, kill_process};
 use serde::Serialize;
 
-/// A proxy's process; it does not outlive this value, nor the thread that started it.
+/// A running proxy process. It is killed when this value is dropped, or when the thread that started it ends.
 pub(crate) struct ProxyProcess(Child);
 
 impl ProxyProcess {
@@ -16,8 +16,8 @@
         let _ = kill_process(Pid::from_child(&self.0), signal);
     }
 
-    /// How it ended, if it has.
-    pub(crate) fn exited(&mut self) -> Option<ExitStatus> {
+    /// Returns the exit status if the process has exited.
+    pub(crate) fn exit_status(&mut self) -> Option<ExitStatus> {
         self.0.try_wait().ok().flatten()
     }
 
@@ -26,11 +26,11 @@
         let _ = self.0.wait();
     }
 
-    /// What it has used so far; none if it is gone.
+    /// Returns the resources used so far, or `None` if the process no longer exists.
     pub(crate) fn resources(&self) -> Option<ProcessResources> {
         let pid = self.0.id();
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-        // The fields behind the command's name: 11 and 12 are the user's and the system's clock ticks.
+        // Counting from 0 after the command name, fields 11 and 12 are the clock ticks in user and in kernel mode.
         let fields: Vec<_> = stat.rsplit_once(')')?.1.split_whitespace().collect();
         let ticks = fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?;
         let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
@@ -48,21 +48,21 @@
     }
 }
 
-/// What one process has used.
+/// The resources used by one process.
 pub(crate) struct ProcessResources {
-    /// Processor time in seconds.
+    /// CPU time in seconds.
     pub(crate) cpu_s: f64,
-    /// The most memory that was resident, in kilobytes.
+    /// Peak resident memory in kilobytes.
     pub(crate) peak_kb: u64,
 }
 
-/// What all processes of one proxy have used.
+/// The resources used by all processes of one proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct ProxyUsage {
-    /// Processor time in seconds.
+    /// CPU time in seconds.
     pub cpu_s: f64,
-    /// The most memory that was resident, in kilobytes.
+    /// Peak resident memory in kilobytes.
     pub peak_kb: u64,
-    /// How often it was started.
+    /// The number of processes started.
     pub starts: u32,
 }
--- a/crates/larklink-testbed/src/proxy_slot.rs
+++ b/crates/larklink-testbed/src/proxy_slot.rs
@@ -1,4 +1,4 @@
-//! One proxy of a run under its name and addresses, whether it runs or not.
+//! A proxy of a run, which keeps its name and addresses across its processes.
 use std::cell::RefCell;
 use std::fs::File;
 use std::net::SocketAddr;
@@ -15,106 +15,107 @@
 use crate::error::TestbedError;
 use crate::proxy_process::{ProxyProcess, ProxyUsage};
 
-/// Lines of a log that are shown of a proxy that failed.
+/// Lines of a proxy's log to include in an error.
 const LOG_TAIL_LINES: usize = 12;
-/// Proxies of one scenario's seed that have seeds of their own.
+/// Seeds reserved for the proxies of one scenario seed, which is also the most proxies that the testbed starts.
 const SEEDS_PER_SCENARIO: u64 = 64;
 
 /// All proxies of a run, by number.
 pub(crate) type ProxySlots = Rc<RefCell<Vec<ProxySlot>>>;
 
-/// Identifies a process: which start of which proxy.
+/// Identifies a proxy process by its proxy and its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ProcessKey {
     /// The proxy's number.
     pub(crate) proxy: usize,
-    /// Which of its starts, from 1.
+    /// The number of the start, from 1.
     pub(crate) start: u32,
 }
 
-/// A process that runs and has an admin endpoint.
+/// The admin endpoint of a running process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct AdminEndpoint {
     /// The process.
     pub(crate) process: ProcessKey,
-    /// Where it answers.
+    /// Its address.
     pub(crate) address: SocketAddr,
 }
 
-/// The program, folder and addresses of a proxy.
-pub(crate) struct ProxyPlace {
+/// The executable, directory and addresses of a proxy.
+pub(crate) struct ProxySpec {
     pub(crate) program: PathBuf,
-    /// Where its configuration and log go.
-    pub(crate) folder: PathBuf,
-    /// Where it listens.
+    /// The directory for its configuration and log.
+    pub(crate) directory: PathBuf,
+    /// The address on which it listens.
     pub(crate) listen: SocketAddr,
-    /// Where it finds discovery, in turn: each reload takes the next.
+    /// Addresses of its discovery. Each reload switches to the other one.
     pub(crate) discovery: [SocketAddr; 2],
-    /// Where its processes have their admin endpoints, in turn; empty for none.
+    /// Addresses of its admin endpoints, which its processes use in turn; empty for none.
     pub(crate) admin: Vec<SocketAddr>,
 }
 
-/// One proxy under its name and addresses, whether it runs or not.
+/// A proxy of a run, which keeps its name and addresses across its processes.
 pub(crate) struct ProxySlot {
     number: usize,
-    place: ProxyPlace,
+    spec: ProxySpec,
     reloads: usize,
     process: Option<ProxyProcess>,
-    /// What all its processes before this one have used.
-    usage_before: ProxyUsage,
+    /// The resources used by all earlier processes.
+    previous_usage: ProxyUsage,
+    /// The resources used by all processes, as last measured.
     usage: ProxyUsage,
 }
 
 impl ProxySlot {
-    pub(crate) fn new(number: usize, place: ProxyPlace) -> Self {
+    pub(crate) fn new(number: usize, spec: ProxySpec) -> Self {
         Self {
             number,
-            place,
+            spec,
             reloads: 0,
             process: None,
-            usage_before: ProxyUsage::default(),
+            previous_usage: ProxyUsage::default(),
             usage: ProxyUsage::default(),
         }
     }
 
     pub(crate) fn listen(&self) -> SocketAddr {
-        self.place.listen
+        self.spec.listen
     }
 
-    /// The admin endpoint of the process that runs.
+    /// Returns the admin endpoint of the running process, if there is one.
     pub(crate) fn admin_endpoint(&self) -> Option<AdminEndpoint> {
         self.process.as_ref()?;
         let process = ProcessKey { proxy: self.number, start: self.usage.starts };
         Some(AdminEndpoint { process, address: self.admin_address()? })
     }
 
-    /// The admin address of its latest start.
+    /// Returns the admin address of the latest process.
     fn admin_address(&self) -> Option<SocketAddr> {
-        let addresses = &self.place.admin;
+        let addresses = &self.spec.admin;
         addresses.get(self.usage.starts as usize % addresses.len().max(1)).copied()
     }
 
     /// Starts a process.
     ///
     /// # Errors
-    /// The configuration cannot be written or the program not started.
+    /// Fails if the configuration cannot be written or the executable cannot be started.
     pub(crate) fn start(&mut self, context: &TestbedContext) -> Result<(), TestbedError> {
         self.spawn(context)
-            .map_err(|source| TestbedError::StartProxy { program: self.place.program.clone(), source })
+            .map_err(|source| TestbedError::StartProxy { program: self.spec.program.clone(), source })
     }
 
     fn spawn(&mut self, context: &TestbedContext) -> std::io::Result<()> {
         self.usage.starts += 1;
         self.write_config(context)?;
         let log = File::options().create(true).append(true).open(self.log_path())?;
-        let mut command = Command::new(&self.place.program);
+        let mut command = Command::new(&self.spec.program);
         command.arg(self.config_path()).stdin(Stdio::null()).stdout(log.try_clone()?).stderr(log);
         if let Some(address) = self.admin_address() {
-            let own_folder = self.place.folder.join(format!("proxy-{}", self.number));
-            std::fs::create_dir_all(&own_folder)?;
-            command.env("ROUTER_CONSOLE", address.to_string()).env("TMPDIR", own_folder);
+            let temp_directory = self.spec.directory.join(format!("proxy-{}", self.number));
+            std::fs::create_dir_all(&temp_directory)?;
+            command.env("ROUTER_CONSOLE", address.to_string()).env("TMPDIR", temp_directory);
         }
-        // SAFETY: only one system call is made between fork and exec, and nothing is allocated.
+        // SAFETY: the closure makes a single system call and allocates nothing, so it is safe between fork and exec.
         unsafe {
             command.pre_exec(|| Ok(set_parent_process_death_signal(Some(Signal::KILL))?));
         }
@@ -122,7 +123,7 @@
         Ok(())
     }
 
-    /// Has it read a configuration that names its other discovery address.
+    /// Writes a configuration with the other discovery address and makes the process read it.
     pub(crate) fn reload(&mut self, context: &TestbedContext) {
         self.reloads += 1;
         let _ = self.write_config(context);
@@ -137,8 +138,8 @@
         let known: Vec<_> = entries.iter().map(|entry| entry_json(context, entry)).collect();
         let seed = scenario.seed.wrapping_mul(SEEDS_PER_SCENARIO).wrapping_add(self.number as u64);
         let config = serde_json::json!({
-            "name": format!("n{}", self.number), "listen": self.place.listen.to_string(),
-            "discovery": self.place.discovery[self.reloads % self.place.discovery.len()].to_string(),
+            "name": format!("n{}", self.number), "listen": self.spec.listen.to_string(),
+            "discovery": self.spec.discovery[self.reloads % self.spec.discovery.len()].to_string(),
             "seed": format!("{:x}", seed.wrapping_add(u64::from(self.usage.starts) << 32)),
             "limits": {"cores": 1.0, "memory_mb": scenario.proxies.memory_mb, "sockets": scenario.proxies.descriptors},
             "known": {"index": 1, "snapshot": true, "endpoints": known},
@@ -148,14 +149,14 @@
     }
 
     fn config_path(&self) -> PathBuf {
-        self.place.folder.join(format!("proxy-{}.json", self.number))
+        self.spec.directory.join(format!("proxy-{}.json", self.number))
     }
 
     fn log_path(&self) -> PathBuf {
-        self.place.folder.join(format!("proxy-{}.log", self.number))
+        self.spec.directory.join(format!("proxy-{}.log", self.number))
     }
 
-    /// The last lines of its log.
+    /// Returns the last lines of the log.
     pub(crate) fn log_tail(&self) -> String {
         let text = std::fs::read(self.log_path()).unwrap_or_default();
         let text = String::from_utf8_lossy(&text);
@@ -163,51 +164,52 @@
         lines[lines.len().saturating_sub(LOG_TAIL_LINES)..].join("\n")
     }
 
-    /// An error if its process has ended at its start.
+    /// Checks that a process which is starting still runs.
     ///
     /// # Errors
-    /// How it ended.
+    /// Fails if the process has exited.
     pub(crate) fn check_started(&mut self) -> Result<(), TestbedError> {
-        let Some(status) = self.process.as_mut().and_then(ProxyProcess::exited) else { return Ok(()) };
-        Err(TestbedError::EndedAtStart { proxy: self.number, status, log_tail: self.log_tail() })
+        let Some(status) = self.process.as_mut().and_then(ProxyProcess::exit_status) else { return Ok(()) };
+        Err(TestbedError::ExitedAtStartup { proxy: self.number, status, log_tail: self.log_tail() })
     }
 
-    /// An error if its process has ended by itself.
+    /// Checks that a process which was ready still runs.
     ///
     /// # Errors
-    /// How it ended.
+    /// Fails if the process has exited.
     pub(crate) fn check_running(&mut self) -> Result<(), TestbedError> {
-        let Some(status) = self.process.as_mut().and_then(ProxyProcess::exited) else { return Ok(()) };
+        let Some(status) = self.process.as_mut().and_then(ProxyProcess::exit_status) else { return Ok(()) };
         Err(TestbedError::Ended { proxy: self.number, status, log_tail: self.log_tail() })
     }
 
-    /// Gives its process away, to be stopped by the caller.
+    /// Hands the process over to the caller, who stops it.
     pub(crate) fn take_process(&mut self) -> Option<ProxyProcess> {
         self.process.take()
     }
 
-    /// Closes the account of the process that runs.
-    pub(crate) fn close_usage(&mut self) {
-        self.measure();
-        self.usage_before = self.usage;
+    /// Measures the running process for the last time, so that usage counts it as an earlier one.
+    pub(crate) fn finalize_usage(&mut self) {
+        self.update_usage();
+        self.previous_usage = self.usage;
     }
 
-    /// Closes its account, and kills it if it still runs.
-    pub(crate) fn end(&mut self) {
-        self.close_usage();
+    /// Finalizes the usage of the process, and kills it if it still runs.
+    pub(crate) fn kill_process(&mut self) {
+        self.finalize_usage();
         self.process = None;
     }
 
-    /// What its processes have used so far.
+    /// Measures and returns the resources used by all processes so far.
     pub(crate) fn usage(&mut self) -> ProxyUsage {
-        self.measure();
+        self.update_usage();
         self.usage
     }
 
-    pub(crate) fn measure(&mut self) {
+    /// Measures the running process, if there is one.
+    pub(crate) fn update_usage(&mut self) {
         if let Some(used) = self.process.as_ref().and_then(ProxyProcess::resources) {
-            self.usage.cpu_s = self.usage_before.cpu_s + used.cpu_s;
-            self.usage.peak_kb = self.usage_before.peak_kb.max(used.peak_kb);
+            self.usage.cpu_s = self.previous_usage.cpu_s + used.cpu_s;
+            self.usage.peak_kb = self.previous_usage.peak_kb.max(used.peak_kb);
         }
     }
 }
--- a/crates/larklink-testbed/src/report.rs
+++ b/crates/larklink-testbed/src/report.rs
@@ -115,7 +115,7 @@
     /// The audit's findings.
     pub findings: Findings,
     /// Round trips of messages in ticks, by listener.
-    pub message_times: Vec<Histogram<u64>>,
+    pub message_round_trips: Vec<Histogram<u64>>,
     /// What each proxy used.
     pub proxies: Vec<ProxyUsage>,
     /// The state four times a second.
@@ -129,11 +129,11 @@
     #[must_use]
     pub fn new(scenario: &Scenario, seed: u64, world: &World, measured: RunMeasurements) -> Self {
         let Findings { listeners, shapes, violations } = measured.findings;
-        let message_times = &measured.message_times;
+        let message_round_trips = &measured.message_round_trips;
         let rows: Vec<_> = listeners
             .into_iter()
             .enumerate()
-            .map(|(i, outcomes)| listener_report(scenario, world, i, outcomes, message_times.get(i)))
+            .map(|(i, outcomes)| listener_report(scenario, world, i, outcomes, message_round_trips.get(i)))
             .collect();
         let service = world.clients.service();
         let recovery = recovery(scenario, &world.event_log);
@@ -152,7 +152,7 @@
             store_calls: world.session_store.calls,
             store_failed: world.session_store.failed,
             timer_delay: measured.timer_delay,
-            testbed_late: measured.timer_delay.is_too_late(),
+            testbed_late: measured.timer_delay.exceeds_limit(),
             samples: measured.samples,
             fault_bands: world.fault_bands.clone(),
         }
@@ -170,7 +170,7 @@
     world: &World,
     listener: usize,
     outcomes: SessionOutcomes,
-    message_times: Option<&Histogram<u64>>,
+    message_round_trips: Option<&Histogram<u64>>,
 ) -> ListenerReport {
     let mut response_times = new_histogram();
     for &ticks in &outcomes.took {
@@ -180,7 +180,7 @@
     ListenerReport {
         listener: scenario.listeners[listener].get_ref().name.clone(),
         response_ms: Quantiles::of(&response_times),
-        message_ms: message_times.map(Quantiles::of).unwrap_or_default(),
+        message_ms: message_round_trips.map(Quantiles::of).unwrap_or_default(),
         late_messages: tally.late_messages,
         service: tally.well_served as f64 / (tally.wanted as f64).max(1.0),
         gave_up: tally.gave_up,
--- a/crates/larklink-testbed/src/run.rs
+++ b/crates/larklink-testbed/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs a scenario: from its parts on loopback sockets to its report.
+//! Runs a scenario: sets up its parts on loopback sockets, runs it to its end, and builds the report.
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -17,89 +17,90 @@
 
 use crate::addresses::AddressRange;
 use crate::context::{
-    ListenerCommand, ProxyCommand, TestbedAddresses, TestbedChannels, TestbedContext, duration_of,
+    ListenerCommand, ProxyCommand, TestbedAddresses, TestbedChannels, TestbedContext, ticks_to_duration,
 };
 use crate::dispatch::advance_world;
 use crate::error::TestbedError;
-use crate::faulty_relay::{self, PlantedFault, RelayPlace};
+use crate::faulty_relay::{self, PlantedFault, RelayAddresses};
 use crate::metrics_poller::MetricsPoller;
 use crate::options::Options;
-use crate::proxy_slot::{ProxyPlace, ProxySlot, ProxySlots};
+use crate::proxy_slot::{ProxySlot, ProxySlots, ProxySpec};
 use crate::report::{Report, RunMeasurements};
-use crate::run_folder::RunFolder;
+use crate::run_directory::RunDirectory;
 use crate::sample::Sample;
 use crate::supervisor::Supervisor;
 use crate::timer_delay::{TimerDelay, TimerDelayMonitor};
 use crate::{descriptors, discovery, servers};
 
-/// Admin addresses of one proxy: a process that ends and those after it have each their own.
+/// Admin addresses per proxy. Successive processes use them in turn, so that a predecessor and its successor have
+/// different ones.
 const ADMIN_ADDRESSES: usize = 4;
 /// How often the state is sampled.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Numbers the runs of this process, so that each has addresses and a folder of its own.
+/// The number of the next run of this process. It gives each run its own addresses and directory.
 static NEXT_RUN: AtomicU32 = AtomicU32::new(0);
 
 /// Runs a scenario on loopback sockets.
 ///
 /// # Errors
-/// Why it could not be run, or not to its end: too few descriptors, a proxy that does not start or ends by itself, an
-/// interrupt.
+/// Fails if there are too few descriptors, if a proxy does not start or exits unexpectedly, or if SIGINT or SIGTERM is
+/// received.
 pub fn run(scenario: &Scenario, options: &Options) -> Result<Report, TestbedError> {
-    descriptors::reserve(scenario)?;
+    descriptors::prepare(scenario)?;
     let number = NEXT_RUN.fetch_add(1, Ordering::Relaxed);
-    let folder = RunFolder::create(&options.folder, number)
-        .map_err(|source| TestbedError::CreateFolder { path: options.folder.clone(), source })?;
+    let directory = RunDirectory::create(&options.folder, number)
+        .map_err(|source| TestbedError::CreateDirectory { path: options.folder.clone(), source })?;
     let executor = Rc::new(LocalExecutor::new());
     let task = async {
-        let run = Run::set_up(scenario, options, number, folder.path(), &executor)?;
-        run.play().await
+        let run = Run::set_up(scenario, options, number, directory.path(), &executor)?;
+        run.execute().await
     };
     async_io::block_on(executor.run(task))
 }
 
-/// The addresses of all parts that a run starts.
-struct Layout {
+/// The addresses of all parts of a run.
+struct AddressLayout {
     servers: Vec<SocketAddr>,
     proxies: Vec<SocketAddr>,
-    /// Two for each proxy.
+    /// Two for each proxy: a reload switches to the other one.
     discovery: Vec<[SocketAddr; 2]>,
-    /// Those of each proxy's processes.
+    /// The admin addresses of each proxy; empty if the scenario has none.
     admin: Vec<Vec<SocketAddr>>,
-    /// Where clients reach each proxy.
-    client_side: Vec<SocketAddr>,
+    /// The address at which clients reach each proxy.
+    client_facing: Vec<SocketAddr>,
 }
 
-impl Layout {
+impl AddressLayout {
     fn new(scenario: &Scenario, options: &Options, run: u32) -> Self {
         let proxy_count = scenario.proxies.count;
-        let mut range = AddressRange::of_run(run);
+        let mut range = AddressRange::for_run(run);
         let servers = range.take(scenario.server_count());
         let proxies = range.take(proxy_count);
         let discovery = range.take(2 * proxy_count).chunks(2).map(|pair| [pair[0], pair[1]]).collect();
         let admin_addresses = if scenario.proxies.admin_endpoints { ADMIN_ADDRESSES } else { 0 };
         let admin = (0..proxy_count).map(|_| range.take(admin_addresses)).collect();
-        let client_side = if options.planted.is_some() { range.take(proxy_count) } else { proxies.clone() };
-        Self { servers, proxies, discovery, admin, client_side }
+        let client_facing = if options.planted.is_some() { range.take(proxy_count) } else { proxies.clone() };
+        Self { servers, proxies, discovery, admin, client_facing }
     }
 }
 
-/// The ends of the channels that a run's tasks receive from.
-struct ChannelEnds {
+/// The receiving ends of the channels in [`TestbedChannels`].
+struct ChannelReceivers {
     wake: Receiver<()>,
     proxies: Receiver<ProxyCommand>,
     listeners: Vec<Receiver<ListenerCommand>>,
 }
 
-fn channels(servers: usize) -> (TestbedChannels, ChannelEnds) {
+fn channels(servers: usize) -> (TestbedChannels, ChannelReceivers) {
     let (wake_sender, wake) = async_channel::bounded(1);
     let (proxy_sender, proxies) = async_channel::unbounded();
     let (listener_senders, listeners) = (0..servers).map(|_| async_channel::unbounded()).unzip();
     let senders = TestbedChannels { wake: wake_sender, proxies: proxy_sender, listeners: listener_senders };
-    (senders, ChannelEnds { wake, proxies, listeners })
+    (senders, ChannelReceivers { wake, proxies, listeners })
 }
 
-/// A run whose stand-ins listen; the proxies are not started yet.
+/// A run whose stand-ins are running and whose proxies have not been started yet.
 struct Run<'a> {
     options: &'a Options,
     context: Rc<TestbedContext>,
@@ -111,21 +112,21 @@
 }
 
 impl<'a> Run<'a> {
-    /// Starts the stand-ins. Their tasks end with the executor.
+    /// Starts the stand-ins. Their tasks are dropped with the executor.
     fn set_up(
         scenario: &Scenario,
         options: &'a Options,
         number: u32,
-        folder: &Path,
+        directory: &Path,
         executor: &Rc<LocalExecutor<'static>>,
     ) -> Result<Self, TestbedError> {
-        let layout = Layout::new(scenario, options, number);
-        let (senders, ends) = channels(layout.servers.len());
+        let layout = AddressLayout::new(scenario, options, number);
+        let (senders, receivers) = channels(layout.servers.len());
         let world = World::new(scenario, options.seed);
         let addresses =
-            TestbedAddresses { servers: layout.servers.clone(), client_side: layout.client_side.clone() };
+            TestbedAddresses { servers: layout.servers.clone(), client_facing: layout.client_facing.clone() };
         let context = TestbedContext::new(scenario.clone(), world, addresses, senders, executor);
-        spawn_servers(&context, ends.listeners);
+        spawn_servers(&context, receivers.listeners);
         spawn_discovery(&context, &layout);
         if let Some(planted) = options.planted {
             spawn_relays(&context, &layout, planted);
@@ -134,24 +135,24 @@
         Ok(Self {
             options,
             context,
-            slots: Rc::new(RefCell::new(proxy_slots(&layout, options, folder))),
+            slots: Rc::new(RefCell::new(proxy_slots(&layout, options, directory))),
             metrics: MetricsPoller::new(options.planted == Some(PlantedFault::CountsTwice)),
-            wake: ends.wake,
-            proxy_commands: ends.proxies,
+            wake: receivers.wake,
+            proxy_commands: receivers.proxies,
             signals,
         })
     }
 
-    /// Starts the proxies, plays the scenario to its end and draws up the report.
-    async fn play(mut self) -> Result<Report, TestbedError> {
+    /// Starts the proxies, runs the scenario to its end and returns the report.
+    async fn execute(mut self) -> Result<Report, TestbedError> {
         let supervisor = Supervisor {
             context: Rc::clone(&self.context),
             slots: Rc::clone(&self.slots),
             metrics: Rc::clone(&self.metrics),
         };
-        start_proxies(&supervisor).or(interrupted(&mut self.signals)).await?;
-        self.context.begin();
-        // All of these end with the executor.
+        start_proxies(&supervisor).or(wait_for_interrupt(&mut self.signals)).await?;
+        self.context.start_clock();
+        // These tasks are dropped with the executor.
         self.context.spawn(advance_world(Rc::clone(&self.context), self.wake.clone()));
         let delays = TimerDelayMonitor::new();
         self.context.spawn(Rc::clone(&delays).run());
@@ -159,21 +160,21 @@
         let progress = self.options.progress.clone();
         self.context.spawn(take_samples(Rc::clone(&self.context), Rc::clone(&samples), progress));
         self.context.spawn(Rc::clone(&self.metrics).run(Rc::clone(&self.slots)));
-        let over = async {
+        let ended = async {
             wait_for_end(&self.context).await;
             Ok(())
         };
         let failed = async { Err(supervisor.run(self.proxy_commands.clone()).await) };
-        over.or(failed).or(interrupted(&mut self.signals)).await?;
+        ended.or(failed).or(wait_for_interrupt(&mut self.signals)).await?;
         self.metrics.poll_all(&self.slots).await;
-        Ok(self.report(samples.take(), delays.result()))
+        Ok(self.finish(samples.take(), delays.summary()))
     }
 
-    /// Ends the proxies, and audits what clients and servers recorded.
-    fn report(&self, samples: Vec<Sample>, timer_delay: TimerDelay) -> Report {
+    /// Kills the proxies, audits the event log and builds the report.
+    fn finish(&self, samples: Vec<Sample>, timer_delay: TimerDelay) -> Report {
         let scenario = &self.context.scenario;
         let proxies = self.slots.borrow_mut().iter_mut().map(ProxySlot::usage).collect();
-        // The proxies end before the stand-ins do, and nothing after this is judged.
+        // Kills the proxies before the stand-ins are dropped. The audit ignores everything after this.
         self.slots.borrow_mut().clear();
         let end = scenario.end();
         let now = self.context.now().min(end);
@@ -181,7 +182,7 @@
         world.clients.finish(now);
         let measured = RunMeasurements {
             findings: audit(scenario, &world.event_log, end),
-            message_times: self.context.message_times.take(),
+            message_round_trips: self.context.message_round_trips.take(),
             proxies,
             samples,
             timer_delay,
@@ -201,7 +202,7 @@
     }
 }
 
-fn spawn_discovery(context: &Rc<TestbedContext>, layout: &Layout) {
+fn spawn_discovery(context: &Rc<TestbedContext>, layout: &AddressLayout) {
     for (proxy, addresses) in layout.discovery.iter().enumerate() {
         for &address in addresses {
             context.spawn(discovery::serve(Rc::clone(context), proxy, address));
@@ -209,24 +210,24 @@
     }
 }
 
-fn spawn_relays(context: &Rc<TestbedContext>, layout: &Layout, planted: PlantedFault) {
+fn spawn_relays(context: &Rc<TestbedContext>, layout: &AddressLayout, planted: PlantedFault) {
     let connections = Rc::new(Cell::new(0));
-    for (&listen, &proxy) in layout.client_side.iter().zip(&layout.proxies) {
-        let place = RelayPlace { listen, proxy };
-        context.spawn(faulty_relay::serve(Rc::clone(context), place, planted, Rc::clone(&connections)));
+    for (&listen, &proxy) in layout.client_facing.iter().zip(&layout.proxies) {
+        let addresses = RelayAddresses { listen, proxy };
+        context.spawn(faulty_relay::serve(Rc::clone(context), addresses, planted, Rc::clone(&connections)));
     }
 }
 
-fn proxy_slots(layout: &Layout, options: &Options, folder: &Path) -> Vec<ProxySlot> {
+fn proxy_slots(layout: &AddressLayout, options: &Options, directory: &Path) -> Vec<ProxySlot> {
     let slot = |number: usize| {
-        let place = ProxyPlace {
+        let spec = ProxySpec {
             program: options.proxy_program.clone(),
-            folder: folder.to_owned(),
+            directory: directory.to_owned(),
             listen: layout.proxies[number],
             discovery: layout.discovery[number],
             admin: layout.admin[number].clone(),
         };
-        ProxySlot::new(number, place)
+        ProxySlot::new(number, spec)
     };
     (0..layout.proxies.len()).map(slot).collect()
 }
@@ -239,8 +240,8 @@
     Ok(())
 }
 
-/// Resolves with the first signal.
-async fn interrupted(signals: &mut Signals) -> Result<(), TestbedError> {
+/// Waits for SIGINT or SIGTERM, then returns [`TestbedError::Interrupted`].
+async fn wait_for_interrupt(signals: &mut Signals) -> Result<(), TestbedError> {
     signals.next().await;
     Err(TestbedError::Interrupted)
 }
@@ -248,11 +249,11 @@
 async fn wait_for_end(context: &TestbedContext) {
     let end = context.scenario.end();
     while context.now() < end {
-        Timer::after(duration_of(end.saturating_sub(context.now()))).await;
+        Timer::after(ticks_to_duration(end.saturating_sub(context.now()))).await;
     }
 }
 
-/// Samples the state again and again; never ends.
+/// Samples the state periodically. Never returns.
 async fn take_samples(
     context: Rc<TestbedContext>,
     samples: Rc<RefCell<Vec<Sample>>>,
--- a/crates/larklink-testbed/src/run_folder.rs
+++ b/crates/larklink-testbed/src/run_directory.rs
@@ -1,14 +1,14 @@
-//! The folder of one run, for configurations and logs.
+//! The temporary directory of a run, for configurations and logs.
 use std::path::{Path, PathBuf};
 
-/// A folder that is removed when this is dropped.
-pub(crate) struct RunFolder(PathBuf);
+/// A directory that is removed when this value is dropped.
+pub(crate) struct RunDirectory(PathBuf);
 
-impl RunFolder {
-    /// Makes the folder of the run with that number in this process.
+impl RunDirectory {
+    /// Creates the directory of the run with this number within the process.
     ///
     /// # Errors
-    /// It cannot be made there.
+    /// Fails if the directory cannot be created.
     pub(crate) fn create(parent: &Path, run: u32) -> std::io::Result<Self> {
         let path = parent.join(format!("larklink-rehearsal-{}-{run}", std::process::id()));
         std::fs::create_dir_all(&path)?;
@@ -20,7 +20,7 @@
     }
 }
 
-impl Drop for RunFolder {
+impl Drop for RunDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
--- a/crates/larklink-testbed/src/servers.rs
+++ b/crates/larklink-testbed/src/servers.rs
@@ -1,4 +1,4 @@
-//! Stand-in servers: each listens on an address of its own, and sends what the model's server sends.
+//! Stand-in servers. Each listens on its own address and sends the messages that the model produces for it.
 use std::net::{Shutdown, TcpStream};
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,12 +15,12 @@
     LineStream, NextInput, OpenLine, listen, next_input, parse_message, parse_open_line, server_line,
 };
 
-/// How long a connection that the server has ended is still read.
+/// How long a server still reads from a connection that it has closed for writing.
 const LINGER: Duration = Duration::from_millis(500);
-/// Bytes of a line that fills a kilobyte with its CRLF.
+/// The length of a line that makes a kilobyte together with its CRLF.
 const KILOBYTE_LINE: usize = 1022;
 
-/// Accepts connections while the model's server listens; ends with the run. Each connection has a task of its own.
+/// Accepts connections while the model's server listens, until the run ends. Each connection has its own task.
 pub(crate) async fn serve(
     context: Rc<TestbedContext>,
     server: usize,
@@ -39,7 +39,7 @@
         };
         match accepted.or(command).await {
             Ok(Ok((stream, _))) => {
-                let id = context.next_connection();
+                let id = context.next_connection_id();
                 let connection = Connection { context: Rc::clone(&context), server, id, session: None };
                 context.spawn(connection.serve(stream));
             }
@@ -52,17 +52,17 @@
     }
 }
 
-/// A connection on its server's side.
+/// The server side of a connection.
 struct Connection {
     context: Rc<TestbedContext>,
     server: usize,
     id: ConnectionId,
-    /// The session, once its first line has come.
+    /// The session id, once the first line has been received.
     session: Option<u64>,
 }
 
 impl Connection {
-    /// Serves it to its end.
+    /// Serves the connection to its end.
     async fn serve(mut self, stream: Async<TcpStream>) {
         let (sender, messages) = async_channel::unbounded();
         let entry = ServerConnection { server: self.server, messages: sender };
@@ -81,7 +81,7 @@
         self.context.world.borrow_mut().attempt_ended(now, self.server, self.id, session, end);
     }
 
-    /// Until one side ends it; returns how it ended.
+    /// Exchanges messages until one side ends the connection. Returns how it ended.
     async fn exchange(&mut self, lines: &mut LineStream, messages: &Receiver<ServerMessage>) -> AttemptEnd {
         loop {
             let end = match next_input(lines, messages).await {
@@ -95,11 +95,11 @@
         }
     }
 
-    /// A line from the other side; returns how the connection ended, if it did.
+    /// Handles a received line. Returns how the connection ended, or `None` if it goes on.
     async fn receive(&mut self, lines: &LineStream, line: Vec<u8>) -> Option<AttemptEnd> {
         let now = self.context.now();
-        if let Some(kilobytes) = parse_flood_request(&line) {
-            return write_flood(lines, kilobytes).await.is_err().then_some(AttemptEnd::Abandoned);
+        if let Some(kilobytes) = parse_bulk_request(&line) {
+            return write_bulk_data(lines, kilobytes).await.is_err().then_some(AttemptEnd::Abandoned);
         }
         let actions = match (self.session, parse_open_line(&line)) {
             (Some(session), _) => {
@@ -134,7 +134,7 @@
         self.context.scenario.listeners.iter().position(|listener| listener.get_ref().name == name)
     }
 
-    /// What the model's server sends; returns how the connection ended, if it did.
+    /// Sends a message of the model's server. Returns how the connection ended, or `None` if it goes on.
     async fn send(&self, lines: &LineStream, message: &ServerMessage) -> Option<AttemptEnd> {
         let Some(text) = server_line(message, self.id, self.context.now()) else {
             return Some(AttemptEnd::Reset);
@@ -156,29 +156,30 @@
     }
 }
 
-/// Closes a connection that ended so.
+/// Closes a connection in the way that fits its end.
 async fn close(mut lines: LineStream, end: AttemptEnd) {
     match end {
         AttemptEnd::Reset => lines.reset(),
         AttemptEnd::Abandoned | AttemptEnd::Accepted => {}
-        // Unread bytes would turn the close into a reset, which could take the last line with it.
+        // Closing a socket with unread bytes sends a reset, and the other side could lose the last line.
         AttemptEnd::Rejected | AttemptEnd::Failed | AttemptEnd::Migrated => {
             let _ = lines.stream.get_ref().shutdown(Shutdown::Write);
             let rest = async { while let Ok(Some(_)) = lines.next_line().await {} };
-            let limit = async {
+            let timeout = async {
                 Timer::after(LINGER).await;
             };
-            rest.or(limit).await;
+            rest.or(timeout).await;
         }
     }
 }
 
-/// The kilobytes that a client asks for which reads none of them; none if the line is another one.
-fn parse_flood_request(line: &[u8]) -> Option<usize> {
+/// Parses the request of a client that does not read: the number of kilobytes to send it. Returns `None` for any other
+/// line.
+fn parse_bulk_request(line: &[u8]) -> Option<usize> {
     std::str::from_utf8(line.strip_prefix(b"G ")?).ok()?.parse().ok()
 }
 
-async fn write_flood(lines: &LineStream, kilobytes: usize) -> std::io::Result<()> {
+async fn write_bulk_data(lines: &LineStream, kilobytes: usize) -> std::io::Result<()> {
     let line = format!("{}\r\n", "y".repeat(KILOBYTE_LINE));
     for _ in 0..kilobytes {
         lines.write(&line).await?;
--- a/crates/larklink-testbed/src/timer_delay.rs
+++ b/crates/larklink-testbed/src/timer_delay.rs
@@ -1,4 +1,5 @@
-//! How late the testbed's own timers fire: a testbed that is late cannot judge a proxy.
+//! Measures how late the testbed's own timers fire. Delays of the testbed would be blamed on the proxy, so a run in which
+//! they are too long does not count.
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -9,18 +10,18 @@
 
 use crate::histogram::new_histogram;
 
-/// How often the timer fires.
-const INTERVAL: Duration = Duration::from_millis(5);
-/// A run in which the timer was once later than this does not count.
+/// The interval at which the timer fires.
+const TIMER_INTERVAL: Duration = Duration::from_millis(5);
+/// The maximum delay. A run in which the timer is later than this even once does not count.
 const MAX_DELAY: Duration = Duration::from_millis(20);
 
-/// How late the testbed's own timer was, in microseconds; written as a pair.
+/// How late the testbed's own timer fired, in microseconds. Serialized as a pair.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(into = "(u64, u64)")]
 pub struct TimerDelay {
-    /// At most so late 999 times in 1000.
+    /// The 99.9th percentile.
     pub p999_us: u64,
-    /// The latest.
+    /// The maximum.
     pub max_us: u64,
 }
 
@@ -31,13 +32,13 @@
 }
 
 impl TimerDelay {
-    /// Whether the run does not count, as it was late itself.
-    pub(crate) fn is_too_late(self) -> bool {
+    /// Returns whether the delay is so long that the run does not count.
+    pub(crate) fn exceeds_limit(self) -> bool {
         u128::from(self.max_us) > MAX_DELAY.as_micros()
     }
 }
 
-/// Records how late its timer is for as long as it is polled.
+/// Fires a timer periodically and records how late it is.
 pub(crate) struct TimerDelayMonitor {
     delays_us: RefCell<Histogram<u64>>,
 }
@@ -47,17 +48,18 @@
         Rc::new(Self { delays_us: RefCell::new(new_histogram()) })
     }
 
-    /// Never ends.
+    /// Runs the timer. Never returns.
     pub(crate) async fn run(self: Rc<Self>) {
         loop {
-            let due = Instant::now() + INTERVAL;
+            let due = Instant::now() + TIMER_INTERVAL;
             Timer::at(due).await;
             let delay = Instant::now().saturating_duration_since(due);
             let _ = self.delays_us.borrow_mut().record(delay.as_micros() as u64);
         }
     }
 
-    pub(crate) fn result(&self) -> TimerDelay {
+    /// Returns the delays recorded so far.
+    pub(crate) fn summary(&self) -> TimerDelay {
         let delays_us = self.delays_us.borrow();
         TimerDelay { p999_us: delays_us.value_at_quantile(0.999), max_us: delays_us.max() }
     }
--- a/crates/larklink-testbed/tests/format_fixtures.rs
+++ b/crates/larklink-testbed/tests/format_fixtures.rs
@@ -133,7 +133,7 @@
     let world = World::new(&scenario, 7);
     let measured = RunMeasurements {
         findings,
-        message_times: vec![trips],
+        message_round_trips: vec![trips],
         proxies: vec![proxy_usage()],
         samples: vec![sample(), Sample::take(10, &world)],
         timer_delay: TimerDelay { p999_us: 1, max_us: 2 },
