--- a/crates/larklink-testbed/src/html_report.rs
+++ b/crates/larklink-testbed/src/html_report.rs
@@ -1,4 +1,4 @@
-//! The report as one page that needs nothing else: plots over time as SVG, faults as bands, and the tables.
+//! The report as a self-contained HTML page: tables, and plots over time as SVG with faults shown as bands.
 use std::error::Error;
 use std::fmt::Write;
 
@@ -13,34 +13,35 @@
 use crate::report::{ListenerReport, Report};
 use crate::sample::Sample;
 
-/// The size of a plot.
+/// The width of a plot.
 const PLOT_WIDTH_PX: u32 = 960;
+/// The height of a plot.
 const PLOT_HEIGHT_PX: u32 = 260;
-/// Violations that are listed; the JSON has them all.
-const MAX_LISTED: usize = 200;
-/// A plot with more series has no legend.
-const MAX_LEGEND: usize = 12;
-/// A fault is drawn at least this wide.
+/// The most violations that are listed. The JSON report contains all of them.
+const MAX_VIOLATIONS_LISTED: usize = 200;
+/// The most series for which a plot has a legend.
+const MAX_LEGEND_SERIES: usize = 12;
+/// The minimum width of a fault's band, so that short faults stay visible.
 const MIN_BAND_SECONDS: f64 = 0.1;
-/// Space above the highest value, as a factor.
-const HEADROOM: f64 = 1.05;
+/// The top of the y axis as a factor of the highest value.
+const Y_AXIS_HEADROOM: f64 = 1.05;
 
-const HEAD: &str = "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>larklink run</title><style>body{font:15px \
+const PAGE_HEAD: &str = "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>larklink run</title><style>body{font:15px \
      sans-serif;max-width:60rem;margin:2rem auto;color:#222}table{border-collapse:collapse}td,th{padding:.2rem \
      .6rem;border-bottom:1px solid #ddd;text-align:right}td:first-child,th:first-child{text-align:left}.bad{color:\
      #b00}svg{max-width:100%;height:auto}</style>";
 const LISTENERS_HEAD: &str = "<table><tr><th>listener<th>opened<th>accepted<th>rejected<th>failed<th>with a proxy\
      <th>no proxy<th>attempts<th>migrated<th>response p99, ms<th>message p99, ms<th>service</tr>";
 const VIOLATIONS_HEAD: &str =
-    "<h2>Broken rules</h2><table><tr><th>what<th>rule<th>session<th>at, s<th>observed</tr>";
+    "<h2>Violations</h2><table><tr><th>violation<th>rule<th>session<th>at, s<th>observed</tr>";
 
-/// A value over time.
+/// A value at one moment.
 struct Point {
     seconds: f64,
     value: f64,
 }
 
-/// A line of a plot.
+/// A named line of a plot.
 struct Series {
     name: String,
     points: Vec<Point>,
@@ -48,25 +49,25 @@
 
 impl Series {
     fn new(report: &Report, name: impl Into<String>, value: impl Fn(&Sample) -> f64) -> Self {
-        let point = |sample: &Sample| Point { seconds: seconds(sample.at), value: value(sample) };
+        let point = |sample: &Sample| Point { seconds: to_seconds(sample.at), value: value(sample) };
         Self { name: name.into(), points: report.samples.iter().map(point).collect() }
     }
 }
 
-/// A plot of values over time.
+/// A plot of series over time.
 struct Plot {
     title: &'static str,
     series: Vec<Series>,
 }
 
-fn seconds(at: Timestamp) -> f64 {
+fn to_seconds(at: Timestamp) -> f64 {
     at as f64 / SECOND as f64
 }
 
-/// A self-contained page.
+/// Renders the report as a self-contained HTML page.
 #[must_use]
 pub fn page(report: &Report) -> String {
-    let mut page = String::from(HEAD);
+    let mut page = String::from(PAGE_HEAD);
     page += &summary(report);
     page += &listeners_table(&report.rows);
     if let Some(recovery) = &report.recovery {
@@ -76,7 +77,7 @@
         page += &format!("<p class=bad>{}</p>", escape(requirement));
     }
     for plot in plots(report) {
-        // A plot that cannot be drawn is no reason to lose the tables.
+        // If a plot cannot be drawn, its error takes its place and the tables are kept.
         page += &draw(report, &plot).unwrap_or_else(|error| escape(&error.to_string()));
     }
     page += &violations_table(report);
@@ -86,7 +87,7 @@
 fn summary(report: &Report) -> String {
     let verdict = match (report.testbed_late, report.passed()) {
         (true, _) => "<p class=bad>The testbed itself fell behind: this run does not count.</p>",
-        (false, true) => "<p>All rules kept.</p>",
+        (false, true) => "<p>No findings.</p>",
         (false, false) => "<p class=bad>Findings, see below.</p>",
     };
     format!(
@@ -129,14 +130,14 @@
         return String::new();
     }
     let mut table = String::from(VIOLATIONS_HEAD);
-    for violation in report.violations.iter().take(MAX_LISTED) {
+    for violation in report.violations.iter().take(MAX_VIOLATIONS_LISTED) {
         let _ = write!(
             table,
             "<tr><td>{}<td>{}<td>{}<td>{:.3}<td>{}</tr>",
             violation.kind,
             violation.rule,
             violation.session,
-            seconds(violation.at),
+            to_seconds(violation.at),
             escape(&violation.observed)
         );
     }
@@ -150,7 +151,7 @@
     });
     [
         Plot {
-            title: "Well served now",
+            title: "Service at this moment",
             series: vec![Series::new(report, "service", |sample| sample.service)],
         },
         Plot {
@@ -161,18 +162,18 @@
             ],
         },
         Plot {
-            title: "Responses in a quarter of a second",
+            title: "Responses in the last quarter of a second",
             series: vec![
                 Series::new(report, "accepted", |sample| sample.accepted as f64),
                 Series::new(report, "rejected", |sample| sample.rejected as f64),
                 Series::new(report, "failed", |sample| sample.failed as f64),
             ],
         },
-        Plot { title: "Sessions of each server", series: by_server.collect() },
+        Plot { title: "Sessions by server", series: by_server.collect() },
     ]
 }
 
-/// The plot as SVG.
+/// Renders a plot as SVG.
 fn draw(report: &Report, plot: &Plot) -> Result<String, Box<dyn Error>> {
     let mut svg = String::new();
     let area = SVGBackend::with_string(&mut svg, (PLOT_WIDTH_PX, PLOT_HEIGHT_PX)).into_drawing_area();
@@ -189,7 +190,7 @@
 ) -> Result<(), Box<dyn Error>> {
     let points = || plot.series.iter().flat_map(|series| &series.points);
     let right = points().map(|point| point.seconds).fold(1.0, f64::max);
-    let top = points().map(|point| point.value).fold(0.0, f64::max).max(1.0) * HEADROOM;
+    let top = points().map(|point| point.value).fold(0.0, f64::max).max(1.0) * Y_AXIS_HEADROOM;
     let mut chart = ChartBuilder::on(area)
         .caption(plot.title, ("sans-serif", 16))
         .margin(6)
@@ -198,12 +199,12 @@
         .build_cartesian_2d(0.0..right, 0.0..top)?;
     chart.configure_mesh().light_line_style(WHITE).x_desc("seconds").draw()?;
     for fault in &report.fault_bands {
-        let from = seconds(fault.from);
-        let to = seconds(fault.to).max(from + MIN_BAND_SECONDS);
+        let from = to_seconds(fault.from);
+        let to = to_seconds(fault.to).max(from + MIN_BAND_SECONDS);
         let band = Rectangle::new([(from, 0.0), (to.min(right), top)], RED.mix(0.08).filled());
         chart.draw_series(std::iter::once(band))?;
     }
-    let has_legend = plot.series.len() <= MAX_LEGEND;
+    let has_legend = plot.series.len() <= MAX_LEGEND_SERIES;
     for (i, series) in plot.series.iter().enumerate() {
         let color = Palette99::pick(i).to_rgba();
         let line = series.points.iter().map(|point| (point.seconds, point.value));
--- a/crates/larklink-testbed/src/report.rs
+++ b/crates/larklink-testbed/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run found, as plain values that can be printed, written as JSON and plotted.
+//! The report of a run, as plain values for printing, JSON and plots.
 use hdrhistogram::Histogram;
 use larklink_simulation::audit::{Findings, SessionOutcomes, ShapeOutcomes, Violation};
 use larklink_simulation::duration::TICKS_PER_MS;
@@ -13,25 +13,25 @@
 use crate::sample::Sample;
 use crate::timer_delay::TimerDelay;
 
-/// How long something took, in milliseconds.
+/// Quantiles of durations in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Quantiles {
-    /// How often it was measured.
+    /// The number of values.
     pub count: u64,
     /// The median.
     pub p50: f64,
-    /// 99 in 100 took no longer.
+    /// The 99th percentile.
     pub p99: f64,
-    /// 999 in 1000 took no longer.
+    /// The 99.9th percentile.
     pub p999: f64,
-    /// The longest.
+    /// The maximum.
     pub max: f64,
 }
 
 impl Quantiles {
-    /// Those of values in ticks.
+    /// Computes the quantiles of values in ticks.
     #[must_use]
-    pub fn of(ticks: &Histogram<u64>) -> Self {
+    pub fn from_ticks(ticks: &Histogram<u64>) -> Self {
         let at = |quantile| ticks.value_at_quantile(quantile) as f64 / TICKS_PER_MS as f64;
         Self {
             count: ticks.len(),
@@ -43,7 +43,7 @@
     }
 }
 
-/// What the sessions of one listener got.
+/// The results of the sessions of one listener.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ListenerReport {
     /// The listener's name.
@@ -51,85 +51,86 @@
     /// How its sessions ended.
     #[serde(rename = "answers")]
     pub outcomes: SessionOutcomes,
-    /// From the first line to the response, of accepted sessions.
+    /// The time from the first line to the response, for accepted sessions.
     #[serde(rename = "answer_ms")]
     pub response_ms: Quantiles,
-    /// From sending a message until it came back.
+    /// The round-trip time of messages.
     #[serde(rename = "line_ms")]
     pub message_ms: Quantiles,
-    /// Messages that came back later than their objective.
+    /// Messages that came back later than their latency objective.
     #[serde(rename = "late_lines")]
     pub late_messages: u64,
-    /// Well-served seconds over seconds asked for.
+    /// The well-served share of the seconds for which clients wanted a session.
     pub service: f64,
-    /// Clients that retried to the last without a session.
+    /// Clients that stopped retrying without getting a session.
     #[serde(rename = "gone_without")]
     pub gave_up: u64,
 }
 
-/// What a run found.
+/// The report of a run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Report {
     /// The scenario's name.
     pub scenario: String,
     /// The scenario's description.
     pub about: String,
-    /// The seed that it was run with.
+    /// The seed of the run.
     pub seed: u64,
-    /// Well-served seconds over seconds asked for, by priority weight.
+    /// The well-served share of the seconds for which clients wanted a session, by priority weight.
     pub service: f64,
     /// A row for each listener.
     pub rows: Vec<ListenerReport>,
-    /// What clients got from proxies of the old shape, and of the moved one.
+    /// The results at proxies of the old shape and at proxies of the moved shape.
     pub shapes: [ShapeOutcomes; 2],
-    /// How goodput recovered after the last restart of a proxy; none if there was none.
+    /// How goodput recovered after the last restart of a proxy; `None` if no proxy was restarted.
     pub recovery: Option<Recovery>,
-    /// Each broken rule.
+    /// The violations that the audit found.
     #[serde(rename = "breaches")]
     pub violations: Vec<Violation>,
-    /// Requirements of the scenario that were not met, and metrics that are not true.
+    /// Requirements of the scenario that were not met, failed requests for metrics, and metrics that do not match the
+    /// event log.
     #[serde(rename = "unmet")]
     pub unmet_requirements: Vec<String>,
-    /// What each proxy used.
+    /// The resource usage of each proxy.
     #[serde(rename = "daemons")]
     pub proxies: Vec<ProxyUsage>,
     /// Calls to the session store.
     pub store_calls: u64,
-    /// Of those, the ones that failed.
+    /// Calls to the session store that failed.
     pub store_failed: u64,
-    /// How late the testbed itself was.
+    /// How late the testbed's own timers fired.
     #[serde(rename = "kit_late_us")]
     pub timer_delay: TimerDelay,
-    /// The testbed itself was too late: the run does not count.
+    /// Whether the testbed itself was too late, so that the run does not count.
     #[serde(rename = "strained")]
     pub testbed_late: bool,
-    /// The state four times a second.
+    /// Samples of the state, four per second.
     pub samples: Vec<Sample>,
     /// When each fault began and ended.
     #[serde(rename = "bands")]
     pub fault_bands: Vec<FaultBand>,
 }
 
-/// What was measured in a run beside the model's own state.
+/// The measurements of a run that are not part of the model's state.
 pub struct RunMeasurements {
     /// The audit's findings.
     pub findings: Findings,
-    /// Round trips of messages in ticks, by listener.
+    /// Round-trip times of messages in ticks, by listener.
     pub message_round_trips: Vec<Histogram<u64>>,
-    /// What each proxy used.
+    /// The resource usage of each proxy.
     pub proxies: Vec<ProxyUsage>,
-    /// The state four times a second.
+    /// Samples of the state, four per second.
     pub samples: Vec<Sample>,
-    /// How late the testbed itself was.
+    /// How late the testbed's own timers fired.
     pub timer_delay: TimerDelay,
 }
 
 impl Report {
-    /// Draws up the report of a run that has ended.
+    /// Builds the report of a run that has ended.
     #[must_use]
-    pub fn new(scenario: &Scenario, seed: u64, world: &World, measured: RunMeasurements) -> Self {
-        let Findings { listeners, shapes, violations } = measured.findings;
-        let message_round_trips = &measured.message_round_trips;
+    pub fn new(scenario: &Scenario, seed: u64, world: &World, measurements: RunMeasurements) -> Self {
+        let Findings { listeners, shapes, violations } = measurements.findings;
+        let message_round_trips = &measurements.message_round_trips;
         let rows: Vec<_> = listeners
             .into_iter()
             .enumerate()
@@ -148,17 +149,17 @@
             recovery,
             violations,
             unmet_requirements,
-            proxies: measured.proxies,
+            proxies: measurements.proxies,
             store_calls: world.session_store.calls,
             store_failed: world.session_store.failed,
-            timer_delay: measured.timer_delay,
-            testbed_late: measured.timer_delay.exceeds_limit(),
-            samples: measured.samples,
+            timer_delay: measurements.timer_delay,
+            testbed_late: measurements.timer_delay.exceeds_limit(),
+            samples: measurements.samples,
             fault_bands: world.fault_bands.clone(),
         }
     }
 
-    /// Whether no rule was broken and each requirement of the scenario met.
+    /// Returns whether there are no violations and no unmet requirements.
     #[must_use]
     pub fn passed(&self) -> bool {
         self.violations.is_empty() && self.unmet_requirements.is_empty()
@@ -179,8 +180,8 @@
     let tally = &world.clients.tallies[listener];
     ListenerReport {
         listener: scenario.listeners[listener].get_ref().name.clone(),
-        response_ms: Quantiles::of(&response_times),
-        message_ms: message_round_trips.map(Quantiles::of).unwrap_or_default(),
+        response_ms: Quantiles::from_ticks(&response_times),
+        message_ms: message_round_trips.map(Quantiles::from_ticks).unwrap_or_default(),
         late_messages: tally.late_messages,
         service: tally.well_served as f64 / (tally.wanted as f64).max(1.0),
         gave_up: tally.gave_up,
@@ -188,7 +189,7 @@
     }
 }
 
-/// A line for each requirement of the scenario that was not met.
+/// Returns a message for each requirement of the scenario that was not met.
 fn unmet_requirements(
     scenario: &Scenario,
     service: f64,
@@ -196,32 +197,34 @@
     shapes: &[ShapeOutcomes],
     recovery: Option<Recovery>,
 ) -> Vec<String> {
-    let must = &scenario.requirements;
+    let requirements = &scenario.requirements;
     let mut unmet = Vec::new();
-    if let Some(least) = must.service.filter(|&least| service < least) {
-        unmet.push(format!("service {service:.3}, {least} asked for"));
+    if let Some(minimum) = requirements.service.filter(|&minimum| service < minimum) {
+        unmet.push(format!("service {service:.3}, {minimum} asked for"));
     }
     let sum = |of: fn(&SessionOutcomes) -> u64| rows.iter().map(|row| of(&row.outcomes)).sum::<u64>() as f64;
     let accepted = sum(|outcomes| outcomes.accepted) / sum(|outcomes| outcomes.opened).max(1.0);
-    if let Some(least) = must.accepted.filter(|&least| accepted < least) {
-        unmet.push(format!("{accepted:.3} of the sessions accepted, {least} asked for"));
+    if let Some(minimum) = requirements.accepted.filter(|&minimum| accepted < minimum) {
+        unmet.push(format!("{accepted:.3} of the sessions accepted, {minimum} asked for"));
     }
     for (shape, name) in shapes.iter().zip(ShapeOutcomes::NAMES) {
         let share = shape.share();
-        if let Some(least) = must.each_shape.filter(|&least| share < least) {
-            unmet.push(format!("{share:.3} accepted at proxies of the {name} shape, {least} asked for"));
+        if let Some(minimum) = requirements.each_shape.filter(|&minimum| share < minimum) {
+            unmet.push(format!("{share:.3} accepted at proxies of the {name} shape, {minimum} asked for"));
         }
     }
-    if let Some(within) = must.recovers {
+    if let Some(within) = requirements.recovers {
         let finding = match recovery {
             Some(recovery) => recovery.unmet(within.0),
             None => Some("no proxy was started again in time to tell whether goodput comes back".into()),
         };
         unmet.extend(finding.map(|finding| format!("{finding}, {within} asked for")));
     }
-    let slowest = rows.iter().map(|row| row.response_ms.p99).fold(0.0, f64::max);
-    if let Some(most) = must.answer_p99.filter(|most| slowest > most.0 as f64 / TICKS_PER_MS as f64) {
-        unmet.push(format!("answers within {slowest} ms for 99 in 100, {most} asked for"));
+    let slowest_p99_ms = rows.iter().map(|row| row.response_ms.p99).fold(0.0, f64::max);
+    if let Some(maximum) =
+        requirements.answer_p99.filter(|maximum| slowest_p99_ms > maximum.0 as f64 / TICKS_PER_MS as f64)
+    {
+        unmet.push(format!("answers within {slowest_p99_ms} ms for 99 in 100, {maximum} asked for"));
     }
     unmet
 }
--- a/crates/larklink-testbed/src/sample.rs
+++ b/crates/larklink-testbed/src/sample.rs
@@ -1,22 +1,22 @@
-//! The state of a run at one moment, for plots and progress.
+//! Samples of the state of a run, for plots and progress.
 use larklink_simulation::event_log::{ClientResponse, EventKind};
 use larklink_simulation::server::Server;
 use larklink_simulation::time::{TickDuration, Timestamp};
 use larklink_simulation::world::World;
 use serde::Serialize;
 
-/// Responses of the latest time are counted, in ticks: a quarter of a second.
-const COUNTED: TickDuration = 2500;
+/// The window before a sample in which responses are counted, in ticks: a quarter of a second.
+const RESPONSE_WINDOW: TickDuration = 2500;
 
 /// The state of a run at one moment.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Sample {
-    /// When it was taken, in ticks (0.1 ms) from the start.
+    /// When the sample was taken, in ticks (0.1 ms) from the start.
     pub at: Timestamp,
     /// Established sessions.
     #[serde(rename = "standing")]
     pub established: usize,
-    /// Sessions that wait for their response.
+    /// Sessions waiting for a response.
     pub waiting: usize,
     /// Sessions accepted in the last quarter of a second.
     pub accepted: u64,
@@ -26,15 +26,15 @@
     /// Sessions that failed in the last quarter of a second.
     #[serde(rename = "torn_down")]
     pub failed: u64,
-    /// The share, by priority weight, of those that want a session which are well served at this moment.
+    /// Of the clients that want a session, the share that is well served at this moment, by priority weight.
     pub service: f64,
-    /// Sessions of each server.
+    /// The number of sessions of each server.
     #[serde(rename = "held")]
     pub sessions_by_server: Vec<usize>,
 }
 
 impl Sample {
-    /// Takes a sample.
+    /// Takes a sample of the model's state.
     #[must_use]
     pub fn take(at: Timestamp, world: &World) -> Self {
         let mut sample = Self {
@@ -45,7 +45,7 @@
             service: world.clients.served_now(at),
             ..Self::default()
         };
-        let from = at.saturating_sub(COUNTED);
+        let from = at.saturating_sub(RESPONSE_WINDOW);
         for event in world.event_log.events.iter().rev().take_while(|event| event.at >= from) {
             if let EventKind::Answered { response, .. } = &event.kind {
                 sample.count(*response);
