--- a/crates/larklink-testbed/src/clients.rs
+++ b/crates/larklink-testbed/src/clients.rs
@@ -143,7 +143,7 @@
     /// Exchanges messages on an established session until it ends.
     async fn exchange_messages(mut self) {
         let mut migrated = false;
-        // Messages that have not been returned yet, in the order in which they are expected.
+        // Messages that the server has not returned yet, in the order in which they are expected.
         let mut unanswered = VecDeque::new();
         loop {
             match next_input(&mut self.lines, self.commands).await {
--- a/crates/larklink-testbed/tests/format_fixtures.rs
+++ b/crates/larklink-testbed/tests/format_fixtures.rs
@@ -1,5 +1,5 @@
-//! The report of a run as JSON, as `larklinkctl` writes it, held byte for byte against files.
-#![expect(clippy::unwrap_used, reason = "helpers of a test fail it by a panic")]
+//! Compares the JSON report of a run, as `larklinkctl` writes it, byte for byte with fixture files.
+#![expect(clippy::unwrap_used, reason = "a panic in a helper fails the test")]
 use hdrhistogram::Histogram;
 use larklink_simulation::audit::{Findings, SessionOutcomes, ShapeOutcomes, Violation, ViolationKind};
 use larklink_simulation::faults::FaultBand;
@@ -15,7 +15,7 @@
     serde_json::to_string_pretty(report).unwrap() + "\n"
 }
 
-fn answers(took: &[u64]) -> SessionOutcomes {
+fn session_outcomes(took: &[u64]) -> SessionOutcomes {
     SessionOutcomes {
         opened: 10,
         accepted: 5,
@@ -32,19 +32,19 @@
     }
 }
 
-fn breach() -> Violation {
-    let (what, at) = (ViolationKind::MayRunTwice, 14);
-    Violation { kind: what, rule: what.rule(), session: "ab".into(), at, observed: "\u{e9} \"seen\"".into() }
+fn violation() -> Violation {
+    let kind = ViolationKind::MayRunTwice;
+    Violation { kind, rule: kind.rule(), session: "ab".into(), at: 14, observed: "\u{e9} \"seen\"".into() }
 }
 
 fn quantiles(count: u64) -> Quantiles {
     Quantiles { count, p50: 0.5, p99: 99.0, p999: 99.9, max: 100.25 }
 }
 
-fn row() -> ListenerReport {
+fn listener_report() -> ListenerReport {
     ListenerReport {
         listener: "chat".into(),
-        outcomes: answers(&[]),
+        outcomes: session_outcomes(&[]),
         response_ms: quantiles(15),
         message_ms: quantiles(16),
         late_messages: 17,
@@ -53,12 +53,19 @@
     }
 }
 
-fn rate(from: u64) -> GoodputRate {
+fn goodput_rate(from: u64) -> GoodputRate {
     GoodputRate { from, accepted: 19.5, offered: 20.0 }
 }
 
 fn recovery(took: Option<u64>) -> Recovery {
-    Recovery { restarted: 21, took, observed_for: 22, after: rate(23), least: rate(24), store_rate: 25.5 }
+    Recovery {
+        restarted: 21,
+        took,
+        observed_for: 22,
+        after: goodput_rate(23),
+        least: goodput_rate(24),
+        store_rate: 25.5,
+    }
 }
 
 fn sample() -> Sample {
@@ -78,21 +85,21 @@
     ProxyUsage { cpu_s: 1.5, peak_kb: 34, starts: 35 }
 }
 
-fn shapes() -> [ShapeOutcomes; 2] {
+fn shape_outcomes() -> [ShapeOutcomes; 2] {
     [ShapeOutcomes { opened: 36, accepted: 18 }, ShapeOutcomes { opened: 40, accepted: 10 }]
 }
 
-/// Every field, with a value of its own.
-fn full() -> Report {
+/// Sets every field. Nearly all values differ, so that swapped fields are found.
+fn full_report() -> Report {
     Report {
         scenario: "calm".into(),
         about: "\u{e9} \"about\"".into(),
         seed: u64::MAX,
         service: 0.848,
-        rows: vec![row()],
-        shapes: shapes(),
+        rows: vec![listener_report()],
+        shapes: shape_outcomes(),
         recovery: Some(recovery(Some(41))),
-        violations: vec![breach()],
+        violations: vec![violation()],
         unmet_requirements: vec!["unmet".into()],
         proxies: vec![proxy_usage()],
         store_calls: 42,
@@ -105,39 +112,43 @@
 }
 
 #[test]
-fn a_report_is_written_as_in_the_file() {
-    let report = full();
+fn full_report_matches_fixture() {
+    let report = full_report();
     assert_eq!(json(&report), include_str!("fixtures/report.json"));
-    let never = serde_json::to_string(&recovery(None)).unwrap();
-    assert!(never.starts_with(r#"{"restarted":21,"took":null,"told":22,"#), "{never}");
-    // What larklinkctl goes by.
+    let not_recovered = serde_json::to_string(&recovery(None)).unwrap();
+    assert!(not_recovered.starts_with(r#"{"restarted":21,"took":null,"told":22,"#), "{not_recovered}");
+    // The exit code of larklinkctl depends on `passed`.
     assert!(!report.passed());
     assert!(!Report { unmet_requirements: Vec::new(), ..report.clone() }.passed());
     assert!(!Report { violations: Vec::new(), ..report.clone() }.passed());
     assert!(Report { violations: Vec::new(), unmet_requirements: Vec::new(), ..report }.passed());
 }
 
-/// What is drawn up from a world in which nothing has happened yet, findings that fall short of all that is demanded,
-/// and answers of 1 to 1000 ms.
+/// Builds a report from a model in which nothing has happened yet, with findings that miss every requirement of the
+/// scenario and response times from 1 to 1000 ms.
 #[test]
-fn a_report_is_drawn_up_as_in_the_file() {
+fn report_built_from_measurements_matches_fixture() {
     let text = "name = 'short'\nabout = 'falls short'\n[proxies]\nmoved = 1\n[[listeners]]\nname = 'chat'\n\
                 [[faults]]\nwhat = 'proxy-stopped'\nat = '1s'\nfor = '2s'\nwhich = [0]\n\
                 [[faults]]\nwhat = 'server-silent'\nat = '3s'\nfor = '4s'\nwhich = [1, 2]\napart = '100ms'\n\
                 [must]\nservice = 1.0\naccepted = 0.9\neach_shape = 0.45\nanswer_p99 = '900ms'\nrecovers = '5s'\n";
     let scenario = Scenario::parse(text).unwrap();
-    let mut trips = Histogram::<u64>::new(3).unwrap();
-    (1..=2000).for_each(|tenths| trips.record(tenths).unwrap());
+    let mut round_trips = Histogram::<u64>::new(3).unwrap();
+    (1..=2000).for_each(|tenths| round_trips.record(tenths).unwrap());
     let took: Vec<_> = (1..=1000).map(|ms| ms * 10).collect();
-    let findings = Findings { listeners: vec![answers(&took)], shapes: shapes(), violations: vec![breach()] };
+    let findings = Findings {
+        listeners: vec![session_outcomes(&took)],
+        shapes: shape_outcomes(),
+        violations: vec![violation()],
+    };
     let world = World::new(&scenario, 7);
-    let measured = RunMeasurements {
+    let measurements = RunMeasurements {
         findings,
-        message_round_trips: vec![trips],
+        message_round_trips: vec![round_trips],
         proxies: vec![proxy_usage()],
         samples: vec![sample(), Sample::take(10, &world)],
         timer_delay: TimerDelay { p999_us: 1, max_us: 2 },
     };
-    let report = Report::new(&scenario, 7, &world, measured);
-    assert_eq!(json(&report), include_str!("fixtures/report_drawn_up.json"));
+    let report = Report::new(&scenario, 7, &world, measurements);
+    assert_eq!(json(&report), include_str!("fixtures/report_from_measurements.json"));
 }
