--- a/crates/larklink-proxy/src/accept.rs
+++ b/crates/larklink-proxy/src/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts client connections and spawns a task for each.
+//! Accepts client connections and spawns a task for each of them.
 use std::convert::Infallible;
 use std::io::Result;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -13,13 +13,14 @@
 use crate::session::context::SessionContext;
 use crate::session::handler;
 
-/// The pause after a failure to accept, as without free descriptors.
+/// The pause after `accept` fails, for example because the process has no free descriptors.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
-/// Connections that are accepted before other tasks run, as long as there are descriptors. In a flood other tasks run some
-/// two hundred times before this one does again: accepting one at a time would leave the kernel's queue full.
+/// How many connections are accepted before the task yields, as long as there are descriptors. During a flood of
+/// connections other tasks run about two hundred times before this one runs again: accepting one connection per turn
+/// would leave the kernel's accept queue full.
 const MAX_ACCEPTED_AT_ONCE: usize = 32;
 
-/// Accepts connections for as long as this process is the one of the proxy that does.
+/// Accepts connections while this process is the one that accepts them for the proxy.
 pub(crate) struct Acceptor<'a> {
     listener: Async<TcpListener>,
     context: &'a Rc<SessionContext>,
@@ -27,12 +28,12 @@
 }
 
 enum Event {
-    Accepting(bool),
+    AcceptingChanged(bool),
     Accepted(Result<(Async<TcpStream>, SocketAddr)>),
 }
 
 impl<'a> Acceptor<'a> {
-    /// An acceptor of a listener's connections.
+    /// Creates an acceptor for a listener.
     pub(crate) fn new(
         listener: Async<TcpListener>,
         context: &'a Rc<SessionContext>,
@@ -41,12 +42,12 @@
         Self { listener, context, executor }
     }
 
-    /// Accepts connections while `accepting`, which follows the changes.
+    /// Accepts connections while `accepting` is true; each value received from `changes` replaces it.
     pub(crate) async fn run(&self, mut accepting: bool, changes: &Receiver<bool>) -> Infallible {
         let mut accepted_at_once = 0;
         loop {
             match self.next_event(accepting, changes).await {
-                Event::Accepting(now) => accepting = now,
+                Event::AcceptingChanged(now) => accepting = now,
                 Event::Accepted(Ok((stream, _))) => {
                     self.admit(stream).await;
                     accepted_at_once += 1;
@@ -66,7 +67,7 @@
     async fn next_event(&self, accepting: bool, changes: &Receiver<bool>) -> Event {
         let change = async {
             match changes.recv().await {
-                Ok(accepting) => Event::Accepting(accepting),
+                Ok(accepting) => Event::AcceptingChanged(accepting),
                 Err(_) => future::pending().await,
             }
         };
@@ -79,7 +80,7 @@
         change.or(accepted).await
     }
 
-    /// Accepts what waits in the kernel's queue: closing the listener would reset it.
+    /// Accepts the connections in the kernel's accept queue, which closing the listener would reset.
     pub(crate) async fn accept_queued(&self) {
         while let Ok((stream, _)) = self.listener.get_ref().accept() {
             if let Ok(stream) = Async::new(stream) {
@@ -88,11 +89,11 @@
         }
     }
 
-    /// Spawns a task for a connection, or rejects it without a descriptor; then waits until the connections that are
-    /// evicted for it have closed.
+    /// Spawns a task for a connection, or rejects it if no descriptor is available; then waits until the connections
+    /// that were evicted for it are closed.
     async fn admit(&self, stream: Async<TcpStream>) {
         match self.context.limiter.try_acquire() {
-            // Ends with its connection, or with the process.
+            // The task ends with its connection, or with the process.
             Some(permit) => {
                 let context = Rc::clone(self.context);
                 self.executor.spawn(handler::handle(context, stream, permit)).detach();
--- a/crates/larklink-proxy/src/connection.rs
+++ b/crates/larklink-proxy/src/connection.rs
@@ -1,4 +1,4 @@
-//! A TCP connection of lines and the bytes that were read from it.
+//! A TCP connection and its read buffer.
 use std::io::{ErrorKind, IoSlice, Read, Result, Write};
 use std::net::TcpStream;
 
@@ -6,18 +6,19 @@
 
 use crate::protocol::LineBuffer;
 
-/// A connection and what was read from it.
+/// A TCP connection with a buffer of the bytes read from it.
 pub struct Connection {
     /// The socket.
     pub stream: Async<TcpStream>,
-    /// What was read and not yet processed.
+    /// Bytes that were read and not yet processed.
     pub buffer: LineBuffer,
 }
 
 impl Connection {
-    /// A connection from which nothing was read yet.
+    /// Wraps a stream from which nothing has been read yet.
     pub fn new(stream: Async<TcpStream>) -> Self {
-        // Lines are not to wait for the acknowledgement of earlier ones. Without the option they only arrive later.
+        // Without TCP_NODELAY a line would wait for the acknowledgement of the previous one. A failure to set it is
+        // ignored: it only delays lines.
         let _ = stream.get_ref().set_nodelay(true);
         Self { stream, buffer: LineBuffer::default() }
     }
@@ -25,8 +26,8 @@
     /// Reads until the buffer begins with a complete line, and returns its length.
     ///
     /// # Errors
-    /// [`ErrorKind::InvalidData`] if the line is too long, [`ErrorKind::UnexpectedEof`] if the connection ends before,
-    /// or the socket's error.
+    /// [`ErrorKind::InvalidData`] if the line is too long, [`ErrorKind::UnexpectedEof`] if the connection ends before
+    /// it is complete, or the socket's error.
     pub async fn read_line(&mut self) -> Result<usize> {
         loop {
             if let Some(length) = self.buffer.first_line_len() {
@@ -41,7 +42,8 @@
         }
     }
 
-    /// Reads what the kernel has received by now, and returns whether the buffer begins with a complete line then.
+    /// Reads the bytes that the kernel has received so far, without waiting, and returns whether the buffer then begins
+    /// with a complete line.
     pub fn has_complete_line(&mut self) -> bool {
         while self.buffer.first_line_len().is_none() && !self.buffer.is_full() {
             let received = self.buffer.fill(|space| self.stream.get_ref().read(space));
@@ -52,7 +54,7 @@
         self.buffer.first_line_len().is_some()
     }
 
-    /// Whether anything was read that is not processed yet.
+    /// Whether the buffer holds unprocessed bytes.
     pub fn has_input(&self) -> bool {
         !self.buffer.bytes().is_empty()
     }
@@ -61,7 +63,7 @@
 /// Waits for data and reads once; returns the number of bytes, 0 at the end of the stream.
 ///
 /// # Errors
-/// The socket's.
+/// The socket's error.
 pub async fn read(stream: &Async<TcpStream>, buffer: &mut LineBuffer) -> Result<usize> {
     loop {
         stream.readable().await?;
@@ -72,11 +74,11 @@
     }
 }
 
-/// Writes all slices, with one system call where the socket takes them.
+/// Writes all slices, with a single system call if the socket accepts them at once.
 ///
 /// # Errors
-/// The socket's; a part may have been written then.
-pub async fn write_gathered(stream: &Async<TcpStream>, mut slices: &mut [IoSlice<'_>]) -> Result<()> {
+/// The socket's error; some of the bytes may have been written by then.
+pub async fn write_all_vectored(stream: &Async<TcpStream>, mut slices: &mut [IoSlice<'_>]) -> Result<()> {
     while slices.iter().any(|slice| !slice.is_empty()) {
         match stream.write_with(|mut socket| socket.write_vectored(slices)).await? {
             0 => return Err(ErrorKind::WriteZero.into()),
--- a/crates/larklink-proxy/src/decision_task.rs
+++ b/crates/larklink-proxy/src/decision_task.rs
@@ -1,5 +1,5 @@
-//! The task that owns the decisions. All other tasks reach them through the [`DecisionQueue`](crate::events::DecisionQueue)
-//! and get commands back.
+//! The task that owns the engine, which makes all balancing decisions. Other tasks send it events through the
+//! [`DecisionQueue`](crate::events::DecisionQueue) and receive commands in return.
 use std::collections::{BTreeMap, HashMap};
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -24,33 +24,34 @@
 use crate::upstream::health_check::HealthChecker;
 use crate::upstream::message_latency::LatencyEstimator;
 
-/// Events that are handled before other tasks run. A full queue and a list of 1,024 endpoints take longer than it may take
-/// to notice that a client has left while its connection comes up.
+/// How many events are handled before the task yields. Handling a full queue against a list of 1,024 endpoints in one
+/// turn would delay noticing that a client disconnected while an attempt for it was connecting.
 const MAX_EVENTS_AT_ONCE: usize = 64;
 
-/// Owns the engine: feeds it the events of the queue and carries out its actions.
+/// Runs the engine: passes it the events from the queue and executes the actions that it returns.
 pub struct DecisionTask {
     engine: Engine,
     clock: Clock,
-    /// The names of the zones; an endpoint's zone is an index into them.
+    /// Zone names; the engine identifies an endpoint's zone by its index in this list.
     zones: Vec<String>,
-    /// None where message latency is not reported.
+    /// `None` if message latency is not reported.
     message_latency: Option<LatencyEstimator>,
-    /// The last address of each endpoint that was ever listed.
+    /// The last known address of every endpoint that has ever been listed.
     addresses: HashMap<EndpointId, SocketAddr>,
-    /// The endpoint list as it is now.
+    /// The current endpoint list.
     endpoints: BTreeMap<EndpointId, Endpoint>,
-    /// Where the commands of each session go.
+    /// The command channel of each session.
     commands: HashMap<SessionId, Sender<SessionCommand>>,
     health_checker: Rc<HealthChecker>,
     executor: Rc<LocalExecutor<'static>>,
     metrics: Arc<Metrics>,
-    /// Closes with the first list that discovery sends.
+    /// Dropped, which closes the channel, when discovery sends its first list.
     first_list: Option<Sender<Infallible>>,
 }
 
 impl DecisionTask {
-    /// A task that starts with the cached endpoint list. `first_list` is closed with the first list that discovery sends.
+    /// Creates a task that starts with the cached endpoint list. `first_list` is dropped when discovery sends its first
+    /// list.
     pub fn new(
         settings: &ProxySettings,
         seed: u64,
@@ -81,23 +82,23 @@
         task
     }
 
-    /// Runs for as long as the process.
+    /// Runs until the process exits.
     pub async fn run(mut self, events: Receiver<DecisionEvent>) {
         loop {
             let wakeup = self.clock.to_instant(self.engine.next_wakeup());
             let event = async { events.recv().await.ok() };
-            let due = async {
+            let wakeup_due = async {
                 Timer::at(wakeup).await;
                 None
             };
-            let first = event.or(due).await;
+            let first = event.or(wakeup_due).await;
             let now = self.clock.now();
             let more = std::iter::from_fn(|| events.try_recv().ok());
             for event in first.into_iter().chain(more).take(MAX_EVENTS_AT_ONCE) {
-                self.handle(now, event);
+                self.handle_event(now, event);
             }
             for action in self.engine.poll(now) {
-                self.perform(now, action);
+                self.execute(now, action);
             }
             let health = self.engine.health_summary();
             self.metrics.set_endpoints(health.listed, health.avoided);
@@ -107,7 +108,7 @@
         }
     }
 
-    fn handle(&mut self, now: Timestamp, event: DecisionEvent) {
+    fn handle_event(&mut self, now: Timestamp, event: DecisionEvent) {
         tracing::debug!(?event);
         match event {
             DecisionEvent::OpenSession { session, received_at, request, commands } => {
@@ -146,7 +147,7 @@
             }
             DecisionEvent::TakeOver => self.engine.take_over(now),
             DecisionEvent::CurrentEndpoints(reply) => {
-                // It only fails when the asking task has ended.
+                // Sending fails only if the requesting task has ended.
                 let _ = reply.try_send(self.endpoints.values().cloned().collect());
             }
             DecisionEvent::DiscoveryFailed => self.engine.discovery_failed(now),
@@ -163,11 +164,11 @@
         let waited = to_ticks(received_at.elapsed());
         request.dial_timeout = request.dial_timeout.saturating_sub(waited);
         if let Some(action) = self.engine.open_session(now, session, request) {
-            self.perform(now, action);
+            self.execute(now, action);
         }
     }
 
-    /// Tells a session that is established already where its endpoint is.
+    /// Sends the address of an endpoint to a session that is already established there.
     fn send_address(&self, endpoint: EndpointId, commands: &Sender<SessionCommand>) {
         let now = Instant::now();
         let connect = SessionCommand::Connect {
@@ -177,7 +178,7 @@
             deadline: now,
             send_deadline: now,
         };
-        // It only fails when the session has ended.
+        // Sending fails only if the session has ended.
         let _ = commands.try_send(connect);
     }
 
@@ -193,7 +194,7 @@
             self.commands.remove(&session);
         }
         if let Some(action) = self.engine.attempt_ended(now, session, attempt, outcome, session_over) {
-            self.perform(now, action);
+            self.execute(now, action);
         }
     }
 
@@ -203,11 +204,11 @@
         session: SessionId,
         attempt: AttemptNumber,
         endpoint: EndpointId,
-        took: TickDuration,
+        latency: TickDuration,
     ) {
         let Some(estimator) = &mut self.message_latency else { return };
-        if let Some(latency) = estimator.record_answer(now, endpoint, took) {
-            self.engine.observe(now, session, attempt, Observation::MessageLatency(latency));
+        if let Some(mean) = estimator.record_answer(now, endpoint, latency) {
+            self.engine.observe(now, session, attempt, Observation::MessageLatency(mean));
         }
     }
 
@@ -242,7 +243,7 @@
         tracing::info!(endpoint = format!("{id:08x}"), name, status, started_at_ms, "endpoint listed");
     }
 
-    fn perform(&mut self, now: Timestamp, action: ProxyAction) {
+    fn execute(&mut self, now: Timestamp, action: ProxyAction) {
         tracing::debug!(?action);
         match action {
             ProxyAction::Connect { session, attempt, endpoint, timeout, send_deadline } => {
@@ -253,35 +254,36 @@
                     deadline: self.clock.to_instant(now + timeout),
                     send_deadline: self.clock.to_instant(send_deadline),
                 };
-                self.command(session, command);
+                self.send_command(session, command);
             }
             ProxyAction::LimitSendDeadline { session, attempt, send_deadline } => {
                 let send_deadline = self.clock.to_instant(send_deadline);
-                self.command(session, SessionCommand::LimitSendDeadline { attempt, send_deadline });
+                self.send_command(session, SessionCommand::LimitSendDeadline { attempt, send_deadline });
             }
             ProxyAction::Reject { session, retry_after } => {
-                self.last_command(session, SessionCommand::Reject { retry_after });
+                self.send_final_command(session, SessionCommand::Reject { retry_after });
             }
-            ProxyAction::Fail { session } => self.last_command(session, SessionCommand::Fail),
-            ProxyAction::Migrate { session } => self.last_command(session, SessionCommand::Migrate),
+            ProxyAction::Fail { session } => self.send_final_command(session, SessionCommand::Fail),
+            ProxyAction::Migrate { session } => self.send_final_command(session, SessionCommand::Migrate),
             ProxyAction::CheckHealth { endpoint } => self.check_health(now, endpoint),
-            // The list is followed all the time.
+            // The discovery task polls continuously.
             ProxyAction::PollEndpointList => {}
-            ProxyAction::Log(event) => log(event),
+            ProxyAction::Log(event) => log_event(event),
         }
     }
 
     /// Sends a command to a session.
-    fn command(&self, session: SessionId, command: SessionCommand) {
+    fn send_command(&self, session: SessionId, command: SessionCommand) {
         if let Some(commands) = self.commands.get(&session) {
-            // The channel has room for all commands that can wait at once; a session that has ended reads none.
+            // The channel can hold every command that may be pending at once: sending fails only if the session has
+            // ended.
             let _ = commands.try_send(command);
         }
     }
 
-    /// Sends a command after which a session gets no other.
-    fn last_command(&mut self, session: SessionId, command: SessionCommand) {
-        self.command(session, command);
+    /// Sends a session its final command and closes its command channel.
+    fn send_final_command(&mut self, session: SessionId, command: SessionCommand) {
+        self.send_command(session, command);
         self.commands.remove(&session);
     }
 
@@ -291,12 +293,12 @@
             return;
         };
         let checker = Rc::clone(&self.health_checker);
-        // Ends by the check's own timeout.
+        // The check's own timeout bounds the life of this task.
         self.executor.spawn(async move { checker.check(endpoint, address).await }).detach();
     }
 }
 
-fn log(event: LogEvent) {
+fn log_event(event: LogEvent) {
     match event {
         LogEvent::EndpointEjected { endpoint_id, sessions } => {
             let endpoint = format!("{endpoint_id:08x}");
--- a/crates/larklink-proxy/src/events.rs
+++ b/crates/larklink-proxy/src/events.rs
@@ -1,4 +1,4 @@
-//! What passes between the socket tasks and the decision task: events one way, commands the other.
+//! The events that I/O tasks send to the decision task, and the commands that it sends back to sessions.
 use std::net::SocketAddr;
 use std::time::Instant;
 
@@ -8,40 +8,43 @@
 
 use crate::endpoint_list::Endpoint;
 
-/// The most events that wait in the queue; the sender of a further one waits until there is space.
+/// The capacity of the event queue; senders wait while it is full.
 pub const QUEUE_CAPACITY: usize = 1024;
 
-/// The most commands that wait for a session: an attempt, a limit of it and a migration.
+/// The capacity of a session's command channel. Up to three commands can be pending: a connect command, a limit on its
+/// send deadline and a migration.
 pub const COMMAND_CAPACITY: usize = 4;
 
-/// What a socket task tells the decision task.
+/// An event sent to the decision task.
 #[derive(Debug)]
 pub enum DecisionEvent {
-    /// A session has come in.
+    /// A client has requested a session.
     OpenSession {
-        /// The id given to it.
+        /// The id assigned to it.
         session: SessionId,
-        /// When its first line was complete: its dial timeout counts from there, however long the queue is.
+        /// When its first line was complete. The dial timeout counts from here, so it includes the time spent in the
+        /// queue.
         received_at: Instant,
-        /// What its first line says.
+        /// The request from its first line.
         request: SessionRequest,
-        /// Where its commands go.
+        /// The channel for its commands.
         commands: Sender<SessionCommand>,
     },
-    /// Asks for the address of the endpoint at which a session is established; the answer is a command to connect.
+    /// Requests the address of the endpoint at which a session is established; the reply is
+    /// [`SessionCommand::Connect`].
     FindEndpoint {
         /// The session.
         session: SessionId,
         /// Its endpoint.
         endpoint: EndpointId,
-        /// Where its commands go.
+        /// The channel for its commands.
         commands: Sender<SessionCommand>,
     },
-    /// A session that was established through another process goes on in this one.
+    /// A session that was established through another process continues in this one.
     AdoptEstablished {
         /// The session.
         session: SessionId,
-        /// What its first line says.
+        /// The request from its first line.
         request: SessionRequest,
         /// Its endpoint.
         endpoint: EndpointId,
@@ -61,15 +64,15 @@
         attempt: AttemptNumber,
         /// How it ended.
         outcome: AttemptOutcome,
-        /// Whether the session is over with it.
+        /// Whether the session ends with it.
         session_over: bool,
     },
-    /// The client has left.
+    /// The session ended for a reason that says nothing about an endpoint, for example because its client disconnected.
     ClientLeft {
-        /// Its session.
+        /// The session.
         session: SessionId,
     },
-    /// Something was observed of an established session.
+    /// An observation about an established session.
     Observed {
         /// The session.
         session: SessionId,
@@ -78,7 +81,7 @@
         /// What was observed.
         observation: Observation,
     },
-    /// A client's message went to the endpoint and its answer came back.
+    /// An endpoint answered a client's message.
     MessageAnswered {
         /// The session.
         session: SessionId,
@@ -86,7 +89,7 @@
         attempt: AttemptNumber,
         /// Its endpoint.
         endpoint: EndpointId,
-        /// The time from sending the message to its answer.
+        /// The time from forwarding the message to receiving its answer.
         took: TickDuration,
     },
     /// A health check ended.
@@ -100,17 +103,18 @@
         /// The values of the load report in its answer; empty if there were none.
         load_report: Vec<f64>,
     },
-    /// The endpoint list, or what changed in it.
+    /// A complete endpoint list, or changes to it, as the scope says.
     EndpointList(ListScope, Vec<Endpoint>),
-    /// A poll of the endpoint list failed, or its subscription broke.
+    /// A poll of the endpoint list failed, or its subscription was interrupted.
     DiscoveryFailed,
-    /// This process takes connections in the place of another one of the proxy, which may still make attempts.
+    /// This process starts accepting connections in place of another process of the proxy, which may still make
+    /// attempts.
     TakeOver,
-    /// Asks for the endpoint list as it is now.
+    /// Requests the current endpoint list.
     CurrentEndpoints(Sender<Vec<Endpoint>>),
 }
 
-/// What the decision task tells the task of a session.
+/// A command from the decision task to the task of a session.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SessionCommand {
     /// Connect to an endpoint and send the session to it.
@@ -119,14 +123,14 @@
         attempt: AttemptNumber,
         /// The endpoint to connect to.
         endpoint: EndpointId,
-        /// Its address; none if it is not known.
+        /// Its address; `None` if it is not known.
         address: Option<SocketAddr>,
-        /// When the attempt counts as timed out.
+        /// When the attempt times out.
         deadline: Instant,
         /// The latest time at which its first byte may be sent.
         send_deadline: Instant,
     },
-    /// The first byte of an attempt may be sent only up to an earlier time.
+    /// Bring the send deadline of an attempt forward.
     LimitSendDeadline {
         /// The attempt in flight.
         attempt: AttemptNumber,
@@ -135,28 +139,28 @@
     },
     /// Reject the session.
     Reject {
-        /// How long its client should wait before it retries; 0 if nothing is to be said.
+        /// How long its client should wait before it retries; zero to leave the time out of the answer.
         retry_after: TickDuration,
     },
     /// Fail the session: it may have run and cannot be retried.
     Fail,
-    /// Tell the client to reconnect; the session is over.
+    /// Ask the client to reconnect, which ends the session.
     Migrate,
 }
 
-/// The queue of events to the decision task.
+/// The sending half of the event queue of the decision task.
 #[derive(Clone)]
 pub struct DecisionQueue(Sender<DecisionEvent>);
 
 impl DecisionQueue {
-    /// Waits until there is space in the queue.
+    /// Sends an event; waits while the queue is full.
     pub async fn send(&self, event: DecisionEvent) {
-        // It only fails when the proxy is about to exit.
+        // Sending fails only if the proxy is about to exit.
         let _ = self.0.send(event).await;
     }
 }
 
-/// A new queue and the end that the decision task reads.
+/// Creates an event queue; the decision task reads the receiver.
 pub fn queue() -> (DecisionQueue, Receiver<DecisionEvent>) {
     let (sender, receiver) = async_channel::bounded(QUEUE_CAPACITY);
     (DecisionQueue(sender), receiver)
--- a/crates/larklink-proxy/src/session/client.rs
+++ b/crates/larklink-proxy/src/session/client.rs
@@ -1,4 +1,4 @@
-//! A client's connection: how it is answered and ended.
+//! A client's connection: sending the final answer and closing it.
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
@@ -11,30 +11,30 @@
 use crate::limiter::ConnectionPermit;
 use crate::timeout::with_timeout;
 
-/// The answer to a rejected session, without a time to wait.
+/// The answer to a rejected session, without a Retry-After time.
 pub(super) const BUSY: &str = "BUSY\r\n";
 /// The answer to a failed session.
 pub(super) const ERR: &str = "ERR\r\n";
 
 /// How long a client may take to read an answer.
 pub(super) const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long the other side may take to close a connection that was closed here, or to send more. Closing at once would
-/// reset the connection where unread bytes are left, which could destroy the last line sent.
+/// How long the peer of a connection that was shut down here may take to close its side, or to send more. Closing the
+/// socket at once would reset the connection if it holds unread bytes, and the peer could lose the last line sent.
 pub(super) const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long that may take in total while bytes still come.
+/// The limit on the total time for that while the peer keeps sending.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(3);
-/// Bytes that are read and dropped at once.
+/// How many bytes are read and discarded at once.
 const DISCARD_LENGTH: usize = 64 << 10;
-/// How often that is done at most before a connection without a descriptor is closed.
+/// The limit on such reads before a connection for which there is no descriptor is closed.
 const MAX_IMMEDIATE_DISCARDS: usize = 16;
 
-/// A client's connection.
+/// A client's connection and its descriptors.
 pub(super) struct Client {
-    /// The connection, and what was read from it.
+    /// The connection and its read buffer.
     pub(super) connection: Connection,
-    /// Its descriptors.
+    /// Accounts for its descriptors.
     pub(super) permit: ConnectionPermit,
-    /// When it was accepted, or its last complete line was read.
+    /// When the last complete line was read; until then, when the connection was accepted.
     pub(super) received_at: Instant,
 }
 
@@ -45,26 +45,26 @@
         let mut stream = &self.connection.stream;
         let answered = async {
             if with_timeout(WRITE_TIMEOUT, stream.write_all(line.as_bytes())).await.is_ok() {
-                close(&self.connection).await;
+                close_gracefully(&self.connection).await;
             }
         };
         answered.or(self.permit.evicted()).await;
     }
 
-    /// Closes the connection, or drops it if its descriptor is needed meanwhile.
+    /// Closes the connection gracefully, or drops it if it is evicted meanwhile.
     pub(super) async fn close(&self) {
-        close(&self.connection).or(self.permit.evicted()).await;
+        close_gracefully(&self.connection).or(self.permit.evicted()).await;
     }
 }
 
-/// Closes a connection gracefully: ends this side, then reads what the other side still sends.
-pub(super) async fn close(connection: &Connection) {
+/// Shuts down the sending side, then reads and discards what the peer still sends until it closes its side.
+pub(super) async fn close_gracefully(connection: &Connection) {
     if connection.stream.get_ref().shutdown(Shutdown::Write).is_err() {
         return;
     }
     let drain = async {
         while with_timeout(LINGER_TIMEOUT, connection.stream.read_with(discard)).await? > 0 {
-            // A client that sends at full speed must not keep other tasks waiting.
+            // Yield, so that a client that sends at full speed does not starve other tasks.
             future::yield_now().await;
         }
         Ok(())
@@ -72,16 +72,16 @@
     let _ = with_timeout(DRAIN_TIMEOUT, drain).await;
 }
 
-/// Makes the connection end with a reset once it is dropped.
-pub(super) fn reset(stream: &Async<TcpStream>) {
+/// Makes the kernel reset the connection when the socket is closed.
+pub(super) fn reset_on_close(stream: &Async<TcpStream>) {
     let _ = SockRef::from(stream.get_ref()).set_linger(Some(Duration::ZERO));
 }
 
-/// Rejects a client without waiting for it: its descriptor is needed.
+/// Rejects a client without waiting for it to read the answer, because its descriptor is needed.
 pub(super) fn reject_immediately(stream: &Async<TcpStream>) {
     let _ = stream.get_ref().write(BUSY.as_bytes());
     let _ = stream.get_ref().shutdown(Shutdown::Write);
-    // Unread bytes would turn the close into a reset.
+    // Closing a socket with unread bytes resets the connection.
     for _ in 0..MAX_IMMEDIATE_DISCARDS {
         if !matches!(discard(stream.get_ref()), Ok(read) if read > 0) {
             break;
@@ -89,7 +89,7 @@
     }
 }
 
-/// Reads once and drops what was read.
+/// Reads once and discards the bytes.
 fn discard(mut stream: &TcpStream) -> std::io::Result<usize> {
     stream.read(&mut [0; DISCARD_LENGTH])
 }
--- a/crates/larklink-proxy/src/session/client_watch.rs
+++ b/crates/larklink-proxy/src/session/client_watch.rs
@@ -1,4 +1,4 @@
-//! Notices when the client of a session that waits for its answer leaves.
+//! Detects that a client disconnects while its session waits for an answer.
 use std::io::ErrorKind;
 use std::net::TcpStream;
 use std::time::Duration;
@@ -10,14 +10,14 @@
 use crate::log::EndReason;
 use crate::protocol::LineBuffer;
 
-/// How often a client is checked whose buffer is full.
+/// How often a client whose buffer is full is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Resolves when the client has left, or has sent more than its first line. Only a client whose session was established
-/// before may send more.
+/// Resolves when the client has disconnected, or has sent more than its first line although `may_send_more` is false.
+/// It is true only for a session that was established before.
 ///
 /// # Errors
-/// Always the reason for the end: [`EndReason::ClientClosed`] or [`EndReason::ProtocolError`].
+/// Always, with the reason for the end: [`EndReason::ClientClosed`] or [`EndReason::ProtocolError`].
 pub(super) async fn watch_client<T>(
     stream: &Async<TcpStream>,
     buffer: &mut LineBuffer,
@@ -28,7 +28,8 @@
             return Err(EndReason::ProtocolError);
         }
         if buffer.is_full() {
-            // What it sends further waits in the kernel, and its end behind that.
+            // Further bytes stay in the kernel's buffer, with the end of the stream behind them: reads cannot detect
+            // it.
             Timer::after(POLL_INTERVAL).await;
             if !is_waiting(stream.get_ref(), may_send_more) {
                 return Err(EndReason::ClientClosed);
@@ -42,18 +43,18 @@
     }
 }
 
-/// Whether a client still waits for its answer, as the kernel knows at this moment; the reactor may learn later that it
-/// has left or sent something. A client that ends its sending side has given up.
+/// Whether a client still waits for its answer. This asks the kernel, because the reactor may report later that the
+/// client has disconnected or sent something. A client that shuts down its sending side no longer waits.
 pub(super) fn is_waiting(stream: &TcpStream, may_send_more: bool) -> bool {
     match stream.peek(&mut [0]) {
         Ok(0) => false,
-        // Its end may lie behind what it sent.
-        Ok(_) => may_send_more && !has_ended_sending(stream),
+        // The end of the stream may follow the bytes that it sent.
+        Ok(_) => may_send_more && !has_shut_down_sending(stream),
         Err(error) => error.kind() == ErrorKind::WouldBlock,
     }
 }
 
-fn has_ended_sending(stream: &TcpStream) -> bool {
+fn has_shut_down_sending(stream: &TcpStream) -> bool {
     let mut events = [PollFd::new(stream, PollFlags::RDHUP)];
     let polled = poll(&mut events, Some(&Timespec::default()));
     polled.is_ok() && !events[0].revents().is_empty()
--- a/crates/larklink-proxy/src/session/connect.rs
+++ b/crates/larklink-proxy/src/session/connect.rs
@@ -1,5 +1,5 @@
-//! A session that waits for its answer: it is sent to the endpoints that the decisions choose until one accepts it, or is
-//! answered without.
+//! A session that waits for its answer: attempts are made at the endpoints that the decision task chooses, until one
+//! accepts the session or it is rejected or failed.
 use std::cell::Cell;
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 use super::client_watch::{is_waiting, watch_client};
 use super::context::SessionContext;
 use super::reconnect;
-use super::relay::{self, EstablishedAt};
+use super::relay::{self, RelayedSession};
 use super::request::Request;
 use super::send_permit::SendPermit;
 use crate::clock::to_ticks;
@@ -29,8 +29,8 @@
 pub(super) async fn run(context: &SessionContext, client: &mut Client, request: &Request<'_>) -> EndReason {
     let mut session_request = request.to_session_request();
     if context.shutdown.is_requested() {
-        // It must have its answer before this process ends.
-        let remaining = context.shutdown.last_answer_at().saturating_duration_since(client.received_at);
+        // It must be answered before this process exits.
+        let remaining = context.shutdown.answer_deadline().saturating_duration_since(client.received_at);
         session_request.dial_timeout = session_request.dial_timeout.min(to_ticks(remaining));
     }
     if let Some(name) = request.open_line.endpoint_name {
@@ -55,7 +55,7 @@
     pending.run().await
 }
 
-/// A command to connect.
+/// The fields of [`SessionCommand::Connect`].
 struct ConnectCommand {
     attempt: AttemptNumber,
     endpoint: EndpointId,
@@ -66,11 +66,11 @@
 
 /// How an attempt ends.
 enum AttemptEnd {
-    /// The endpoint has accepted the session on this connection.
+    /// The endpoint accepted the session on this connection.
     Accepted(Connection),
-    /// The endpoint has not accepted it; the outcome is reported to the decisions.
+    /// The endpoint did not accept it; the outcome is reported to the decision task.
     NotAccepted(AttemptOutcome),
-    /// The session ends before its attempt does.
+    /// The session ends before its attempt has an outcome.
     SessionOver(EndReason),
 }
 
@@ -90,13 +90,13 @@
     async fn run(mut self) -> EndReason {
         loop {
             match self.next_command().await {
-                // Only the first attempt needs another descriptor: nothing has run.
+                // Only the first attempt needs another descriptor, so the session has not run anywhere.
                 Ok(SessionCommand::Connect { .. }) if !self.client.permit.try_acquire_upstream() => {
                     return self.abandon(EndReason::NoDescriptors).await;
                 }
                 Ok(SessionCommand::Connect { attempt, endpoint, address, deadline, send_deadline }) => {
                     let command = ConnectCommand { attempt, endpoint, address, deadline, send_deadline };
-                    match self.attempt(&command).await {
+                    match self.make_attempt(&command).await {
                         AttemptEnd::Accepted(connection) => {
                             return self.establish(&command, connection).await;
                         }
@@ -106,23 +106,23 @@
                 }
                 Ok(SessionCommand::Reject { retry_after }) => return self.reject(retry_after).await,
                 Ok(SessionCommand::Fail) => return self.fail().await,
-                // About an attempt that has ended meanwhile.
+                // Refers to an attempt that has ended in the meantime.
                 Ok(SessionCommand::LimitSendDeadline { .. } | SessionCommand::Migrate) => {}
                 Err(reason) => return self.abandon(reason).await,
             }
         }
     }
 
-    /// The next command; or why the session ends before it comes.
+    /// Receives the next command; the error is the reason for which the session ends before that.
     async fn next_command(&mut self) -> Result<SessionCommand, EndReason> {
         let command = async { self.commands.recv().await.map_err(|_| EndReason::ClientClosed) };
         let Connection { stream, buffer } = &mut self.client.connection;
         let client_left = watch_client(stream, buffer, self.request.open_line.established);
-        command.or(client_left).or(self.context.shutdown.last_answer_due()).await
+        command.or(client_left).or(self.context.shutdown.answer_deadline_passed()).await
     }
 
     /// Makes an attempt.
-    async fn attempt(&mut self, command: &ConnectCommand) -> AttemptEnd {
+    async fn make_attempt(&mut self, command: &ConnectCommand) -> AttemptEnd {
         let context = self.context;
         let remaining = command.deadline.saturating_duration_since(Instant::now());
         let dial_timeout_ms = remaining.as_millis().max(1).to_string();
@@ -131,8 +131,8 @@
         let permit = SendPermit::new(command.attempt, command.send_deadline, command.deadline);
         let Connection { stream, buffer } = &mut self.client.connection;
         let stream = &*stream;
-        // The reactor need not have noticed yet that the client has left: while its line was read, while the session waited
-        // in a queue, or during an earlier attempt.
+        // The client may have disconnected while its line was read, while the session was queued, or during an earlier
+        // attempt, and the reactor may not have reported it yet.
         let is_client_waiting = || is_waiting(stream.get_ref(), open_line.established);
         let may_connect = || {
             let connects = is_client_waiting();
@@ -161,14 +161,15 @@
             let Err(reason) = watch_client::<Infallible>(stream, buffer, open_line.established).await;
             AttemptEnd::SessionOver(reason)
         };
-        let last_answer_due = async {
-            let Err(reason) = context.shutdown.last_answer_due::<Infallible>().await;
+        let answer_deadline_passed = async {
+            let Err(reason) = context.shutdown.answer_deadline_passed::<Infallible>().await;
             AttemptEnd::SessionOver(reason)
         };
         // The futures are polled in this order, and the first one that is ready wins. `expired` reads the commands
-        // that bring the send deadline forward, and `client_left` notices that the client is gone: both come before
-        // `send`, which may send the first byte. An answer that comes with the last moment of a shutdown counts.
-        let end = expired.or(client_left).or(send).or(last_answer_due).await;
+        // that bring the send deadline forward, and `client_left` detects that the client has disconnected: both are
+        // polled before `send`, which may send the first byte. `send` precedes the shutdown's answer deadline, so that
+        // an acceptance that arrives by the deadline counts.
+        let end = expired.or(client_left).or(send).or(answer_deadline_passed).await;
         let never_ran = matches!(&end, AttemptEnd::NotAccepted(outcome) if outcome.never_ran());
         self.may_have_run |= permit.is_used() && !never_ran;
         match end {
@@ -190,13 +191,13 @@
         self.context.queue.send(ended).await;
     }
 
-    /// Relays the session after an endpoint has accepted it.
+    /// Reports that an endpoint has accepted the session, and relays it.
     async fn establish(self, command: &ConnectCommand, connection: Connection) -> EndReason {
         let Self { context, client, request, commands, .. } = self;
         context.metrics.record_answer(request.listener, FinalAnswer::Accepted);
         let (session, attempt) = (request.session, command.attempt);
         context.queue.send(DecisionEvent::Established { session, attempt }).await;
-        let established = EstablishedAt::new(session, attempt, command.endpoint, request.line);
+        let established = RelayedSession::new(session, attempt, command.endpoint, request.line);
         relay::run(context, established, client, connection, &commands).await
     }
 
@@ -216,7 +217,7 @@
         EndReason::Failed
     }
 
-    /// Ends the session before the decisions have answered it.
+    /// Ends the session before the decision task has decided on an answer.
     async fn abandon(&mut self, reason: EndReason) -> EndReason {
         self.context.queue.send(DecisionEvent::ClientLeft { session: self.request.session }).await;
         match reason {
--- a/crates/larklink-proxy/src/session/context.rs
+++ b/crates/larklink-proxy/src/session/context.rs
@@ -1,4 +1,4 @@
-//! What the tasks of all sessions share.
+//! State shared by the tasks of all sessions.
 use std::cell::RefCell;
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -15,28 +15,29 @@
 use crate::limiter::ConnectionLimiter;
 use crate::metrics::Metrics;
 
-/// What the tasks of all sessions share.
+/// State shared by the tasks of all sessions.
 pub(crate) struct SessionContext {
-    /// The queue to the decision task.
+    /// The event queue of the decision task.
     pub(crate) queue: DecisionQueue,
     /// Counts answers and sessions.
     pub(crate) metrics: Arc<Metrics>,
-    /// The names of the listeners; a session's listener is an index into them.
+    /// Listener names; a session's listener is stored as an index into this list.
     pub(crate) listeners: Vec<String>,
     /// The longest time that a connection to an endpoint may take.
     pub(crate) connect_timeout: Duration,
-    /// Whether packets pass through, so that clients are not migrated at a shutdown.
+    /// Whether the deployment's packets pass through the proxy: connections then continue through other proxies, and a
+    /// shutdown migrates no clients.
     pub(crate) passthrough: bool,
-    /// Spreads the migrations of a shutdown over time.
+    /// Chooses random times for the migrations of a shutdown.
     pub(crate) rng: RefCell<ChaCha8Rng>,
-    /// Whether the proxy is to stop, and by when.
+    /// Whether the proxy was asked to stop, and its deadlines.
     pub(crate) shutdown: Shutdown,
-    /// Closes when no more connections are accepted.
+    /// Closed when the proxy accepts no more connections.
     pub(crate) accepting_closed: Receiver<Infallible>,
-    /// Counts the descriptors.
+    /// Counts the file descriptors in use.
     pub(crate) limiter: Rc<ConnectionLimiter>,
     /// The open sessions.
     pub(crate) sessions: SessionRegistry,
-    /// The process that has taken over, if any.
+    /// The process that has taken over from this one, if any.
     pub(crate) successor: Rc<Successor>,
 }
--- a/crates/larklink-proxy/src/session/handler.rs
+++ b/crates/larklink-proxy/src/session/handler.rs
@@ -1,4 +1,4 @@
-//! Handles client connections: reads the first line, validates it, and runs the session that it requests.
+//! Handles client connections: reads and validates the first line, and runs the session that it requests.
 use std::io::ErrorKind;
 use std::net::TcpStream;
 use std::rc::Rc;
@@ -13,9 +13,9 @@
 use super::client::{BUSY, Client, ERR, reject_immediately};
 use super::connect;
 use super::context::SessionContext;
-use super::relay::{self, EstablishedAt};
+use super::relay::{self, RelayedSession};
 use super::request::Request;
-use super::shutdown::LAST_ANSWER_MARGIN;
+use super::shutdown::ANSWER_MARGIN;
 use crate::connection::Connection;
 use crate::events::{COMMAND_CAPACITY, DecisionEvent};
 use crate::handover::messages::EstablishedSession;
@@ -26,16 +26,17 @@
 use crate::protocol::{LineBuffer, OpenLine, OpenLineError, parse_open_line};
 use crate::timeout::with_timeout;
 
-/// How long a client may take for its first line, or for the next one after a health check. One that sends none must have
-/// been closed within 3 s.
+/// How long a client may take to send its first line, or the next one after a health check. A connection on which no
+/// line is sent must be closed within 3 s.
 const OPEN_LINE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The line that checks the proxy's health, and its answer.
+/// A health check of the proxy.
 const PING: &[u8] = b"PING\r\n";
+/// The answer to a health check.
 const PONG: &[u8] = b"PONG\r\n";
 
 /// How a connection ended.
 struct ConnectionEnd {
-    /// The number of its session, if it requested one.
+    /// The number of the session that it requested, if any.
     session: Option<SessionId>,
     reason: EndReason,
 }
@@ -57,20 +58,20 @@
 enum FirstLineError {
     #[error(transparent)]
     Malformed(#[from] OpenLineError),
-    #[error("no such listener")]
+    #[error("unknown listener")]
     UnknownListener,
-    #[error("the id of another that is open")]
+    #[error("session id is already in use")]
     SessionIdInUse,
 }
 
-/// Handles one connection to its end, and logs that.
+/// Handles a client connection until it ends, and logs the end.
 pub(crate) async fn handle(context: Rc<SessionContext>, stream: Async<TcpStream>, permit: ConnectionPermit) {
     let started = Instant::now();
     let mut client = Client { connection: Connection::new(stream), permit, received_at: started };
     handle_client(&context, &mut client).await.log(started);
 }
 
-/// Continues an established session that was handed over by the predecessor, and logs its end.
+/// Runs an established session that the predecessor handed over, and logs its end.
 pub(crate) async fn resume(context: Rc<SessionContext>, handed_over: HandedOverSession) {
     let started = Instant::now();
     let HandedOverSession { session, client, server } = handed_over;
@@ -84,7 +85,7 @@
     resume_session(&context, &session, &mut client, server).await.log(started);
 }
 
-/// Rejects a connection for which there is no descriptor. It has run nowhere: a retry is harmless.
+/// Rejects a connection for which no descriptor is available. Its session has not run anywhere, so a retry is safe.
 pub(crate) fn reject_connection(stream: &Async<TcpStream>) {
     let started = Instant::now();
     reject_immediately(stream);
@@ -121,7 +122,7 @@
     ConnectionEnd { session: Some(request.session), reason }
 }
 
-/// Parses a first line, and finds its listener.
+/// Parses a first line and looks up its listener.
 fn validate<'a>(context: &SessionContext, line: &'a [u8]) -> Result<(OpenLine<'a>, usize), FirstLineError> {
     let open_line = parse_open_line(line)?;
     let listener = find_listener(context, &open_line).ok_or(FirstLineError::UnknownListener)?;
@@ -135,28 +136,28 @@
     context.listeners.iter().position(|name| name == open_line.listener)
 }
 
-/// Waits for the first line of a session.
+/// Receives the first line of a session.
 async fn receive_open_line(context: &SessionContext, client: &mut Client) -> Result<Vec<u8>, EndReason> {
     let evicted = until_evicted(&client.permit);
     let accepting_closed = async {
         let _ = context.accepting_closed.recv().await;
-        Timer::after(LAST_ANSWER_MARGIN).await;
+        Timer::after(ANSWER_MARGIN).await;
         Err(EndReason::Shutdown)
     };
     let received = read_open_line(client).or(evicted).or(accepting_closed).await;
     if has_late_line(&received, &mut client.connection) && client.permit.keep_if_not_evicted() {
         let evicted = until_evicted(&client.permit);
-        let last_answer_due = context.shutdown.last_answer_due();
-        return read_open_line(client).or(evicted).or(last_answer_due).await;
+        let answer_deadline_passed = context.shutdown.answer_deadline_passed();
+        return read_open_line(client).or(evicted).or(answer_deadline_passed).await;
     }
     received
 }
 
-/// Whether the rest of a line is read and answered though the wait for it has ended. A line that has come by now is
-/// answered like any other: nobody sends it again. So is one of which a shutdown finds a part, as long as the rest may
-/// still come.
+/// Whether to read and answer a line although the wait for it was cut short. A complete line that has arrived by now is
+/// answered like any other, because its client does not send it again. At a shutdown a partial line is enough: the rest
+/// may still arrive.
 fn has_late_line(received: &Result<Vec<u8>, EndReason>, connection: &mut Connection) -> bool {
-    // This reads what the kernel has received, which happens however the wait ended.
+    // This also reads what the kernel has received, which is needed however the wait ended.
     let has_line = connection.has_complete_line();
     match received {
         Err(EndReason::Shutdown) => has_line || connection.has_input(),
@@ -173,15 +174,15 @@
     }
 }
 
-/// Answers health checks until another line comes.
+/// Reads the first line that is not a health check, and answers health checks until then.
 async fn read_open_line(client: &mut Client) -> Result<Vec<u8>, EndReason> {
     let mut has_pinged = false;
     loop {
-        match with_timeout(OPEN_LINE_TIMEOUT, read_line_or_pong(client)).await {
+        match with_timeout(OPEN_LINE_TIMEOUT, read_line_or_answer_ping(client)).await {
             Ok(Some(line)) => return Ok(line),
             Ok(None) => {
                 has_pinged = true;
-                // A client that pings without pause must not keep other tasks waiting.
+                // Yield, so that a client that sends health checks without pause does not starve other tasks.
                 future::yield_now().await;
             }
             Err(error) => {
@@ -196,8 +197,8 @@
     }
 }
 
-/// Reads a line and returns it; none if it was a health check, which is answered.
-async fn read_line_or_pong(client: &mut Client) -> std::io::Result<Option<Vec<u8>>> {
+/// Reads a line. A health check is answered, and `None` returned.
+async fn read_line_or_answer_ping(client: &mut Client) -> std::io::Result<Option<Vec<u8>>> {
     let length = client.connection.read_line().await?;
     let line = client.connection.buffer.bytes()[..length].to_vec();
     client.connection.buffer.consume(length);
@@ -210,19 +211,19 @@
     Ok(None)
 }
 
-/// Ends a connection that requested no session, with an answer where one is due.
+/// Closes a connection that requested no session, after an answer if the reason calls for one.
 async fn close_without_session(client: &mut Client, reason: EndReason) {
     match reason {
         EndReason::NoDescriptors => reject_immediately(&client.connection.stream),
-        // The rest of its line may be on its way.
+        // The rest of its first line may be in transit.
         EndReason::Shutdown if client.connection.has_input() => client.answer(BUSY).await,
         EndReason::ProtocolError | EndReason::OpenLineTimeout => client.answer(ERR).await,
-        // Gracefully: what comes at this moment must not be met by a reset.
+        // Closed gracefully: a line that arrives now must not cause a reset.
         _ => client.close().await,
     }
 }
 
-/// A handed-over connection with the bytes that were read from it; none if it cannot be used.
+/// Restores a handed-over connection with the bytes that were read from it; `None` if that fails.
 fn restore_connection(stream: TcpStream, bytes: &[u8]) -> Option<Connection> {
     let buffer = LineBuffer::with_bytes(bytes.to_vec())?;
     Some(Connection { buffer, stream: Async::new(stream).ok()? })
@@ -256,7 +257,7 @@
         let observation = Observation::Load(load);
         context.queue.send(DecisionEvent::Observed { session, attempt: 0, observation }).await;
     }
-    let established = EstablishedAt {
+    let established = RelayedSession {
         session,
         attempt: 0,
         endpoint,
--- a/crates/larklink-proxy/src/session/mod.rs
+++ b/crates/larklink-proxy/src/session/mod.rs
@@ -1,12 +1,13 @@
-//! Sessions. Each client connection has a task of its own, which runs through these modules:
+//! Client sessions. Each client connection has its own task, which passes through these modules:
 //!
 //! 1. [`handler`] reads the first line and validates it.
-//! 2. `connect` sends the session to the endpoints that the decisions choose, until one accepts it; `reconnect` sends one
-//!    that was established before to the endpoint that its first line names.
-//! 3. `relay` forwards lines both ways until the session ends, is migrated or handed over.
+//! 2. `connect` makes attempts at the endpoints that the decision task chooses until one accepts the session;
+//!    `reconnect` instead makes attempts at the endpoint that the first line names, for a session that was established
+//!    before.
+//! 3. `relay` forwards lines in both directions until the session ends, is migrated or is handed over.
 //!
-//! They share [`context`], which uses `registry` (open sessions) and [`shutdown`] (its deadlines), and `client` (answering
-//! and closing).
+//! Shared by them: [`context`], which holds `registry` (the open sessions) and [`shutdown`] (the shutdown deadlines),
+//! and `client` (answers to clients and closing of connections).
 mod client;
 mod client_watch;
 mod connect;
--- a/crates/larklink-proxy/src/session/reconnect.rs
+++ b/crates/larklink-proxy/src/session/reconnect.rs
@@ -1,5 +1,5 @@
-//! A session that was established before this process started: it goes to the endpoint that its first line names, past
-//! the decisions.
+//! A session that was established before this process started. Attempts are made only at the endpoint that its first
+//! line names, without a balancing decision.
 use std::io::IoSlice;
 use std::time::{Duration, Instant};
 
@@ -11,7 +11,7 @@
 use super::client::{Client, ERR};
 use super::client_watch::{is_waiting, watch_client};
 use super::context::SessionContext;
-use super::relay::{self, EstablishedAt};
+use super::relay::{self, RelayedSession};
 use super::request::Request;
 use crate::connection::Connection;
 use crate::endpoint_list::endpoint_id;
@@ -22,10 +22,10 @@
 
 /// The pause between two attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// How long attempts are made in total.
+/// The limit on the total time of all attempts.
 const TOTAL_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Runs a session to its end at the endpoint with a name.
+/// Runs a session at the named endpoint until it ends.
 pub(super) async fn run(
     context: &SessionContext,
     client: &mut Client,
@@ -43,12 +43,12 @@
     let is_client_waiting = || is_waiting(stream.get_ref(), true);
     let connected = connect(context, request.line, &commands, has_descriptor, deadline, is_client_waiting);
     let client_left = watch_client(stream, buffer, true);
-    match connected.or(client_left).or(context.shutdown.last_answer_due()).await {
+    match connected.or(client_left).or(context.shutdown.answer_deadline_passed()).await {
         Ok(connection) => {
             context.metrics.record_answer(request.listener, FinalAnswer::Accepted);
             let adopt = DecisionEvent::AdoptEstablished { session, request: session_request, endpoint };
             context.queue.send(adopt).await;
-            let established = EstablishedAt::new(session, 0, endpoint, request.line);
+            let established = RelayedSession::new(session, 0, endpoint, request.line);
             relay::run(context, established, client, connection, &commands).await
         }
         Err(reason) => {
@@ -62,7 +62,7 @@
     }
 }
 
-/// Makes attempts until one is accepted, or may have run the session without being accepted.
+/// Makes attempts until one is accepted, or may have run the session although it was not accepted.
 async fn connect(
     context: &SessionContext,
     line: &[u8],
@@ -84,7 +84,7 @@
         let mut slices = [IoSlice::new(line)];
         match attempt.send(&mut slices, &is_client_waiting, &is_client_waiting).await {
             Ok(connection) => return Ok(connection),
-            // Once it may have run there, another attempt could run it twice.
+            // The session may have run: another attempt could run it twice.
             Err(outcome) if !outcome.never_ran() || Instant::now() >= deadline => {
                 return Err(EndReason::Failed);
             }
--- a/crates/larklink-proxy/src/session/registry.rs
+++ b/crates/larklink-proxy/src/session/registry.rs
@@ -1,4 +1,4 @@
-//! The sessions that are open in this process.
+//! The open sessions of this process.
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 
@@ -6,15 +6,15 @@
 
 use crate::protocol::OpenLine;
 
-/// Numbers the sessions of this process, and knows the ids that clients gave to those that are open.
+/// Assigns numbers to the sessions of this process, and tracks the client-chosen ids of the open ones.
 #[derive(Default)]
 pub(crate) struct SessionRegistry {
     next_number: Cell<SessionId>,
-    /// The client keys of the open sessions, by the id of their first line.
+    /// The client key of each open session, by the id in its first line.
     client_keys: RefCell<HashMap<u64, u64>>,
 }
 
-/// An open session; it is closed when this is dropped.
+/// An open session; dropping this removes it from the registry.
 pub(super) struct OpenSession<'a> {
     registry: &'a SessionRegistry,
     id: u64,
@@ -23,8 +23,8 @@
 }
 
 impl SessionRegistry {
-    /// Whether the id of a first line is free. The packets of an established session may come to this process by another
-    /// way than before: its own id is free to its client.
+    /// Whether a session may use the id in its first line. An id that is in use is free only to an established session
+    /// of the same client, whose packets may reach this process by a new route while the old connection is still open.
     pub(super) fn is_id_free(&self, open_line: &OpenLine<'_>) -> bool {
         match self.client_keys.borrow().get(&open_line.id) {
             Some(&client_key) => open_line.established && client_key == open_line.client_key,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Opens a session.
+    /// Registers a session and assigns it a number.
     pub(super) fn open(&self, open_line: &OpenLine<'_>) -> OpenSession<'_> {
         self.client_keys.borrow_mut().insert(open_line.id, open_line.client_key);
         let number = self.next_number.get();
--- a/crates/larklink-proxy/src/session/relay/client_to_server.rs
+++ b/crates/larklink-proxy/src/session/relay/client_to_server.rs
@@ -1,4 +1,4 @@
-//! The direction from the client to its endpoint: forwarded byte for byte.
+//! The client-to-endpoint direction. Bytes are forwarded as they arrive, also parts of lines.
 use futures_lite::{AsyncWriteExt, FutureExt, future};
 
 use super::silence;
@@ -7,7 +7,7 @@
 use crate::log::EndReason;
 use crate::protocol::LineBuffer;
 
-/// Forwards until the session ends. Cancel safe: what is not forwarded yet stays in the buffer.
+/// Forwards until the session ends. Cancel safe: bytes that are not yet forwarded stay in the buffer.
 pub(super) async fn run(state: &RelayState<'_>, buffer: &mut LineBuffer) -> SessionEnd {
     loop {
         if let Err(end) = forward(state, buffer).await {
@@ -23,21 +23,22 @@
     }
 }
 
-/// Forwards what is in the buffer.
+/// Forwards the bytes in the buffer.
 async fn forward(state: &RelayState<'_>, buffer: &mut LineBuffer) -> Result<(), SessionEnd> {
     while !buffer.bytes().is_empty() {
         let mut to_server = state.to_server;
-        // An endpoint that hangs takes nothing in the end: the messages before show that it is silent.
+        // An endpoint that hangs stops reading at some point, and the write blocks: the messages that it has left
+        // unanswered still reveal that it is silent.
         let written = async { Ok(to_server.write(buffer.bytes()).await) };
         let written = match written.or(async { Err(silence::detected(state).await) }).await {
             Ok(Ok(written)) if written > 0 => written,
-            // The other direction reads what the endpoint has still to send, and how it ended.
+            // The other direction reads the rest of what the endpoint sent, and how it closed the connection.
             Ok(_) => return future::pending().await,
             Err(end) => return Err(end),
         };
         let messages = buffer.bytes()[..written].iter().filter(|&&byte| byte == b'\n').count();
         buffer.consume(written);
-        // Timed from here, so that the proxy's own queues do not count.
+        // Timed from the write, so that time in the proxy's own buffers is not counted.
         state.messages.record_sent(messages);
     }
     Ok(())
--- a/crates/larklink-proxy/src/session/relay/client_writer.rs
+++ b/crates/larklink-proxy/src/session/relay/client_writer.rs
@@ -1,4 +1,4 @@
-//! Writes to the client, and knows how long the client keeps it waiting.
+//! Writes to the client, and tracks how long the client blocks writes.
 use std::cell::Cell;
 use std::io::{ErrorKind, Write};
 use std::net::TcpStream;
@@ -11,20 +11,20 @@
 use crate::session::client::WRITE_TIMEOUT;
 use crate::timeout::with_timeout;
 
-/// How long a client that has no message under way may read nothing of what is sent to it. Clients send something every
-/// 2 s, which brings them under the shorter limit of `silence`: this one has left out two messages.
+/// How long a client without an unanswered message may block a write. Clients send a message every 2 s, after which the
+/// shorter timeout in `silence` applies to them: a client that reaches this one has skipped two messages.
 const PROGRESS_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often an ongoing write is looked at.
+/// How often `wait_until_idle` checks a pending write.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The writing side of a client's connection.
+/// The write side of a client's connection.
 pub(super) struct ClientWriter<'a> {
     pub(super) stream: &'a Async<TcpStream>,
-    /// While a write is under way: when it began, or last made progress.
+    /// While a write is pending: when it began or last made progress.
     progress_at: Cell<Option<Instant>>,
-    /// When the client last took bytes that it had kept waiting: the endpoint was not read until then.
+    /// When a blocked write last made progress. The endpoint's connection was not read until then.
     blocked_until: Cell<Option<Instant>>,
-    /// Bytes at the start of the endpoint's buffer that the client has got already.
+    /// How many bytes at the start of the endpoint's buffer were already written.
     written: Cell<usize>,
 }
 
@@ -38,27 +38,27 @@
         }
     }
 
-    /// While a write is under way: when it began, or last made progress.
+    /// While a write is pending: when it began or last made progress.
     pub(super) fn progress_at(&self) -> Option<Instant> {
         self.progress_at.get()
     }
 
-    /// When the client last took bytes that it had kept waiting.
+    /// When a blocked write last made progress.
     pub(super) fn blocked_until(&self) -> Option<Instant> {
         self.blocked_until.get()
     }
 
-    /// Bytes at the start of the endpoint's buffer that the client has got already.
+    /// How many bytes at the start of the endpoint's buffer were already written.
     pub(super) fn written(&self) -> usize {
         self.written.get()
     }
 
-    /// Starts again after the written bytes were taken out of the endpoint's buffer.
+    /// Resets the count after the written bytes were consumed from the endpoint's buffer.
     pub(super) fn reset_written(&self) {
         self.written.set(0);
     }
 
-    /// Writes the bytes at the start of the endpoint's buffer, save those that were written already. Cancel safe.
+    /// Writes the bytes at the start of the endpoint's buffer, except those that were already written. Cancel safe.
     ///
     /// # Errors
     /// The reason for the session's end.
@@ -67,7 +67,7 @@
         if bytes.is_empty() {
             return Ok(());
         }
-        // Mostly the client takes all at once, and has kept nobody waiting.
+        // Usually the socket accepts all bytes at once: such a write did not block.
         match self.stream.get_ref().write(bytes) {
             Ok(written) => {
                 bytes = &bytes[written..];
@@ -97,7 +97,7 @@
         self.written.set(self.written.get() + bytes);
     }
 
-    /// Waits until no write is under way; false if that takes too long.
+    /// Waits until no write is pending; returns false if that takes too long.
     pub(super) async fn wait_until_idle(&self) -> bool {
         let started = Instant::now();
         while self.progress_at.get().is_some() {
@@ -109,8 +109,9 @@
         true
     }
 
-    /// Writes a line of the proxy's own between two lines of the endpoint; whether the client took it in time.
-    pub(super) async fn write_own_line(&self, line: &[u8], started: Instant) -> bool {
+    /// Writes a line that the proxy itself sends, between two lines of the endpoint. Returns whether the client read it
+    /// in time.
+    pub(super) async fn write_proxy_line(&self, line: &[u8], started: Instant) -> bool {
         self.progress_at.set(Some(started));
         let mut stream = self.stream;
         with_timeout(WRITE_TIMEOUT, stream.write_all(line)).await.is_ok()
--- a/crates/larklink-proxy/src/session/relay/mod.rs
+++ b/crates/larklink-proxy/src/session/relay/mod.rs
@@ -1,10 +1,10 @@
-//! An established session: lines are forwarded both ways until one side ends it, it is migrated, or it is handed over to
-//! the successor process.
+//! An established session: lines are forwarded in both directions until one side ends the session, its client is
+//! migrated, or it is handed over to the successor process.
 //!
 //! - `client_to_server` and `server_to_client`: the two directions
-//! - `silence`: an endpoint or client that stops responding
-//! - `migration`: commands of the decisions, and the proxy's shutdown
-//! - `state` and `client_writer`: what they share
+//! - `silence`: detects an endpoint or client that stops responding
+//! - `migration`: migration on command or at a shutdown, and handover
+//! - `state` and `client_writer`: shared state
 mod client_to_server;
 mod client_writer;
 mod migration;
@@ -15,19 +15,19 @@
 use async_channel::Receiver;
 use futures_lite::FutureExt;
 
-pub(super) use self::state::EstablishedAt;
+pub(super) use self::state::RelayedSession;
 use self::state::{RelayState, SessionEnd};
-use super::client::{Client, close, reset};
+use super::client::{Client, close_gracefully, reset_on_close};
 use super::context::SessionContext;
 use crate::connection::Connection;
 use crate::events::{DecisionEvent, SessionCommand};
 use crate::handover::messages::EstablishedSession;
 use crate::log::EndReason;
 
-/// Relays a session to its end.
+/// Relays a session until it ends.
 pub(super) async fn run(
     context: &SessionContext,
-    established: EstablishedAt<'_>,
+    established: RelayedSession<'_>,
     client: &mut Client,
     mut server: Connection,
     commands: &Receiver<SessionCommand>,
@@ -52,16 +52,16 @@
         if context.successor.hand_over(session, client_stream, server_stream).await {
             break end;
         }
-        // The successor is gone: this process ends the session as if there had been none.
-        state.has_no_successor.set(true);
+        // The successor is gone: this process ends the session as if there had never been one.
+        state.handover_failed.set(true);
     };
     report_end(context, &established, &end).await;
     close_both(client, server, end.reason).await;
     end.reason
 }
 
-async fn report_end(context: &SessionContext, established: &EstablishedAt<'_>, end: &SessionEnd) {
-    let EstablishedAt { session, attempt, .. } = *established;
+async fn report_end(context: &SessionContext, established: &RelayedSession<'_>, end: &SessionEnd) {
+    let RelayedSession { session, attempt, .. } = *established;
     let event = match end.outcome {
         Some(outcome) => DecisionEvent::AttemptEnded { session, attempt, outcome, session_over: true },
         None => DecisionEvent::ClientLeft { session },
@@ -69,13 +69,13 @@
     context.queue.send(event).await;
 }
 
-/// Ends each side in the way in which the other ended.
+/// Closes or resets each connection as the peer of the other one did.
 async fn close_both(client: &mut Client, server: Connection, reason: EndReason) {
     match reason {
-        EndReason::ClientReset => reset(&server.stream),
-        EndReason::ClientClosed => close(&server).await,
-        EndReason::ServerReset => reset(&client.connection.stream),
-        // Both connections go on in the successor.
+        EndReason::ClientReset => reset_on_close(&server.stream),
+        EndReason::ClientClosed => close_gracefully(&server).await,
+        EndReason::ServerReset => reset_on_close(&client.connection.stream),
+        // Both connections continue in the successor.
         EndReason::HandedOver => {}
         _ => {
             drop(server);
--- a/crates/larklink-proxy/src/session/relay/server_to_client.rs
+++ b/crates/larklink-proxy/src/session/relay/server_to_client.rs
@@ -1,5 +1,5 @@
-//! The direction from the endpoint to its client: forwarded in complete lines, so that a line of the proxy's own can go
-//! between two.
+//! The endpoint-to-client direction. Only complete lines are forwarded, so that the proxy can send a line of its own
+//! between two of them.
 use std::time::Instant;
 
 use larklink_balancer::{AttemptOutcome, Observation};
@@ -13,7 +13,7 @@
 use crate::session::client::LINGER_TIMEOUT;
 use crate::timeout::with_timeout;
 
-/// Forwards until the session ends. Cancel safe: what is not forwarded yet stays in the buffer.
+/// Forwards until the session ends. Cancel safe: bytes that are not yet forwarded stay in the buffer.
 pub(super) async fn run(state: &RelayState<'_>, buffer: &mut LineBuffer) -> SessionEnd {
     let mut final_outcome = None;
     loop {
@@ -29,7 +29,7 @@
         if buffer.is_full() {
             return SessionEnd::with_outcome(EndReason::ProtocolError, AttemptOutcome::Failed);
         }
-        // An endpoint that has sent its last line may keep its connection open: its client need not wait for that.
+        // An endpoint may keep its connection open after its final line: the client need not wait for it to close.
         let received = match final_outcome {
             Some(_) => with_timeout(LINGER_TIMEOUT, read(state.to_server, buffer)).await,
             None => read(state.to_server, buffer).await,
@@ -37,7 +37,7 @@
         if matches!(received, Ok(bytes) if bytes > 0) {
             continue;
         }
-        // An incomplete line that the endpoint left.
+        // Forward an incomplete last line.
         if let Err(reason) = state.client.write(buffer.bytes()).await {
             return SessionEnd::without_outcome(reason);
         }
@@ -51,7 +51,7 @@
     }
 }
 
-/// Forwards complete lines; the session's outcome if they end it.
+/// Forwards complete lines. Returns the session's outcome if they end it.
 async fn forward_lines(state: &RelayState<'_>, lines: &[u8]) -> Result<Option<AttemptOutcome>, EndReason> {
     let received_at = Instant::now();
     let last_line = split_lines(lines).next_back();
@@ -73,7 +73,7 @@
     matches!(parse_server_message(line).0, ServerMessage::Bye | ServerMessage::Move)
 }
 
-/// Reports what a line says of the session; its outcome if the line ends it.
+/// Reports what a line says about the session. Returns the outcome if the line ends it.
 async fn observe(state: &RelayState<'_>, line: &[u8], received_at: Instant) -> Option<AttemptOutcome> {
     match parse_server_message(line).0 {
         ServerMessage::Bye => return Some(AttemptOutcome::Succeeded),
@@ -99,7 +99,8 @@
 
 async fn report_answer(state: &RelayState<'_>, received_at: Instant) {
     let Some(sent_at) = state.messages.take_oldest() else { return };
-    // What came while a slow client kept the endpoint from being read says nothing of the endpoint.
+    // The endpoint's connection was not read while a slow client blocked writes: the measured time is not the
+    // endpoint's.
     if state.client.blocked_until().is_some_and(|until| until >= sent_at) {
         return;
     }
--- a/crates/larklink-proxy/src/session/relay/silence.rs
+++ b/crates/larklink-proxy/src/session/relay/silence.rs
@@ -1,4 +1,4 @@
-//! Notices an endpoint that answers nothing, or a client that reads nothing while a message of its own is under way.
+//! Detects an endpoint that does not answer, or a client that does not read although it waits for an answer.
 use std::time::{Duration, Instant};
 
 use async_io::Timer;
@@ -10,12 +10,13 @@
 use crate::events::DecisionEvent;
 use crate::log::EndReason;
 
-/// How long a message may stay unanswered before its client is migrated. A silent endpoint must be left within 7 s of its
-/// last answer, which may have come seconds before the message.
+/// How long a message may stay unanswered before its client is migrated. A client must be migrated within 7 s of the
+/// last answer of a silent endpoint, which may have come seconds before the message.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Resolves when the session ends because an endpoint is silent, which is reported earlier. The time in which the client
-/// kept the endpoint from being read does not count.
+/// Resolves when the session ends because its endpoint is silent, or its client blocks writes. A silent endpoint is
+/// reported as unresponsive before that. Time in which the client blocked writes, so that the endpoint was not read,
+/// does not count.
 pub(super) async fn detected(state: &RelayState<'_>) -> SessionEnd {
     let report_after = state.context.connect_timeout;
     while let Some(sent_at) = state.messages.oldest() {
@@ -43,7 +44,7 @@
             };
         }
     }
-    // Nothing is under way: this is called again with the next message.
+    // No message is unanswered: the caller calls this again after the next one.
     future::pending().await
 }
 
--- a/crates/larklink-proxy/src/session/relay/state.rs
+++ b/crates/larklink-proxy/src/session/relay/state.rs
@@ -1,4 +1,4 @@
-//! The state that both directions of a session share.
+//! The state shared by both directions of a session.
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::net::TcpStream;
@@ -12,26 +12,25 @@
 use crate::log::EndReason;
 use crate::session::context::SessionContext;
 
-/// How many messages of a session are timed at once.
+/// The most unanswered messages of a session that are timed at once.
 const MAX_TIMED_MESSAGES: usize = 8;
 
-/// An established session, and where it is established.
-pub(in crate::session) struct EstablishedAt<'a> {
+/// An established session to relay, and its endpoint.
+pub(in crate::session) struct RelayedSession<'a> {
     pub(in crate::session) session: SessionId,
-    /// The number of the attempt that was accepted: 0 for the first one, and also 0 if the session was established
-    /// before this process got it.
+    /// The number of the accepted attempt; 0 for a session that was established before it reached this process.
     pub(in crate::session) attempt: AttemptNumber,
     pub(in crate::session) endpoint: EndpointId,
     /// The session's first line, with the CRLF.
     pub(in crate::session) open_line: &'a [u8],
-    /// Messages under way to the endpoint or back.
+    /// How many messages the endpoint has not answered yet.
     pub(in crate::session) unanswered_messages: usize,
     /// The load that the endpoint last reported for the session.
     pub(in crate::session) load: Option<f64>,
 }
 
-impl<'a> EstablishedAt<'a> {
-    /// A session that has just been accepted.
+impl<'a> RelayedSession<'a> {
+    /// Creates a session that was just accepted.
     pub(in crate::session) fn new(
         session: SessionId,
         attempt: AttemptNumber,
@@ -45,43 +44,43 @@
 /// How an established session ended.
 pub(super) struct SessionEnd {
     pub(super) reason: EndReason,
-    /// The outcome of its attempt; none if the endpoint has no part in the end.
+    /// The outcome of its attempt; `None` if the end says nothing about the endpoint.
     pub(super) outcome: Option<AttemptOutcome>,
 }
 
 impl SessionEnd {
-    /// An end in which the endpoint has no part.
+    /// An end that says nothing about the endpoint.
     pub(super) fn without_outcome(reason: EndReason) -> Self {
         Self { reason, outcome: None }
     }
 
-    /// An end that says something of the endpoint.
+    /// An end that counts as an outcome of the attempt at the endpoint.
     pub(super) fn with_outcome(reason: EndReason, outcome: AttemptOutcome) -> Self {
         Self { reason, outcome: Some(outcome) }
     }
 }
 
-/// Messages that were sent to the endpoint and are not answered yet.
+/// The messages that were sent to the endpoint and are not answered yet.
 pub(super) struct UnansweredMessages {
-    /// When each was sent, the oldest first.
+    /// When each was sent, oldest first.
     sent_at: RefCell<VecDeque<Instant>>,
 }
 
 impl UnansweredMessages {
-    /// As many messages as were under way when the session was handed over, timed from now.
+    /// Starts with the messages that were unanswered when the session was handed over, timed from now.
     fn new(count: usize) -> Self {
         let sent_at = vec![Instant::now(); count.min(MAX_TIMED_MESSAGES)];
         Self { sent_at: RefCell::new(VecDeque::from(sent_at)) }
     }
 
-    /// Records that messages were sent now. Those beyond the number that is timed are not recorded.
+    /// Records messages as sent now, as far as [`MAX_TIMED_MESSAGES`] allows.
     pub(super) fn record_sent(&self, count: usize) {
         let mut sent_at = self.sent_at.borrow_mut();
         let free = MAX_TIMED_MESSAGES - sent_at.len().min(MAX_TIMED_MESSAGES);
         sent_at.extend(std::iter::repeat_n(Instant::now(), count.min(free)));
     }
 
-    /// Takes the oldest message out, which is answered: when it was sent.
+    /// Removes the oldest message, which was answered. Returns when it was sent.
     pub(super) fn take_oldest(&self) -> Option<Instant> {
         self.sent_at.borrow_mut().pop_front()
     }
@@ -91,7 +90,7 @@
         self.sent_at.borrow().front().copied()
     }
 
-    /// How many there are.
+    /// The number of unanswered messages.
     pub(super) fn count(&self) -> usize {
         self.sent_at.borrow().len()
     }
@@ -106,22 +105,22 @@
     pub(super) client: ClientWriter<'a>,
     pub(super) to_server: &'a Async<TcpStream>,
     pub(super) messages: UnansweredMessages,
-    /// The oldest unanswered message when the endpoint was last reported as unresponsive.
+    /// When the endpoint was last reported as unresponsive: the send time of the oldest unanswered message.
     pub(super) reported_unresponsive: Cell<Option<Instant>>,
     /// The load that the endpoint last reported for the session.
     pub(super) load: Cell<Option<f64>>,
-    /// Whether the endpoint's last line is at its client, or on its way there.
+    /// Whether the endpoint's final line was received: it was forwarded to the client or is about to be.
     pub(super) has_final_line: Cell<bool>,
-    /// Whether the endpoint's last line has been handled.
+    /// Whether the endpoint's final line was forwarded and evaluated.
     pub(super) is_ending: Cell<bool>,
-    /// Whether the session could not be handed over.
-    pub(super) has_no_successor: Cell<bool>,
+    /// Whether handing the session over has failed.
+    pub(super) handover_failed: Cell<bool>,
 }
 
 impl<'a> RelayState<'a> {
     pub(super) fn new(
         context: &'a SessionContext,
-        established: &EstablishedAt<'_>,
+        established: &RelayedSession<'_>,
         to_client: &'a Async<TcpStream>,
         to_server: &'a Async<TcpStream>,
     ) -> Self {
@@ -137,7 +136,7 @@
             load: Cell::new(established.load),
             has_final_line: Cell::default(),
             is_ending: Cell::default(),
-            has_no_successor: Cell::default(),
+            handover_failed: Cell::default(),
         }
     }
 }
--- a/crates/larklink-proxy/src/session/request.rs
+++ b/crates/larklink-proxy/src/session/request.rs
@@ -1,4 +1,4 @@
-//! A session's first line, validated.
+//! A session request: the validated first line.
 use larklink_balancer::{SessionRequest, TickDuration};
 use larklink_engine::engine::SessionId;
 
@@ -6,18 +6,18 @@
 
 /// A session that a client has requested.
 pub(super) struct Request<'a> {
-    /// Its number in this process.
+    /// The session's number in this process.
     pub(super) session: SessionId,
     /// Its first line, with the CRLF.
     pub(super) line: &'a [u8],
-    /// What that says.
+    /// The fields parsed from `line`.
     pub(super) open_line: OpenLine<'a>,
-    /// The index of its listener.
+    /// The index of its listener in the settings.
     pub(super) listener: usize,
 }
 
 impl Request<'_> {
-    /// The request in the decisions' terms.
+    /// Converts the request to the form that the engine takes.
     pub(super) fn to_session_request(&self) -> SessionRequest {
         SessionRequest {
             listener: self.listener,
--- a/crates/larklink-proxy/src/session/send_permit.rs
+++ b/crates/larklink-proxy/src/session/send_permit.rs
@@ -1,4 +1,4 @@
-//! The permission to send an attempt's first byte, which may be withdrawn while its connection comes up.
+//! The permission to send the first byte of an attempt, which may expire early while the attempt is connecting.
 use std::cell::Cell;
 use std::time::Instant;
 
@@ -10,7 +10,7 @@
 
 use crate::events::SessionCommand;
 
-/// Until when the first byte of an attempt may be sent. A watch event about its endpoint may bring that forward.
+/// The send deadline of an attempt. A watch event about its endpoint may bring it forward.
 pub(super) struct SendPermit {
     attempt: AttemptNumber,
     send_deadline: Cell<Instant>,
@@ -20,24 +20,24 @@
 }
 
 impl SendPermit {
-    /// A permit for an attempt.
+    /// Creates a permit for an attempt.
     pub(super) fn new(attempt: AttemptNumber, send_deadline: Instant, attempt_deadline: Instant) -> Self {
         Self { attempt, send_deadline: Cell::new(send_deadline), attempt_deadline, used: Cell::new(false) }
     }
 
-    /// Uses the permit; whether the first byte may be sent now.
+    /// Uses the permit if the send deadline has not passed. Returns whether the first byte may be sent now.
     pub(super) fn try_use(&self) -> bool {
         self.used.set(Instant::now() <= self.send_deadline.get());
         self.used.get()
     }
 
-    /// Whether the first byte was allowed to be sent.
+    /// Whether the permit was used.
     pub(super) fn is_used(&self) -> bool {
         self.used.get()
     }
 
-    /// Follows the commands about the attempt; resolves when the permit expires unused, so that the session is retried at
-    /// once and not when the connection comes up.
+    /// Applies the commands that bring the send deadline forward. Resolves when the permit expires unused, so that the
+    /// session is retried at once and not only when the connection is up.
     pub(super) async fn expired(&self, commands: &Receiver<SessionCommand>) -> AttemptOutcome {
         loop {
             let command = async {
--- a/crates/larklink-proxy/src/session/shutdown.rs
+++ b/crates/larklink-proxy/src/session/shutdown.rs
@@ -1,4 +1,4 @@
-//! The deadlines of a proxy that is asked to stop.
+//! The shutdown request and its deadlines.
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
@@ -7,21 +7,21 @@
 
 use crate::log::EndReason;
 
-/// How long before the process ends a waiting session gets its last answer; and how long after the listener is closed
-/// those connections end that have sent nothing.
-pub(super) const LAST_ANSWER_MARGIN: Duration = Duration::from_millis(100);
+/// How long before the process exits a waiting session is answered at the latest; also how long after the listener is
+/// closed connections that have sent nothing are closed.
+pub(super) const ANSWER_MARGIN: Duration = Duration::from_millis(100);
 
-/// Whether the proxy is to stop, and by when.
+/// Whether the proxy was asked to stop, and its deadlines.
 pub(crate) struct Shutdown {
-    /// Closes when the proxy is to stop.
+    /// Closed when the proxy is asked to stop.
     requested: Receiver<()>,
-    /// How long the proxy may run on after that.
+    /// The grace period: how long the proxy may keep running after that.
     grace: Duration,
     started_at: Cell<Option<Instant>>,
 }
 
 impl Shutdown {
-    /// A shutdown that is requested when the channel closes, with its grace period.
+    /// Creates a shutdown that is requested when the channel closes.
     pub(crate) fn new(requested: Receiver<()>, grace: Duration) -> Self {
         Self { requested, grace, started_at: Cell::new(None) }
     }
@@ -36,25 +36,25 @@
         let _ = self.requested.recv().await;
     }
 
-    /// When the process ends. The grace period starts with the first call, which comes after the request.
+    /// When the process exits. The grace period starts with the first call, which must come after the request.
     pub(crate) fn deadline(&self) -> Instant {
         let started_at = self.started_at.get().unwrap_or_else(Instant::now);
         self.started_at.set(Some(started_at));
         started_at + self.grace
     }
 
-    /// The latest time at which a waiting session gets its answer.
-    pub(super) fn last_answer_at(&self) -> Instant {
-        self.deadline() - LAST_ANSWER_MARGIN
+    /// The latest time at which a waiting session is answered.
+    pub(super) fn answer_deadline(&self) -> Instant {
+        self.deadline() - ANSWER_MARGIN
     }
 
-    /// Resolves when the last answers are due.
+    /// Resolves at the answer deadline, once the proxy was asked to stop.
     ///
     /// # Errors
     /// Always [`EndReason::Shutdown`].
-    pub(super) async fn last_answer_due<T>(&self) -> Result<T, EndReason> {
+    pub(super) async fn answer_deadline_passed<T>(&self) -> Result<T, EndReason> {
         self.requested().await;
-        Timer::at(self.last_answer_at()).await;
+        Timer::at(self.answer_deadline()).await;
         Err(EndReason::Shutdown)
     }
 }
--- a/crates/larklink-proxy/src/upstream/attempt.rs
+++ b/crates/larklink-proxy/src/upstream/attempt.rs
@@ -7,7 +7,7 @@
 use larklink_balancer::AttemptOutcome;
 use rustix::io::Errno;
 
-use crate::connection::{Connection, write_gathered};
+use crate::connection::{Connection, write_all_vectored};
 use crate::metrics::Metrics;
 use crate::protocol::{ServerMessage, parse_server_message};
 use crate::timeout::with_timeout;
@@ -69,7 +69,7 @@
             return Err(AttemptOutcome::NotSent);
         }
         // The endpoint cannot have run the session before it has the complete line.
-        with_timeout(self.remaining(), write_gathered(&connection.stream, open_line))
+        with_timeout(self.remaining(), write_all_vectored(&connection.stream, open_line))
             .await
             .map_err(|_| AttemptOutcome::ConnectFailed)?;
         self.metrics.record_attempt_sent();
--- a/crates/larklink-proxy/src/upstream/health_check.rs
+++ b/crates/larklink-proxy/src/upstream/health_check.rs
@@ -12,7 +12,7 @@
 use larklink_engine::settings::ProxySettings;
 
 use crate::clock::{to_duration, to_ticks};
-use crate::connection::{Connection, write_gathered};
+use crate::connection::{Connection, write_all_vectored};
 use crate::endpoint_list::Endpoint;
 use crate::events::{DecisionEvent, DecisionQueue};
 use crate::limiter::{ConnectionLimiter, HealthCheckPermit};
@@ -158,7 +158,7 @@
 
     async fn exchange_lines(&self, connection: &mut Connection) -> std::io::Result<Answer> {
         let request: &[u8] = if self.report_names.is_empty() { b"PING\r\n" } else { b"STATS\r\n" };
-        write_gathered(&connection.stream, &mut [IoSlice::new(request)]).await?;
+        write_all_vectored(&connection.stream, &mut [IoSlice::new(request)]).await?;
         let length = connection.read_line().await?;
         let answer = self.parse_answer(&connection.buffer.bytes()[..length]);
         connection.buffer.consume(length);
