--- a/crates/larklink-proxy/src/handover/channel.rs
+++ b/crates/larklink-proxy/src/handover/channel.rs
@@ -1,4 +1,4 @@
-//! Messages over a Unix socket, with descriptors attached to their first byte (`SCM_RIGHTS`).
+//! Messages over a Unix socket, with file descriptors attached to their first byte (`SCM_RIGHTS`).
 use std::collections::VecDeque;
 use std::io::{ErrorKind, IoSlice, IoSliceMut, Result};
 use std::mem::MaybeUninit;
@@ -18,13 +18,13 @@
 use super::messages::{HandoverMessage, ProtocolError, parse_message};
 use crate::timeout::with_timeout;
 
-/// The longest message, in bytes; as for an endpoint list of discovery.
+/// The longest message, in bytes; the same limit as for an endpoint list from discovery.
 const MAX_MESSAGE_LENGTH: usize = 1 << 20;
-/// How long the other process may take for a message that is due. One that hangs must not delay a start.
+/// How long to wait for an expected message, or to send one. A process that hangs must not delay the start of another.
 pub(super) const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The most descriptors attached to one message.
+/// The most file descriptors attached to one message.
 const MAX_ATTACHED: usize = 2;
-/// Bytes read from the socket at once.
+/// How many bytes are read from the socket at once.
 const CHUNK_LENGTH: usize = 4096;
 
 /// The receiving half of a connection to the other process.
@@ -38,7 +38,7 @@
     /// Receives the next message. Cancel safe: nothing is lost when the future is dropped.
     ///
     /// # Errors
-    /// The other process has closed the connection, or sent what is no message.
+    /// The other process closed the connection or sent an invalid message.
     pub async fn receive(&mut self) -> Result<HandoverMessage> {
         loop {
             if let Some(end) = self.buffer.iter().position(|&b| b == b'\n') {
@@ -55,10 +55,10 @@
         }
     }
 
-    /// Takes the next descriptor that came attached to a message, in the order in which they were sent.
+    /// Takes the next descriptor that was received with a message, in the order in which they were sent.
     ///
     /// # Errors
-    /// There is none.
+    /// No descriptor is left.
     pub fn take_descriptor(&mut self) -> Result<OwnedFd> {
         self.descriptors.pop_front().ok_or_else(|| ProtocolError::MissingDescriptor.into())
     }
@@ -86,17 +86,18 @@
     Ok(received)
 }
 
-/// The sending half of a connection to the other process. Several tasks may send; each message goes whole.
+/// The sending half of a connection to the other process. Tasks may send concurrently: messages are not interleaved.
 pub struct MessageWriter {
     stream: Rc<Async<UnixStream>>,
     write_lock: Mutex<()>,
 }
 
 impl MessageWriter {
-    /// Sends a message with descriptors attached; the descriptors stay open here.
+    /// Sends a message with descriptors attached; the descriptors stay open in this process.
     ///
     /// # Errors
-    /// The other process has closed the connection or does not read within one second; it may have received a part.
+    /// The other process closed the connection or did not read the message within one second; it may have received part
+    /// of it.
     pub async fn send(&self, message: &HandoverMessage, attached: &[BorrowedFd<'_>]) -> Result<()> {
         let mut line = serde_json::to_vec(message)?;
         line.push(b'\n');
@@ -118,7 +119,7 @@
     Ok(sendmsg(stream, &[IoSlice::new(line)], &mut ancillary, SendFlags::NOSIGNAL)?)
 }
 
-/// Splits a connection to the other process into its halves.
+/// Splits a connection to the other process into its receiving and sending halves.
 pub fn message_channel(stream: Async<UnixStream>) -> (MessageReader, Rc<MessageWriter>) {
     let stream = Rc::new(stream);
     let reader =
--- a/crates/larklink-proxy/src/handover/messages.rs
+++ b/crates/larklink-proxy/src/handover/messages.rs
@@ -1,5 +1,5 @@
-//! The messages that two processes of one proxy exchange over a Unix socket: one JSON object a line. The names on the
-//! wire are mapped here, by `rename`.
+//! The messages that two processes of one proxy exchange over a Unix socket, one JSON value per line. `rename`
+//! attributes map the names on the wire.
 use std::io::{Error, ErrorKind};
 
 use serde::{Deserialize, Serialize};
@@ -7,16 +7,16 @@
 
 use crate::endpoint_list::Endpoint;
 
-/// The version of the messages. Processes of different versions share the listen address, but hand nothing over.
+/// The protocol version. Processes of different versions can share the listen address, but hand nothing over.
 pub const VERSION: u32 = 1;
 
-/// A message from one process to the other.
+/// A message between the two processes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HandoverMessage {
     /// The predecessor's first message; the descriptor of its listening socket is attached.
     Offer {
-        /// The version that the predecessor speaks.
+        /// The predecessor's protocol version.
         version: u32,
         /// Its endpoint list.
         #[serde(rename = "list")]
@@ -25,20 +25,20 @@
     /// The successor is ready to accept connections.
     #[serde(rename = "take")]
     TakeOver,
-    /// From now on only the successor accepts connections.
+    /// The takeover is granted: from now on only the successor accepts connections.
     #[serde(rename = "yours")]
     Granted {
-        /// How many descriptors the predecessor still holds.
+        /// How many file descriptors the predecessor still has open.
         #[serde(rename = "held")]
         descriptors_in_use: usize,
     },
-    /// Another process has taken over already.
+    /// The takeover is denied: another process has already taken over.
     #[serde(rename = "taken")]
     AlreadyTaken,
-    /// The number of descriptors that the predecessor holds has changed.
+    /// The number of file descriptors that the predecessor has open has changed.
     #[serde(rename = "held")]
     DescriptorsInUse {
-        /// How many it holds now.
+        /// How many it has open now.
         #[serde(rename = "held")]
         descriptors_in_use: usize,
     },
@@ -69,29 +69,29 @@
     pub load: Option<f64>,
 }
 
-/// A message that breaks the handover protocol.
+/// A violation of the handover protocol.
 #[derive(Debug, Error)]
 pub enum ProtocolError {
-    /// The predecessor speaks another version than [`VERSION`].
-    #[error("an offer of version {0}")]
+    /// The predecessor's protocol version is not [`VERSION`].
+    #[error("unsupported protocol version {0}")]
     UnsupportedVersion(u32),
-    /// A line that is no message.
+    /// The line is not a valid message.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
-    /// A line longer than any message.
+    /// The line is longer than any valid message.
     #[error("message longer than {limit} bytes")]
     TooLong {
         /// The longest line accepted, in bytes.
         limit: usize,
     },
-    /// A message that is not expected at this point.
+    /// The message is not expected at this point.
     #[error("unexpected message {0:?}")]
     Unexpected(HandoverMessage),
-    /// Fewer descriptors were attached than the message needs.
-    #[error("no descriptor attached")]
+    /// Fewer descriptors were attached than the message requires.
+    #[error("descriptor missing from message")]
     MissingDescriptor,
-    /// More descriptors were attached than the messages can need.
-    #[error("descriptors without messages")]
+    /// More descriptors were received than the messages can require.
+    #[error("too many descriptors attached")]
     TooManyDescriptors,
 }
 
@@ -101,10 +101,10 @@
     }
 }
 
-/// Reads a message from its line.
+/// Parses a line as a message.
 ///
 /// # Errors
-/// It is no message, or an offer of another version; of kind [`ErrorKind::InvalidData`].
+/// [`ErrorKind::InvalidData`] if it is not a valid message, or an offer of another version.
 pub fn parse_message(line: &[u8]) -> std::io::Result<HandoverMessage> {
     match serde_json::from_slice(line).map_err(ProtocolError::from)? {
         HandoverMessage::Offer { version, .. } if version != VERSION => {
--- a/crates/larklink-proxy/src/handover/mod.rs
+++ b/crates/larklink-proxy/src/handover/mod.rs
@@ -1,15 +1,16 @@
-//! Handover between two processes of one proxy. A new process finds the one that serves by a socket in `$TMPDIR` and is
-//! given the listening socket itself, so that no connection in its queue is lost, and the endpoint list. Only one of the
-//! two accepts connections at a time. When the predecessor is asked to stop, it hands its established sessions over too,
-//! each with the connections to its client and its endpoint, which stay open throughout.
+//! Handover between two processes of one proxy. A new process connects to the running one through a Unix socket in
+//! `$TMPDIR`. It receives the endpoint list and the listening socket itself, so that no connection in the accept queue
+//! is lost. Only one of the two processes accepts connections at a time. When the predecessor is asked to stop, it also
+//! hands over its established sessions, each with the connections to its client and its endpoint, which stay open
+//! throughout.
 //!
-//! A successor that ends before its predecessor was asked to stop has given everything back; a predecessor that ends has
-//! left everything to its successor.
+//! If the successor exits before its predecessor is asked to stop, the predecessor accepts connections again. If the
+//! predecessor exits, the new process takes over without a grant.
 //!
-//! - [`messages`]: the messages between the two, and their form on the wire
-//! - [`channel`]: messages and attached descriptors over a Unix socket
-//! - [`predecessor`]: runs in the new process, and holds its connection to the old one
-//! - `successor`: runs in the old process, and holds its connection to the new one
+//! - [`messages`]: the messages between the two processes, and their encoding
+//! - [`channel`]: sends messages and file descriptors over a Unix socket
+//! - [`predecessor`]: the new process's side, with its connection to the predecessor
+//! - `successor`: the old process's side, with its connection to the successor
 pub mod channel;
 pub mod messages;
 pub mod predecessor;
@@ -25,39 +26,39 @@
 use crate::events::{DecisionEvent, DecisionQueue};
 use crate::limiter::ConnectionLimiter;
 
-/// The interval at which a process looks again: whether the descriptors it holds have changed, or whether another process
-/// can be met.
+/// How often the old process checks whether its number of open descriptors has changed, and how often a new process
+/// tries to connect to a competing one.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The path of the socket at which the processes of a proxy meet, in the given folder. None unless the admin endpoint is
-/// on: only then may there be two processes.
+/// The path of the Unix socket for the handover, in the given folder. `None` without a folder, or if the admin endpoint
+/// is off: two processes of one proxy are only allowed with it.
 pub fn socket_path(config: &Config, folder: Option<PathBuf>) -> Option<PathBuf> {
     config.admin_address?;
     let address = config.listen.to_string().replace([':', '[', ']'], "-");
     Some(folder?.join(format!("larklink-{address}")))
 }
 
-/// What both sides of a handover use of their process.
+/// What both sides of a handover share with the rest of their process.
 pub(crate) struct HandoverContext {
-    /// Where the processes of this proxy meet.
+    /// The path of the Unix socket for the handover.
     pub(crate) socket_path: PathBuf,
-    /// Counts the descriptors of this process and what the other one reports of its own.
+    /// Counts the file descriptors of this process, and those that the other process reports.
     pub(crate) limiter: Rc<ConnectionLimiter>,
-    /// The queue to the decision task.
+    /// The event queue of the decision task.
     pub(crate) queue: DecisionQueue,
-    /// Each change of whether this process accepts connections.
+    /// Receives each change of whether this process accepts connections.
     pub(crate) accepting: Sender<bool>,
 }
 
 impl HandoverContext {
-    /// Accepts connections from now on, in the place of the other process.
+    /// Starts accepting connections in place of the other process.
     async fn start_accepting(&self) {
         self.queue.send(DecisionEvent::TakeOver).await;
         self.set_accepting(true).await;
     }
 
     async fn set_accepting(&self, accepting: bool) {
-        // It only fails when the proxy is about to exit.
+        // Sending fails only if the proxy is about to exit.
         let _ = self.accepting.send(accepting).await;
     }
 }
--- a/crates/larklink-proxy/src/handover/predecessor.rs
+++ b/crates/larklink-proxy/src/handover/predecessor.rs
@@ -1,4 +1,4 @@
-//! Runs in the new process: connects to the predecessor, takes over from it, and continues its sessions.
+//! The new process's side of a handover: connects to the predecessor, takes over from it, and receives its sessions.
 use std::io::Result;
 use std::net::{TcpListener, TcpStream};
 use std::os::unix::net::UnixStream;
@@ -17,21 +17,22 @@
 use crate::limiter::ConnectionLimiter;
 use crate::timeout::with_timeout;
 
-/// How long a new process waits for a rival that was granted the takeover first to open its own socket. A rival that
-/// hangs before that must not leave the proxy without a ready process; should it recover later, both accept connections.
+/// How long a new process waits for a rival, another new process that was granted the takeover first, to open its own
+/// handover socket. If the rival hangs before that, the proxy must not be left without a ready process. Should the
+/// rival recover later, both accept connections.
 const RIVAL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A connection to the process that serves before this one.
+/// The connection to the process that this one replaces.
 pub struct Predecessor {
     reader: MessageReader,
     writer: Rc<MessageWriter>,
-    /// Its endpoint list.
+    /// The predecessor's endpoint list.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// What a new process got from its predecessor at their first contact.
+/// What a new process receives from its predecessor when it connects.
 pub struct Offer {
-    /// The listening socket, shared by the two.
+    /// The listening socket, shared by both processes.
     pub listener: TcpListener,
     /// The connection to the predecessor.
     pub predecessor: Predecessor,
@@ -39,7 +40,7 @@
 
 /// An established session handed over by the predecessor.
 pub(crate) struct HandedOverSession {
-    /// Its state.
+    /// The state of the session.
     pub(crate) session: EstablishedSession,
     /// The connection to its client.
     pub(crate) client: TcpStream,
@@ -47,11 +48,11 @@
     pub(crate) server: TcpStream,
 }
 
-/// Meets the process that serves at a socket; none if there is none.
+/// Connects to the running process at a handover socket; `None` if there is none.
 ///
 /// # Errors
-/// A process is there, but does not send a valid offer within one second.
-pub async fn meet(socket_path: &Path) -> Result<Option<Offer>> {
+/// A process is running, but does not send a valid offer within one second.
+pub async fn connect(socket_path: &Path) -> Result<Option<Offer>> {
     let Ok(stream) = UnixStream::connect(socket_path) else { return Ok(None) };
     let (mut reader, writer) = message_channel(Async::new(stream)?);
     match with_timeout(RESPONSE_TIMEOUT, reader.receive()).await? {
@@ -64,18 +65,18 @@
 }
 
 impl Predecessor {
-    /// Takes over once `ready` resolves, or when the predecessor stops or ends before. Returns the process that was taken
-    /// over from: another one, if a rival was faster.
+    /// Takes over once `ready` resolves, or earlier if the predecessor stops or exits. Returns the process that was
+    /// taken over from, which is not `self` if a rival was faster.
     pub(crate) async fn take_over(
         mut self,
         context: &HandoverContext,
         ready: impl Future<Output = ()>,
     ) -> Self {
-        let stops_or_ends = async {
-            // Before it is asked for the takeover it sends nothing but that it stops.
+        let stops_or_exits = async {
+            // Before the takeover request, `Stopping` is the only message that it sends.
             let _ = self.reader.receive().await;
         };
-        ready.or(stops_or_ends).await;
+        ready.or(stops_or_exits).await;
         let rival_deadline = Instant::now() + RIVAL_TIMEOUT;
         loop {
             match self.request_takeover(&context.limiter).await {
@@ -84,8 +85,8 @@
                     tracing::warn!("rival process never serves, accepting connections beside it");
                     break;
                 }
-                // The rival becomes the predecessor, once it can be met.
-                Ok(false) => match meet(&context.socket_path).await {
+                // The rival becomes the predecessor once it accepts handover connections.
+                Ok(false) => match connect(&context.socket_path).await {
                     Ok(Some(offer)) => self = offer.predecessor,
                     _ => _ = Timer::after(POLL_INTERVAL).await,
                 },
@@ -100,7 +101,7 @@
         self
     }
 
-    /// Whether the takeover was granted.
+    /// Requests the takeover. Returns whether it was granted.
     async fn request_takeover(&mut self, limiter: &ConnectionLimiter) -> Result<bool> {
         self.writer.send(&HandoverMessage::TakeOver, &[]).await?;
         let answer = async {
@@ -119,8 +120,8 @@
         Ok(granted.is_some())
     }
 
-    /// Leaves the predecessor the descriptors that it reports, and passes on the sessions that it hands over, until it
-    /// has ended.
+    /// Receives messages until the predecessor has exited: reports its open file descriptors to the limiter, and
+    /// forwards the sessions that it hands over.
     pub(crate) async fn follow(mut self, limiter: &ConnectionLimiter, sessions: &Sender<HandedOverSession>) {
         let mut count = 0;
         let error = loop {
@@ -131,7 +132,7 @@
                 Ok(HandoverMessage::Session(session)) => match self.take_connections(session) {
                     Ok(handed_over) => {
                         count += 1;
-                        // It only fails when the proxy is about to exit.
+                        // Sending fails only if the proxy is about to exit.
                         let _ = sessions.send(handed_over).await;
                     }
                     Err(error) => break error,
--- a/crates/larklink-proxy/src/handover/successor.rs
+++ b/crates/larklink-proxy/src/handover/successor.rs
@@ -1,5 +1,5 @@
-//! Runs in the old process: offers its listener and endpoint list to each new process, lets one of them take over, and
-//! hands established sessions over to it.
+//! The old process's side of a handover: offers its listener and endpoint list to each new process, lets one of them
+//! take over, and hands over its established sessions to it.
 use std::cell::RefCell;
 use std::io::Result;
 use std::net::{TcpListener, TcpStream};
@@ -29,7 +29,7 @@
         self.writer.borrow().is_some()
     }
 
-    /// Hands a session over; whether the successor owns it now.
+    /// Hands a session over. Returns whether the successor owns it now.
     pub(crate) async fn hand_over(
         &self,
         session: EstablishedSession,
@@ -54,22 +54,22 @@
     }
 }
 
-/// Serves the new processes that come to take over.
+/// Serves the new processes that connect to take over.
 pub(crate) struct HandoverServer {
     context: Rc<HandoverContext>,
-    /// Closes when this process is to stop.
+    /// Closed when this process is asked to stop.
     shutdown: Receiver<()>,
-    /// The listening socket, until this process accepts no more connections.
+    /// The listening socket; `None` once this process accepts no more connections.
     listener: RefCell<Option<TcpListener>>,
     successor: Rc<Successor>,
-    /// Signals that a successor ended before this process was to stop.
+    /// Signals that the successor exited before this process was asked to stop.
     successor_lost: Sender<()>,
-    /// The other end of `successor_lost`.
+    /// The receiver of `successor_lost`.
     successor_losses: Receiver<()>,
 }
 
 impl HandoverServer {
-    /// A server that offers a listener. `shutdown` closes when this process is to stop.
+    /// Creates a server that offers a listener. `shutdown` closes when this process is asked to stop.
     pub(crate) fn new(
         context: Rc<HandoverContext>,
         listener: Option<TcpListener>,
@@ -81,12 +81,13 @@
         Self { context, shutdown, listener, successor, successor_lost, successor_losses }
     }
 
-    /// Opens the socket at which new processes meet this one.
+    /// Opens the handover socket, to which new processes connect.
     ///
     /// # Errors
     /// The socket cannot be bound or renamed to its path.
     pub(crate) fn bind(&self) -> Result<Async<UnixListener>> {
-        // Under a name of its own first: a process that looks meanwhile finds the old socket or this one, complete.
+        // Bound under a temporary name and then renamed: a process that connects meanwhile finds either the old socket
+        // or this one, ready.
         let path = &self.context.socket_path;
         let temporary_path = path.with_extension(std::process::id().to_string());
         let socket = Async::<UnixListener>::bind(&temporary_path)?;
@@ -94,15 +95,15 @@
         Ok(socket)
     }
 
-    /// Offers nothing from now on: this process accepts no more connections.
+    /// Stops offering the listener, because this process accepts no more connections.
     pub(crate) fn close_listener(&self) {
         self.listener.take();
     }
 
-    /// Serves each new process that connects, for as long as this one runs.
+    /// Serves each new process that connects, until this process exits.
     ///
     /// # Errors
-    /// No process can connect any more.
+    /// The socket fails, or cannot be bound again: no process can connect any more.
     pub(crate) async fn run(
         self: Rc<Self>,
         mut socket: Async<UnixListener>,
@@ -115,22 +116,22 @@
                 Ok(None)
             };
             let Some(stream) = accepted.or(successor_lost).await? else {
-                // The successor had put its own socket in the place of this one's.
+                // The successor has replaced this process's socket with its own.
                 socket = self.bind()?;
                 continue;
             };
             let server = Rc::clone(&self);
-            // Ends with its connection.
+            // The task ends with its connection.
             executor.spawn(async move { server.serve(stream).await }).detach();
         }
     }
 
     async fn serve(&self, stream: Async<UnixStream>) {
-        // The new process holds the fixed descriptors from its start on.
+        // The new process has its fixed descriptors open from its start.
         let limiter = &self.context.limiter;
         limiter.set_other_process_use(limiter.reserved());
         let (reader, writer) = message_channel(stream);
-        if let Err(error) = Conversation::new(self, reader, &writer).run().await {
+        if let Err(error) = NewProcess::new(self, reader, &writer).run().await {
             tracing::info!(%error, "new process lost");
         }
         let was_successor = self.successor.is(&writer);
@@ -148,46 +149,46 @@
     }
 }
 
-/// A step of the conversation with a new process.
-enum Step {
+/// What the task that serves a new process has to handle next.
+enum Event {
     Received(HandoverMessage),
     ReportDue,
     ShuttingDown,
 }
 
-/// The conversation with one new process.
-struct Conversation<'a> {
+/// The connection to one new process.
+struct NewProcess<'a> {
     server: &'a HandoverServer,
     reader: MessageReader,
     writer: &'a Rc<MessageWriter>,
-    /// Whether the takeover was granted to this process.
+    /// Whether the new process was granted the takeover.
     granted: bool,
-    /// Whether it was notified that this process stops.
+    /// Whether the new process was notified that this one stops.
     shutdown_announced: bool,
-    /// The last report of the descriptors that this process holds.
+    /// The number of open descriptors last reported to the new process.
     reported_descriptors: usize,
 }
 
-impl<'a> Conversation<'a> {
+impl<'a> NewProcess<'a> {
     fn new(server: &'a HandoverServer, reader: MessageReader, writer: &'a Rc<MessageWriter>) -> Self {
         Self { server, reader, writer, granted: false, shutdown_announced: false, reported_descriptors: 0 }
     }
 
-    /// Runs until the other process ends, or its takeover is denied.
+    /// Serves the new process until it exits or its takeover is denied.
     async fn run(mut self) -> Result<()> {
         self.send_offer().await?;
         loop {
-            match self.next_step().await? {
-                Step::Received(HandoverMessage::TakeOver) if self.server.successor.is_present() => {
+            match self.next_event().await? {
+                Event::Received(HandoverMessage::TakeOver) if self.server.successor.is_present() => {
                     return self.writer.send(&HandoverMessage::AlreadyTaken, &[]).await;
                 }
-                Step::Received(HandoverMessage::TakeOver) => self.grant().await?,
-                Step::Received(other) => return Err(ProtocolError::Unexpected(other).into()),
-                Step::ShuttingDown => {
+                Event::Received(HandoverMessage::TakeOver) => self.grant().await?,
+                Event::Received(other) => return Err(ProtocolError::Unexpected(other).into()),
+                Event::ShuttingDown => {
                     self.shutdown_announced = true;
                     self.writer.send(&HandoverMessage::Stopping, &[]).await?;
                 }
-                Step::ReportDue => self.report_descriptors().await?,
+                Event::ReportDue => self.report_descriptors().await?,
             }
         }
     }
@@ -203,18 +204,18 @@
         self.writer.send(&offer, &[listener.as_fd()]).await
     }
 
-    async fn next_step(&mut self) -> Result<Step> {
-        let received = async { self.reader.receive().await.map(Step::Received) };
+    async fn next_event(&mut self) -> Result<Event> {
+        let received = async { self.reader.receive().await.map(Event::Received) };
         let shutting_down = async {
             if self.shutdown_announced {
                 return future::pending().await;
             }
             let _ = self.server.shutdown.recv().await;
-            Ok(Step::ShuttingDown)
+            Ok(Event::ShuttingDown)
         };
         let report_due = async {
             Timer::after(POLL_INTERVAL).await;
-            Ok(Step::ReportDue)
+            Ok(Event::ReportDue)
         };
         received.or(shutting_down).or(report_due).await
     }
--- a/crates/larklink-proxy/src/main.rs
+++ b/crates/larklink-proxy/src/main.rs
@@ -119,7 +119,7 @@
 /// can be shared with it.
 fn meet_predecessor(socket_path: &Path, listen: SocketAddr) -> Option<Offer> {
     let path = socket_path.display();
-    match async_io::block_on(predecessor::meet(socket_path)) {
+    match async_io::block_on(predecessor::connect(socket_path)) {
         Ok(Some(offer)) if offer.listener.local_addr().ok() == Some(listen) => Some(offer),
         Ok(Some(_)) => {
             tracing::warn!(%path, "no handover: predecessor has another address");
--- a/crates/larklink-proxy/src/protocol/line_buffer.rs
+++ b/crates/larklink-proxy/src/protocol/line_buffer.rs
@@ -1,30 +1,30 @@
-//! The buffer that lines are read into.
+//! The bounded buffer that lines are read into.
 
-/// The longest line in bytes, its CRLF included.
+/// The longest line in bytes, including its CRLF.
 pub const MAX_LINE_LENGTH: usize = 4096;
 
 const CRLF: &[u8] = b"\r\n";
 
-/// Bytes that were read and not yet forwarded, [`MAX_LINE_LENGTH`] at most. An empty buffer holds no memory.
+/// Holds up to [`MAX_LINE_LENGTH`] bytes that were read and not yet consumed. An empty buffer allocates no memory.
 #[derive(Default)]
 pub struct LineBuffer {
     bytes: Vec<u8>,
-    /// Where the bytes begin that are not consumed yet.
+    /// The index of the first unconsumed byte.
     start: usize,
 }
 
 impl LineBuffer {
-    /// A buffer with bytes that were read elsewhere; none if they are more than it may hold.
+    /// Creates a buffer with bytes that were read elsewhere; `None` if they exceed [`MAX_LINE_LENGTH`].
     pub fn with_bytes(bytes: Vec<u8>) -> Option<Self> {
         (bytes.len() <= MAX_LINE_LENGTH).then_some(Self { bytes, start: 0 })
     }
 
-    /// The bytes that are not consumed yet.
+    /// The unconsumed bytes.
     pub fn bytes(&self) -> &[u8] {
         &self.bytes[self.start..]
     }
 
-    /// Removes the first `length` bytes.
+    /// Consumes the first `length` bytes.
     pub fn consume(&mut self, length: usize) {
         self.start += length;
         if self.start == self.bytes.len() {
@@ -33,12 +33,12 @@
         }
     }
 
-    /// Whether no further bytes fit.
+    /// Whether the buffer has no space left.
     pub fn is_full(&self) -> bool {
         self.bytes().len() >= MAX_LINE_LENGTH
     }
 
-    /// Calls `read` once with the space that is left, and returns what it returns: how many bytes it has written there.
+    /// Calls `read` once with the free space and returns its result, the number of bytes that it stored there.
     ///
     /// # Errors
     /// The error of `read`.
@@ -52,13 +52,13 @@
         result
     }
 
-    /// The length of the first line with its CRLF, if it is complete.
+    /// The length of the first line including its CRLF, if the line is complete.
     pub fn first_line_len(&self) -> Option<usize> {
         let end = self.bytes().windows(CRLF.len()).position(|pair| pair == CRLF)?;
         Some(end + CRLF.len())
     }
 
-    /// The length of all complete lines.
+    /// The total length of all complete lines.
     pub fn complete_lines_len(&self) -> usize {
         let last_end = self.bytes().windows(CRLF.len()).rposition(|pair| pair == CRLF);
         last_end.map_or(0, |end| end + CRLF.len())
--- a/crates/larklink-proxy/src/protocol/mod.rs
+++ b/crates/larklink-proxy/src/protocol/mod.rs
@@ -1,5 +1,5 @@
-//! The line protocol between clients, proxies and endpoints: parsing of lines in place, and the bounded buffer that
-//! they are read into. Pure.
+//! The line protocol between clients, proxies and endpoints: zero-copy parsing of lines, and the bounded buffer that
+//! they are read into. Does no I/O.
 mod line_buffer;
 mod open_line;
 mod server_message;
--- a/crates/larklink-proxy/src/protocol/open_line.rs
+++ b/crates/larklink-proxy/src/protocol/open_line.rs
@@ -1,33 +1,33 @@
-//! The line with which a client opens a session: `OPEN`, the session's id, the client's key, and a list of attributes,
-//! as in `OPEN 9b1f 7f3a c=chat,d=2000`.
+//! The line with which a client opens a session: `OPEN`, the session id, the client key and a list of attributes, for
+//! example `OPEN 9b1f 7f3a c=chat,d=2000`.
 use std::io::IoSlice;
 use std::ops::Range;
 
 use thiserror::Error;
 
-/// The longest dial timeout that a client may name, in milliseconds: one hour.
+/// The longest dial timeout that a client may request, in milliseconds: one hour.
 const MAX_DIAL_TIMEOUT_MS: u64 = 3_600_000;
 
-/// The first line of a session. This is where the names of its attributes on the wire are mapped.
+/// The first line of a session. The names of the attributes on the wire, in parentheses below, are mapped here.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OpenLine<'a> {
-    /// The session's id, given by its client.
+    /// The session id, chosen by the client.
     pub id: u64,
-    /// Identifies its client; 0 if unknown.
+    /// Identifies the client; 0 if unknown.
     pub client_key: u64,
     /// The name of the listener (`c`).
     pub listener: &'a str,
     /// How long the client waits for an answer, in milliseconds (`d`).
     pub dial_timeout_ms: u64,
-    /// Where the line has the digits of the dial timeout.
+    /// The byte range of the dial timeout's digits in the line.
     pub dial_timeout_range: Range<usize>,
-    /// Sessions with the same key share state on an endpoint (`g`); 0 if it has none.
+    /// Sessions with the same group key share state on an endpoint (`g`); 0 if the session has none.
     pub group_key: u64,
     /// Whether the client reconnects after a break or a migration (`again`).
     pub reconnecting: bool,
     /// Whether the client retries a session that was not accepted (`r`).
     pub client_retry: bool,
-    /// Whether it goes on with a connection that was established through another proxy (`mid`).
+    /// Whether the session continues a connection that was established through another proxy (`mid`).
     pub established: bool,
     /// The name of the endpoint at which the session was established before the proxy started (`at`).
     pub endpoint_name: Option<&'a str>,
@@ -37,47 +37,47 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum OpenLineError {
     /// It is not UTF-8.
-    #[error("not text")]
+    #[error("line is not valid UTF-8")]
     NotText,
-    /// Its first word is another.
-    #[error("not an OPEN line")]
+    /// Its first word is not `OPEN`.
+    #[error("line does not start with OPEN")]
     NotOpen,
     /// It contains a control character.
-    #[error("control characters in it")]
+    #[error("line contains a control character")]
     ControlCharacters,
     /// The session id is missing or not hexadecimal.
-    #[error("the id is not a hex number")]
+    #[error("session id is not a hex number")]
     BadId,
     /// The client key is missing or not hexadecimal.
-    #[error("the key is not a hex number")]
+    #[error("client key is not a hex number")]
     BadClientKey,
     /// Nothing follows the client key.
-    #[error("no list of names and values")]
+    #[error("no attributes")]
     NoAttributes,
     /// An attribute has no `=`.
-    #[error("a name without a value")]
+    #[error("attribute without a value")]
     AttributeWithoutValue,
     /// `d` is not a decimal number of milliseconds.
-    #[error("d is not a number")]
+    #[error("dial timeout d is not a number")]
     BadDialTimeout,
     /// `g` is not hexadecimal.
-    #[error("g is not a hex number")]
+    #[error("group key g is not a hex number")]
     BadGroupKey,
     /// An attribute occurs twice.
-    #[error("a name that stands twice")]
+    #[error("duplicate attribute")]
     DuplicateAttribute,
     /// `c` is missing.
-    #[error("no listener")]
+    #[error("no listener c")]
     NoListener,
     /// `d` is missing.
-    #[error("no dial timeout")]
+    #[error("no dial timeout d")]
     NoDialTimeout,
-    /// `d` is over the limit.
-    #[error("d is too long")]
+    /// `d` exceeds the limit.
+    #[error("dial timeout d exceeds {} ms", MAX_DIAL_TIMEOUT_MS)]
     DialTimeoutTooLong,
 }
 
-/// Parses a number of hexadecimal digits only.
+/// Parses a number that consists of hexadecimal digits only.
 pub fn parse_hex(text: &str) -> Option<u64> {
     if text.is_empty() || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
         return None;
@@ -88,7 +88,7 @@
 /// Parses the first line of a session, with or without its CRLF.
 ///
 /// # Errors
-/// It is no valid open line.
+/// The reason for which it is not a valid open line.
 pub fn parse_open_line(line: &[u8]) -> Result<OpenLine<'_>, OpenLineError> {
     let text = std::str::from_utf8(line).map_err(|_| OpenLineError::NotText)?.trim_end_matches("\r\n");
     let mut words = text.splitn(4, ' ');
@@ -105,7 +105,7 @@
     parse_attributes(attributes, text.len() - attributes.len(), open_line)
 }
 
-/// Completes an open line with its attributes, a list that begins at byte `start` of the line.
+/// Fills in an open line from its attribute list, which begins at byte `start` of the line.
 fn parse_attributes<'a>(
     attributes: &'a str,
     start: usize,
@@ -130,17 +130,17 @@
             "r" => open_line.client_retry = value == "1",
             "mid" => open_line.established = value == "1",
             "at" => open_line.endpoint_name = Some(value),
-            // No other attribute changes a decision.
+            // Other attributes are forwarded and otherwise ignored.
             _ => {}
         }
-        // The comma.
+        // Skip the comma.
         end += 1;
     }
     check_unique(names)?;
     open_line.listener = listener.ok_or(OpenLineError::NoListener)?;
     let dial_timeout_ms = dial_timeout_ms.ok_or(OpenLineError::NoDialTimeout)?;
-    // A session established before the proxy's start waits for no endpoint, and rejecting it would break its
-    // connection: its dial timeout, which says how long it is to last, is only capped.
+    // The dial timeout of a session that was established before the proxy started is the connection's lifetime and not
+    // the wait for an endpoint. Rejecting the line would break the connection, so the value is only capped.
     if dial_timeout_ms > MAX_DIAL_TIMEOUT_MS && open_line.endpoint_name.is_none() {
         return Err(OpenLineError::DialTimeoutTooLong);
     }
@@ -160,8 +160,8 @@
     Ok(())
 }
 
-/// An open line with another dial timeout in milliseconds in place of the one at `range`, as slices to be written at
-/// once.
+/// Replaces the dial timeout at `range` of an open line. Returns the new line as slices, to be written with a single
+/// system call.
 pub fn with_dial_timeout<'a>(line: &'a [u8], range: &Range<usize>, timeout_ms: &'a str) -> [IoSlice<'a>; 3] {
     [&line[..range.start], timeout_ms.as_bytes(), &line[range.end..]].map(IoSlice::new)
 }
--- a/crates/larklink-proxy/src/protocol/server_message.rs
+++ b/crates/larklink-proxy/src/protocol/server_message.rs
@@ -1,6 +1,6 @@
 //! The lines that endpoints send.
 
-/// A line from an endpoint, without what follows its first word.
+/// A line from an endpoint. Except for `LOAD`, this leaves out what follows the first word.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServerMessage<'a> {
     /// `UP`: the session is accepted.
@@ -15,13 +15,13 @@
     Busy,
     /// `PONG`: the answer to a health check.
     Pong,
-    /// `LOAD`: the session's load from now on.
+    /// `LOAD`: the new load of the session.
     Load(f64),
     /// Any other line, without its CRLF.
     Other(&'a str),
 }
 
-/// Parses a line with or without its CRLF; returns the message and what follows its first word.
+/// Parses a line with or without its CRLF. Returns the message and the text after its first word.
 pub fn parse_server_message(line: &[u8]) -> (ServerMessage<'_>, &str) {
     let text = std::str::from_utf8(line).unwrap_or("").trim_end_matches("\r\n");
     let (word, rest) = text.split_once(' ').unwrap_or((text, ""));
@@ -42,7 +42,8 @@
     text.parse().ok().filter(|load: &f64| load.is_finite() && *load >= 0.0)
 }
 
-/// The values of a load report, a list as in `inflight=7,x0=0.61`, in the order of `names`; empty if one is missing.
+/// Parses a load report such as `inflight=7,x0=0.61`. Returns the values in the order of `names`, or an empty list if
+/// one of them is missing or invalid.
 pub fn parse_load_report(text: &str, names: &[String]) -> Vec<f64> {
     let values: Option<Vec<f64>> = names.iter().map(|name| report_value(text, name)).collect();
     values.unwrap_or_default()
--- a/crates/larklink-proxy/src/upstream/attempt.rs
+++ b/crates/larklink-proxy/src/upstream/attempt.rs
@@ -12,14 +12,14 @@
 use crate::protocol::{ServerMessage, parse_server_message};
 use crate::timeout::with_timeout;
 
-/// Errors for want of a resource of this machine, which say nothing of the endpoint.
+/// Errors caused by a lack of local resources, which say nothing about the endpoint.
 const LOCAL_ERRORS: [Errno; 5] =
     [Errno::NOMEM, Errno::NFILE, Errno::MFILE, Errno::ADDRNOTAVAIL, Errno::NOBUFS];
 
 /// Connects to an endpoint.
 ///
 /// # Errors
-/// The outcome to report if no connection comes up within the timeout.
+/// The outcome to report if the connection is not established within the timeout.
 pub async fn connect(address: SocketAddr, timeout: Duration) -> Result<Connection, AttemptOutcome> {
     match with_timeout(timeout, Async::<TcpStream>::connect(address)).await {
         Ok(stream) => Ok(Connection::new(stream)),
@@ -36,11 +36,11 @@
 pub struct Attempt<'a> {
     /// The endpoint's address.
     pub address: SocketAddr,
-    /// When the attempt counts as timed out.
+    /// When the attempt times out.
     pub deadline: Instant,
-    /// The longest time that the connection may take.
+    /// How long connecting may take.
     pub connect_timeout: Duration,
-    /// Counts the attempt.
+    /// Where the attempt is counted.
     pub metrics: &'a Metrics,
 }
 
@@ -48,12 +48,12 @@
     /// Connects, sends the open line and waits for the endpoint's first message. Returns the connection with the
     /// `UP` line still in its buffer.
     ///
-    /// Connecting takes time, in which the session's client may leave or its send deadline pass: `may_connect` is
-    /// called immediately before connecting and `may_send` immediately before the first byte is sent.
+    /// The session's client may disconnect, or the send deadline pass, while the attempt is connecting. `may_connect`
+    /// is therefore called immediately before connecting, and `may_send` immediately before the first byte is sent.
     ///
     /// # Errors
-    /// The outcome of the attempt if it was not accepted; its connection is closed then. It is
-    /// [`AttemptOutcome::NotSent`] if `may_connect` or `may_send` returned false.
+    /// The outcome of an attempt that was not accepted; its connection is closed. It is [`AttemptOutcome::NotSent`] if
+    /// `may_connect` or `may_send` returned false.
     pub async fn send(
         &self,
         open_line: &mut [IoSlice<'_>],
@@ -68,7 +68,8 @@
         if !may_send() {
             return Err(AttemptOutcome::NotSent);
         }
-        // The endpoint cannot have run the session before it has the complete line.
+        // `ConnectFailed` is safe to retry: the endpoint cannot run the session before it has received the complete
+        // line.
         with_timeout(self.remaining(), write_all_vectored(&connection.stream, open_line))
             .await
             .map_err(|_| AttemptOutcome::ConnectFailed)?;
@@ -89,7 +90,7 @@
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// The outcome that an endpoint's first line means; none if it accepts the session.
+    /// The outcome indicated by an endpoint's first line; `None` if it accepts the session.
     fn outcome(&self, line: &[u8]) -> Option<AttemptOutcome> {
         match parse_server_message(line).0 {
             ServerMessage::Up => None,
--- a/crates/larklink-proxy/src/upstream/health_check.rs
+++ b/crates/larklink-proxy/src/upstream/health_check.rs
@@ -1,5 +1,5 @@
-//! Health checks: one request line and one answer, on a connection that is reused from check to check. If fewer
-//! descriptors are reserved for health checks than there are endpoints, fewer connections are held open.
+//! Health checks: one request line and one answer line, on a connection that is reused for later checks. If fewer
+//! descriptors are reserved for health checks than there are endpoints, not all connections are kept open.
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::io::{ErrorKind, IoSlice};
@@ -22,22 +22,23 @@
 
 /// Checks the health of endpoints.
 pub struct HealthChecker {
-    /// Whether the settings ask for health checks.
+    /// Whether the settings enable health checks.
     enabled: bool,
-    /// The names of a load report's values; empty if the settings ask for no reports.
+    /// The names of the values in a load report; empty if the settings request no load reports.
     report_names: Vec<String>,
-    /// How long a connection may take, and an answer after it.
+    /// How long connecting may take, and then the exchange of lines.
     timeout: Duration,
     idle: RefCell<HashMap<EndpointId, IdleConnection>>,
-    /// Endpoints with a check in flight that have not left the list since: the connection of each may be held open.
+    /// Endpoints with a check in flight that have stayed in the endpoint list since it started: only their connections
+    /// may be kept open.
     in_flight: RefCell<HashSet<EndpointId>>,
-    /// How many checks wait for a permit; no connection is held open meanwhile.
+    /// How many checks wait for a permit; while there are any, no connection is kept open.
     waiting: Cell<usize>,
     queue: DecisionQueue,
     limiter: Rc<ConnectionLimiter>,
 }
 
-/// A connection that is held open for the next check.
+/// A connection that is kept open for the next check.
 struct IdleConnection {
     address: SocketAddr,
     connection: Connection,
@@ -45,7 +46,7 @@
     last_checked_at: Instant,
 }
 
-/// An answer, and the connection on which it came.
+/// The answer to a check and the connection on which it was received.
 struct Exchange {
     connection: Connection,
     answer: Answer,
@@ -54,12 +55,12 @@
 /// What an endpoint answered to a health check.
 struct Answer {
     outcome: AttemptOutcome,
-    /// The values of its load report; empty if there are none.
+    /// The values of its load report; empty if it has none.
     load_report: Vec<f64>,
 }
 
 impl HealthChecker {
-    /// A checker that sends the results to a queue.
+    /// Creates a checker that sends its results to a queue.
     pub fn new(settings: &ProxySettings, queue: DecisionQueue, limiter: Rc<ConnectionLimiter>) -> Self {
         let has_reports = settings.load_position.is_some();
         Self {
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Checks an endpoint and sends the result to the queue. The time it took counts from when it had a permit.
+    /// Checks an endpoint and sends the result to the queue. The reported duration excludes the wait for a permit.
     pub async fn check(&self, endpoint: EndpointId, address: SocketAddr) {
         self.in_flight.borrow_mut().insert(endpoint);
         let idle = self.idle.borrow_mut().remove(&endpoint);
@@ -84,10 +85,10 @@
         };
         let started_at = Instant::now();
         let result = self.run(reused, address).await;
-        let may_hold = self.in_flight.borrow_mut().remove(&endpoint) && self.waiting.get() == 0;
+        let may_keep_open = self.in_flight.borrow_mut().remove(&endpoint) && self.waiting.get() == 0;
         let answer = match result {
             Ok(Exchange { connection, answer }) => {
-                if may_hold {
+                if may_keep_open {
                     let idle = IdleConnection { address, connection, permit, last_checked_at: started_at };
                     self.idle.borrow_mut().insert(endpoint, idle);
                 }
@@ -105,21 +106,21 @@
             .await;
     }
 
-    /// Takes over a new endpoint list: reserves a descriptor for the check of each endpoint, and closes connections to
-    /// endpoints that have left, those with a check in flight when it ends.
+    /// Applies a new endpoint list: reserves descriptors for the health checks, and closes the connections to endpoints
+    /// that are no longer listed; a connection with a check in flight is closed when the check ends.
     pub fn update_endpoints(&self, endpoints: &BTreeMap<EndpointId, Endpoint>) {
         self.limiter.reserve_for_health_checks(if self.enabled { endpoints.len() } else { 0 });
         self.idle.borrow_mut().retain(|endpoint, _| endpoints.contains_key(endpoint));
         self.in_flight.borrow_mut().retain(|endpoint| endpoints.contains_key(endpoint));
     }
 
-    /// A permit that is free, or else that of the connection that has been idle longest, or else the next that another
-    /// check gives back.
+    /// Acquires a free permit, or else that of the least recently used idle connection, which is closed; or else waits
+    /// for one to be released.
     async fn acquire_permit(&self) -> HealthCheckPermit {
         if let Some(free) = self.limiter.try_acquire_health_check() {
             return free;
         }
-        if let Some(idle) = self.take_longest_idle() {
+        if let Some(idle) = self.take_least_recently_used() {
             return idle.permit;
         }
         self.waiting.set(self.waiting.get() + 1);
@@ -128,18 +129,19 @@
         next
     }
 
-    fn take_longest_idle(&self) -> Option<IdleConnection> {
+    fn take_least_recently_used(&self) -> Option<IdleConnection> {
         let mut idle = self.idle.borrow_mut();
-        let longest = idle.iter().min_by_key(|(endpoint, idle)| (idle.last_checked_at, **endpoint));
-        let endpoint = longest.map(|(&endpoint, _)| endpoint)?;
+        let oldest = idle.iter().min_by_key(|(endpoint, idle)| (idle.last_checked_at, **endpoint));
+        let endpoint = oldest.map(|(&endpoint, _)| endpoint)?;
         idle.remove(&endpoint)
     }
 
-    /// Exchanges lines with an endpoint, on an idle connection if it still works, or else on a new one.
+    /// Runs a check on the reused connection if there is one and it still works, or else on a new one.
     async fn run(&self, reused: Option<Connection>, address: SocketAddr) -> Result<Exchange, AttemptOutcome> {
         if let Some(connection) = reused {
             let result = self.exchange(connection).await;
-            // The endpoint may have closed it as idle, or restarted, which says nothing about its health now.
+            // The endpoint may have closed an idle connection, or restarted, which says nothing about its current
+            // health.
             if !matches!(result, Err(AttemptOutcome::Reset)) {
                 return result;
             }
--- a/crates/larklink-proxy/src/upstream/message_latency.rs
+++ b/crates/larklink-proxy/src/upstream/message_latency.rs
@@ -1,42 +1,42 @@
-//! How long endpoints take to answer messages, as the decisions are to observe it. Pure.
+//! Estimates how long endpoints take to answer messages. Does no I/O.
 use std::collections::HashMap;
 
 use larklink_balancer::{TickDuration, Timestamp};
 use larklink_engine::engine::EndpointId;
 
-/// An endpoint's latency is reported at most once in this time: one second.
+/// The shortest time between two reports for an endpoint.
 const REPORT_INTERVAL: TickDuration = TickDuration::from_secs(1);
-/// A mean above the message objective divided by this is reported.
-const OBJECTIVE_PER_REPORT_THRESHOLD: u64 = 3;
+/// The report threshold is the message objective divided by this.
+const REPORT_THRESHOLD_DIVISOR: u64 = 3;
 
-/// The messages of one endpoint since its last report.
+/// The messages answered by one endpoint in the current interval.
 #[derive(Default)]
 struct Samples {
-    /// When they begin.
+    /// When the interval began.
     since: Timestamp,
     /// The sum of their latencies.
     total: TickDuration,
     count: u64,
-    /// Whether the last mean was above the threshold.
+    /// Whether the mean of the previous interval was above the threshold.
     was_above_threshold: bool,
 }
 
 /// Estimates the message latency of each endpoint.
 ///
-/// The mean since the last estimate is reported once a second while it is above a third of the message objective, and
-/// once more when it has fallen below.
+/// The mean latency of each interval of one second or more is reported if it is above a third of the message objective,
+/// and once more when it has fallen below, so that the observer sees the recovery.
 pub struct LatencyEstimator {
     threshold: TickDuration,
     endpoints: HashMap<EndpointId, Samples>,
 }
 
 impl LatencyEstimator {
-    /// An estimator for the shortest message objective of all listeners.
+    /// Creates an estimator; `message_objective` is the shortest one of all listeners.
     pub fn new(message_objective: TickDuration) -> Self {
-        Self { threshold: message_objective / OBJECTIVE_PER_REPORT_THRESHOLD, endpoints: HashMap::new() }
+        Self { threshold: message_objective / REPORT_THRESHOLD_DIVISOR, endpoints: HashMap::new() }
     }
 
-    /// Records that an endpoint took `latency` to answer a message; returns the latency to report, if any.
+    /// Records that an endpoint answered a message after `latency`. Returns the mean latency to report, if any.
     pub fn record_answer(
         &mut self,
         now: Timestamp,
--- a/crates/larklink-proxy/src/upstream/mod.rs
+++ b/crates/larklink-proxy/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints: the attempts of sessions, health checks, and the latency of messages.
+//! Connections to endpoints: attempts to establish sessions, health checks, and message latency.
 pub mod attempt;
 pub mod health_check;
 pub mod message_latency;
--- a/crates/larklink-proxy/tests/wire_fixtures.rs
+++ b/crates/larklink-proxy/tests/wire_fixtures.rs
@@ -1,5 +1,5 @@
-//! What the proxy writes and reads, held byte for byte against files: words between two processes of one proxy, the
-//! configuration, the list of servers. A change here is a change of a format, which others rely on.
+//! Formats that the proxy writes and reads, compared with fixture files byte for byte: messages between two processes
+//! of one proxy, the configuration, and the endpoint list. A change here changes a format that others rely on.
 use std::io::{Read, Write};
 use std::net::Shutdown;
 use std::os::unix::net::UnixStream;
@@ -15,7 +15,7 @@
 use larklink_proxy::handover::channel::message_channel;
 use larklink_proxy::handover::messages::{EstablishedSession, HandoverMessage, VERSION, parse_message};
 
-const WORDS: &str = include_str!("fixtures/handover_v1.jsonl");
+const MESSAGES: &str = include_str!("fixtures/handover_v1.jsonl");
 const LIST: &str = include_str!("fixtures/list.json");
 
 fn endpoint(name: &str, at: &str, status: &str, (zone, cell): (&str, u16), numbers: [f64; 2]) -> Endpoint {
@@ -41,10 +41,15 @@
     ]
 }
 
-fn standing(head: &str, bytes: [&[u8]; 2], unanswered: usize, load: Option<f64>) -> HandoverMessage {
+fn session_message(
+    open_line: &str,
+    bytes: [&[u8]; 2],
+    unanswered: usize,
+    load: Option<f64>,
+) -> HandoverMessage {
     let [to_server, to_client] = bytes.map(<[u8]>::to_vec);
     HandoverMessage::Session(EstablishedSession {
-        open_line: head.into(),
+        open_line: open_line.into(),
         endpoint: u32::MAX,
         to_server,
         to_client,
@@ -53,9 +58,9 @@
     })
 }
 
-/// Each word, in the order of the file's lines.
-fn words() -> Vec<HandoverMessage> {
-    let head = "OPEN ab 12 c=chat,t=\u{e9},d=2000,g=1f\r\n";
+/// Each message, in the order of the file's lines.
+fn messages() -> Vec<HandoverMessage> {
+    let open_line = "OPEN ab 12 c=chat,t=\u{e9},d=2000,g=1f\r\n";
     vec![
         HandoverMessage::Offer { version: 1, endpoints: endpoints() },
         HandoverMessage::Offer { version: 1, endpoints: Vec::new() },
@@ -65,51 +70,51 @@
         HandoverMessage::AlreadyTaken,
         HandoverMessage::DescriptorsInUse { descriptors_in_use: 17 },
         HandoverMessage::Stopping,
-        standing(head, [b"half a\r\n\0\xff", b"\x80M 1\r\n"], 3, Some(12.5)),
-        standing("", [b"", b""], 0, None),
-        standing("x", [b"", b"\n"], 1, Some(0.0)),
+        session_message(open_line, [b"half a\r\n\0\xff", b"\x80M 1\r\n"], 3, Some(12.5)),
+        session_message("", [b"", b""], 0, None),
+        session_message("x", [b"", b"\n"], 1, Some(0.0)),
     ]
 }
 
 #[test]
-fn each_word_of_the_handover_is_written_as_in_the_file() {
+fn handover_messages_are_written_as_in_the_file() {
     assert_eq!(VERSION, 1);
     let (ours, mut theirs) = UnixStream::pair().unwrap();
     let (_, writer) = message_channel(Async::new(ours).unwrap());
     async_io::block_on(async {
-        for word in words() {
-            writer.send(&word, &[]).await.unwrap();
+        for message in messages() {
+            writer.send(&message, &[]).await.unwrap();
         }
     });
     drop(writer);
     let mut written = String::new();
     theirs.read_to_string(&mut written).unwrap();
-    assert_eq!(written, WORDS);
+    assert_eq!(written, MESSAGES);
 }
 
 #[test]
-fn each_word_of_the_handover_is_read_from_the_file() {
+fn handover_messages_are_read_from_the_file() {
     assert_eq!(
-        WORDS.lines().map(|line| parse_message(line.as_bytes()).unwrap()).collect::<Vec<_>>(),
-        words()
+        MESSAGES.lines().map(|line| parse_message(line.as_bytes()).unwrap()).collect::<Vec<_>>(),
+        messages()
     );
     let (ours, mut theirs) = UnixStream::pair().unwrap();
-    theirs.write_all(WORDS.as_bytes()).unwrap();
+    theirs.write_all(MESSAGES.as_bytes()).unwrap();
     theirs.shutdown(Shutdown::Write).unwrap();
     let (mut reader, _writer) = message_channel(Async::new(ours).unwrap());
     async_io::block_on(async {
-        for word in words() {
-            assert_eq!(reader.receive().await.unwrap(), word);
+        for message in messages() {
+            assert_eq!(reader.receive().await.unwrap(), message);
         }
         assert_eq!(reader.receive().await.unwrap_err().kind(), std::io::ErrorKind::UnexpectedEof);
     });
 }
 
 #[test]
-fn words_of_another_version_or_shape_are_refused() {
+fn messages_of_another_version_or_shape_are_errors() {
     for (line, error) in [
-        (r#"{"offer":{"version":2,"list":[]}}"#, "an offer of version 2"),
-        (r#"{"offer":{"version":0,"list":[]}}"#, "an offer of version 0"),
+        (r#"{"offer":{"version":2,"list":[]}}"#, "unsupported protocol version 2"),
+        (r#"{"offer":{"version":0,"list":[]}}"#, "unsupported protocol version 0"),
         (r#"{"offer":{"list":[]}}"#, "missing field `version` at line 1 column 20"),
         (
             r#""give""#,
