--- a/crates/larklink-proxy/tests/endings.rs
+++ b/crates/larklink-proxy/tests/endings.rs
@@ -1,5 +1,6 @@
-//! What ends in the instant in which something is still owed, one test for each fault found: the far side holds and
-//! releases, so that the bad order happens every time. `docs/design/endings.md` has the list.
+//! Races between the end of something (a connection, an attempt, a watch, the process) and an answer that is still due,
+//! one test for each fault found. The peers hold back and release their side, so that the critical order of events
+//! occurs in every run. `docs/design/endings.md` lists the cases.
 use std::io::Write;
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -24,8 +25,9 @@
     start_with_config, start_with_servers, wait_until,
 };
 
-/// Connecting may take longer than the grace of a drain or the window of a reference.
-fn patient(config: &str) -> String {
+/// Allows connecting to take up to 4 s, which is longer than the drain grace and than the idempotency window of the
+/// listener `book`, which this adds.
+fn with_long_connect_timeout(config: &str) -> String {
     let config = config.replace(r#""dial_timeout_ns":250000000"#, r#""dial_timeout_ns":4000000000"#);
     config.replace(
         r#"{"name":"pay""#,
@@ -33,30 +35,32 @@
     )
 }
 
-/// The head was written whenever the connection came up: a second after the drain, half a second past its grace.
+/// Guards against a late first line: it was sent whenever the connection came up, here one second after the drain began
+/// and half a second after the drain grace had ended.
 #[test]
-fn a_dial_that_is_still_connecting_leaves_a_server_that_begins_to_drain() {
-    let ((deaf, a), (second, b), (agent, discovery)) = (FullBacklog::new(), listen(), listen());
-    let proxy = start_with_config(&patient(&config(&[], discovery, "proxy", 1024)));
+fn an_attempt_that_is_connecting_leaves_a_server_that_starts_draining() {
+    let ((full_backlog, a), (second, b), (agent, discovery)) = (FullBacklog::new(), listen(), listen());
+    let proxy = start_with_config(&with_long_connect_timeout(&config(&[], discovery, "proxy", 1024)));
     let mut watch = Peer::accept(&agent);
     receive_request(&mut watch);
     respond(&mut watch, &list(41, true, &[endpoint("s-0", a, "up")]));
     receive_request(&mut watch);
     let mut client = Peer::connect(proxy.address, &open_line("c=pay,d=5000"));
-    deaf.wait_for_connection_attempt();
+    full_backlog.wait_for_connection_attempt();
     respond(&mut watch, &list(42, false, &[endpoint("s-0", a, "draining"), endpoint("s-1", b, "up")]));
     let mut server = Peer::accept(&second);
     server.receive_line();
     server.send("UP 1\r\n");
     assert_eq!(client.receive_line(), "UP 1\r\n");
-    assert_eq!(open_lines(&deaf.listen()), [""; 0]);
+    assert_eq!(open_lines(&full_backlog.listen()), [""; 0]);
 }
 
-/// A reference that may have run was sent again a second later, when the servers had forgotten it: a second effect.
+/// Guards against a second effect: a session that may have run was sent again a second later, when the servers had
+/// already dropped its idempotency key.
 #[test]
-fn a_reference_is_not_sent_once_its_window_is_over() {
-    let ((first, a), (deaf, b), (agent, discovery)) = (listen(), FullBacklog::new(), listen());
-    let proxy = start_with_config(&patient(&config(&[], discovery, "proxy", 1024)));
+fn a_session_is_not_retried_after_its_idempotency_window() {
+    let ((first, a), (full_backlog, b), (agent, discovery)) = (listen(), FullBacklog::new(), listen());
+    let proxy = start_with_config(&with_long_connect_timeout(&config(&[], discovery, "proxy", 1024)));
     let mut watch = Peer::accept(&agent);
     receive_request(&mut watch);
     respond(&mut watch, &list(41, true, &[endpoint("s-0", a, "up")]));
@@ -68,81 +72,84 @@
     receive_request(&mut watch);
     last_metrics_become(&proxy, [1, 1, 2]);
     drop(server);
-    deaf.wait_for_connection_attempt();
-    // The time of the window itself; who knocked does so again later than that.
+    full_backlog.wait_for_connection_attempt();
+    // The idempotency window. The kernel repeats the connection attempt only after it.
     thread::sleep(Duration::from_millis(400));
-    let second = deaf.listen();
+    let second = full_backlog.listen();
     assert_eq!(client.receive_line(), "ERR\r\n");
     assert_eq!(open_lines(&second), [""; 0]);
 }
 
-/// The end of a connection came with its first line and was looked for only after the dial: the server ran what
-/// nobody waited for. Then it was looked for before the first byte, when the attempt had begun with its connection.
+/// Guards against attempts for a client that disconnected right after its first line. The check for that came only
+/// after the attempt, so that a server ran a session for nobody, and in a later version before the first byte, when the
+/// connection to the server was already made.
 #[test]
-fn a_client_that_left_with_its_first_line_is_not_sent_on() {
-    for ask in ["c=pay,d=2000", "c=pay,d=2000,at=s-0"] {
+fn a_client_that_disconnects_after_its_first_line_gets_no_attempt() {
+    for attributes in ["c=pay,d=2000", "c=pay,d=2000,at=s-0"] {
         let (listener, at) = listen();
-        let door = TcpListener::bind("127.0.0.1:0").unwrap();
+        let proxy_listener = TcpListener::bind("127.0.0.1:0").unwrap();
         for _ in 0..20 {
-            drop(Peer::connect(door.local_addr().unwrap(), &open_line(ask)));
+            drop(Peer::connect(proxy_listener.local_addr().unwrap(), &open_line(attributes)));
         }
-        let proxy = start_on(door, &config(&[at], refusing_address(), "proxy", 1024));
-        let mut stays = Peer::connect(proxy.address, &open_line(ask));
+        let proxy = start_on(proxy_listener, &config(&[at], refusing_address(), "proxy", 1024));
+        let mut client = Peer::connect(proxy.address, &open_line(attributes));
         let mut server = Peer::accept(&listener);
         assert_eq!(
             server.receive_line().split(' ').next(),
             Some("OPEN"),
-            "{ask}: connected for one that had left"
+            "{attributes}: connected for a client that had disconnected"
         );
         server.send("UP 1\r\n");
-        assert_eq!(stays.receive_line(), "UP 1\r\n");
-        // One try, and only one accepted.
+        assert_eq!(client.receive_line(), "UP 1\r\n");
+        // One attempt and one accepted session.
         metrics_become(&proxy, [0, 0, 0, 1, 0, 0, 1, 1, 1]);
-        assert_eq!(first_lines(&listener), [""; 0], "{ask}");
+        assert_eq!(first_lines(&listener), [""; 0], "{attributes}");
     }
 }
 
-/// Its end was in the kernel when the word came to dial again, and the reactor had not told of it yet.
+/// Guards against a check that relies on the reactor: when the command for the next attempt arrives, the kernel knows
+/// that the client has disconnected, but the reactor has not reported it yet.
 #[test]
-fn a_client_that_leaves_between_two_dials_gets_no_other() {
+fn a_client_that_disconnects_between_two_attempts_gets_no_other() {
     let (listener, at) = listen();
     let mut proxy = start_with_servers(&[at, at]);
     let client = Peer::connect(proxy.address, &open_line("c=pay,d=2000"));
     let mut server = Peer::accept(&listener);
     server.receive_line();
-    proxy.hold.stop();
+    proxy.hold.pause();
     server.send("BUSY\r\n");
     proxy.hold.step();
     client.close_and_wait();
-    proxy.hold.go();
+    proxy.hold.resume();
     last_metrics_become(&proxy, [1, 0, 2]);
     assert_eq!(first_lines(&listener), [""; 0]);
 }
 
-/// The same for one that waits until a server has been asked what it bears.
+/// The same for a session that waits for the health check of a server.
 #[test]
-fn a_client_that_leaves_as_its_probe_comes_back_is_not_sent_on() {
+fn a_client_that_disconnects_as_a_health_check_returns_gets_no_attempt() {
     let (listener, at) = listen();
-    // However long the probe takes, it finds no crowd.
+    // However long the health check takes, the server does not count as overloaded.
     let config = config(&[at], refusing_address(), "proxy", 1024);
     let config = config.replace(r#""mode":"proxy""#, r#""mode":"proxy","message_aim_ns":[60000000000]"#);
     let mut proxy = start_with_config(&config.replace(r#""send_cap""#, r#""probing":true,"send_cap""#));
     let client = Peer::connect(proxy.address, &open_line("c=pay,d=5000"));
-    let mut probe = Peer::accept(&listener);
-    assert_eq!(probe.receive_line(), "PING\r\n");
+    let mut health_check = Peer::accept(&listener);
+    assert_eq!(health_check.receive_line(), "PING\r\n");
     last_metrics_become(&proxy, [0, 1, 1]);
-    proxy.hold.stop();
-    probe.send("PONG\r\n");
+    proxy.hold.pause();
+    health_check.send("PONG\r\n");
     proxy.hold.step();
     client.close_and_wait();
-    proxy.hold.go();
+    proxy.hold.resume();
     last_metrics_become(&proxy, [0, 0, 1]);
     assert_eq!(first_lines(&listener), [""; 0]);
 }
 
-/// Connections that come up and clients that leave were looked at only when a whole queue had been decided.
+/// Guards against starvation: new connections and client disconnects were noticed only after a full event queue had
+/// been handled.
 #[test]
-fn others_have_their_turn_while_many_wait_for_the_decisions() {
+fn other_tasks_run_while_a_full_event_queue_is_handled() {
     const SESSIONS: usize = 1000;
     let config: Config =
         serde_json::from_str(&config(&[refusing_address()], refusing_address(), "proxy", 1024)).unwrap();
@@ -176,7 +183,7 @@
                 .await;
         }
         executor.spawn(task.run(events)).detach();
-        let others = executor.spawn(async move {
+        let other_task = executor.spawn(async move {
             let mut turns = 0;
             while commands.len() < SESSIONS {
                 turns += 1;
@@ -184,32 +191,35 @@
             }
             turns
         });
-        let turns = others.await;
+        let turns = other_task.await;
         assert!(turns >= SESSIONS / 100, "{turns} turns");
     }));
 }
 
-/// With as much said as is held for a session, its client's end was not looked for any more.
+/// Guards against a missed disconnect: once a session's read buffer was full, the end of the client's connection was no
+/// longer checked.
 #[test]
-fn a_client_that_said_much_and_left_is_not_sent_on() {
-    let (deaf, at) = FullBacklog::new();
-    let proxy = start_with_config(&patient(&config(&[at], refusing_address(), "pass", 1024)));
+fn a_client_that_disconnects_with_a_full_buffer_gets_no_attempt() {
+    let (full_backlog, at) = FullBacklog::new();
+    let proxy =
+        start_with_config(&with_long_connect_timeout(&config(&[at], refusing_address(), "pass", 1024)));
     let mut client = Peer::connect(proxy.address, &open_line("c=chat,d=5000,mid=1"));
-    deaf.wait_for_connection_attempt();
+    full_backlog.wait_for_connection_attempt();
     client.send(&"a line of its own\r\n".repeat(1000));
     drop(client);
-    // None of accepted, refused and failed.
+    // It counts as none of accepted, rejected and failed.
     metrics_become(&proxy, [0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1]);
-    assert_eq!(open_lines(&deaf.listen()), [""; 0]);
+    assert_eq!(open_lines(&full_backlog.listen()), [""; 0]);
 }
 
-/// An agent that refuses, or whose answer never ends, has what it has: pauses of up to 1.25 s, and 3 s for an answer
-/// that had begun, were longer than the grace of a drain that it told of meanwhile.
+/// Guards against long waits after an error response from discovery or a response that never ends: backoffs of up to
+/// 1.25 s, and 3 s for a response that had begun, were longer than the grace of a drain that discovery announced
+/// meanwhile.
 #[test]
-fn an_agent_that_refuses_or_drips_is_asked_again_within_the_grace() {
-    let refused = "HTTP/1.1 503 Overbooked\r\ncontent-length: 0\r\n\r\n";
-    // After each that took too long the next may take twice as long.
-    for (spoilt, times) in [(refused, 10), ("HTTP/1.1 200 OK\r\ncontent-length: 99\r\n\r\n{", 1)] {
+fn discovery_is_polled_again_within_the_drain_grace_after_a_failed_response() {
+    let error_response = "HTTP/1.1 503 Overbooked\r\ncontent-length: 0\r\n\r\n";
+    // After each response that took too long the next one may take twice as long.
+    for (response, times) in [(error_response, 10), ("HTTP/1.1 200 OK\r\ncontent-length: 99\r\n\r\n{", 1)] {
         let (agent, discovery) = listen();
         let _proxy = start(&[], discovery, "proxy", 1024);
         let (mut gaps, mut held) = (Vec::new(), Vec::new());
@@ -217,18 +227,18 @@
         for _ in 0..times {
             receive_request(&mut call);
             let begun = Instant::now();
-            call.send(spoilt);
+            call.send(response);
             held.push(call);
             call = Peer::accept(&agent);
             gaps.push(begun.elapsed());
         }
-        assert!(gaps.iter().all(|gap| *gap < Duration::from_millis(500)), "{spoilt}: {gaps:?}");
+        assert!(gaps.iter().all(|gap| *gap < Duration::from_millis(500)), "{response}: {gaps:?}");
     }
 }
 
-/// A pause of 50 ms and more each time, in which a change counts as told.
+/// Guards against a backoff of 50 ms or more after each close, in which a change already counts as notified.
 #[test]
-fn a_kept_connection_that_ends_is_replaced_at_once() {
+fn a_persistent_discovery_connection_that_closes_is_replaced_at_once() {
     let (agent, discovery) = listen();
     let _proxy = start(&[], discovery, "proxy", 1024);
     let mut waited = Duration::ZERO;
@@ -246,19 +256,20 @@
     assert!(waited < Duration::from_millis(20 * 50), "{waited:?} for 20 connections");
 }
 
-/// The whole list as it was before a drain, answered a second time and late, made the server ready again.
+/// Guards against an outdated list: a late second response with the complete list from before a drain made the draining
+/// server ready again.
 #[test]
-fn a_second_answer_with_an_older_list_is_not_taken() {
+fn a_second_response_with_an_older_list_is_ignored() {
     let ((first, a), (second, b), (agent, discovery)) = (listen(), listen(), listen());
     let proxy = start(&[], discovery, "proxy", 1024);
     let mut watch = Peer::accept(&agent);
-    let whole = list(41, true, &[endpoint("s-0", a, "up"), endpoint("s-1", b, "up")]);
+    let complete_list = list(41, true, &[endpoint("s-0", a, "up"), endpoint("s-1", b, "up")]);
     receive_request(&mut watch);
-    respond(&mut watch, &whole);
+    respond(&mut watch, &complete_list);
     receive_request(&mut watch);
     respond(&mut watch, &list(42, false, &[endpoint("s-0", a, "draining")]));
     receive_request(&mut watch);
-    respond(&mut watch, &whole);
+    respond(&mut watch, &complete_list);
     let mut watch = Peer::accept(&agent);
     assert_eq!(receive_request(&mut watch), "/api/targets");
     for key in 0..8 {
@@ -267,19 +278,21 @@
     assert_eq!(open_lines(&first), [""; 0]);
 }
 
-/// It was dropped after its time without a last look: a request that had come met a reset.
+/// Guards against a reset: an idle connection was dropped at its timeout without a final read, and a request that had
+/// just arrived was answered with a reset.
 #[test]
-fn who_rests_until_it_is_ended_is_ended_in_good_order() {
+fn an_idle_connection_is_closed_gracefully() {
     let proxy = start_with_servers(&[]);
-    let mut rests = Peer::connect(proxy.address, "PING\r\n");
-    assert_eq!(rests.receive_line(), "PONG\r\n");
-    rests.expect_end();
-    // What comes in that instant is read to its end, and no reset takes the end away.
-    let mut rests: Vec<_> = (0..8).map(|_| Peer::connect(proxy.address, "PING\r\n")).collect();
-    for peer in &mut rests {
+    let mut idle = Peer::connect(proxy.address, "PING\r\n");
+    assert_eq!(idle.receive_line(), "PONG\r\n");
+    idle.expect_end();
+    // Lines that arrive at that moment are read and discarded, and the clients see the end of the stream instead of a
+    // reset.
+    let mut idle: Vec<_> = (0..8).map(|_| Peer::connect(proxy.address, "PING\r\n")).collect();
+    for peer in &mut idle {
         assert_eq!(peer.receive_line(), "PONG\r\n");
     }
-    for peer in &mut rests {
+    for peer in &mut idle {
         peer.expect_end();
         peer.send(&open_line("c=chat,d=2000"));
         peer.expect_end();
@@ -288,72 +301,74 @@
     }
 }
 
-/// Connections that the kernel held for the proxy were reset as its listener was closed, and those that had said nothing
-/// yet were cut when it ended; one that came at the last moment with all its time had no answer.
+/// Guards against three faults at a shutdown: connections in the kernel's accept queue were reset when the listener was
+/// closed, those that had sent nothing yet were cut off at the exit, and a session with a long dial timeout that came
+/// at the last moment was not answered.
 #[test]
-fn a_proxy_that_stops_answers_all_that_it_had_taken() {
+fn a_stopping_proxy_answers_all_accepted_connections() {
     let (listener, at) = listen();
     let proxy = start_with_servers(&[at]);
-    let mut rests = Peer::connect(proxy.address, "PING\r\n");
-    assert_eq!(rests.receive_line(), "PONG\r\n");
-    let mut hangs = Peer::connect(proxy.address, &open_line("c=pay,d=60000"));
+    let mut idle = Peer::connect(proxy.address, "PING\r\n");
+    assert_eq!(idle.receive_line(), "PONG\r\n");
+    let mut pay_client = Peer::connect(proxy.address, &open_line("c=pay,d=60000"));
     let mut server = Peer::accept(&listener);
     server.receive_line();
     drop(proxy.stop);
-    let mut waits = Peer::connect(proxy.address, &open_line("c=chat,d=60000"));
-    let mut other = Peer::accept(&listener);
-    other.receive_line();
-    rests.expect_end();
-    // It may have run: no harmless refusal. The other may run again at any time.
-    assert_eq!(hangs.receive_line(), "ERR\r\n");
-    assert_eq!(waits.receive_line(), "ERR\r\n");
+    let mut chat_client = Peer::connect(proxy.address, &open_line("c=chat,d=60000"));
+    let mut other_server = Peer::accept(&listener);
+    other_server.receive_line();
+    idle.expect_end();
+    // Both may have run, so neither is rejected.
+    assert_eq!(pay_client.receive_line(), "ERR\r\n");
+    assert_eq!(chat_client.receive_line(), "ERR\r\n");
     proxy.thread.join().unwrap();
 }
 
-/// Cut off after half its first line: the rest met a connection that had been shut with no answer.
+/// Guards against a missing answer: a connection of which half the first line had arrived at a shutdown was closed
+/// without one before the rest came.
 #[test]
-fn a_request_in_pieces_at_a_stop_is_answered() {
+fn a_partial_first_line_at_a_shutdown_is_answered() {
     let (listener, at) = listen();
     let longer = config(&[at], refusing_address(), "proxy", 1024).replace("300000000", "2000000000");
     let proxy = start_with_config(&longer);
-    let mut rests = Peer::connect(proxy.address, "PING\r\n");
-    assert_eq!(rests.receive_line(), "PONG\r\n");
+    let mut idle = Peer::connect(proxy.address, "PING\r\n");
+    assert_eq!(idle.receive_line(), "PONG\r\n");
     let head = open_line("c=chat,d=2000");
     let (first, rest) = head.split_at(12);
-    let mut whole = Peer::connect(proxy.address, first);
-    let mut half = Peer::connect(proxy.address, &format!("PING\r\n{first}"));
-    assert_eq!(half.receive_line(), "PONG\r\n");
+    let mut completed = Peer::connect(proxy.address, first);
+    let mut partial = Peer::connect(proxy.address, &format!("PING\r\n{first}"));
+    assert_eq!(partial.receive_line(), "PONG\r\n");
     drop(proxy.stop);
-    // Who has said nothing more ends with the listener.
-    rests.expect_end();
-    whole.send(rest);
+    // A connection without any part of a line is closed with the listener.
+    idle.expect_end();
+    completed.send(rest);
     let mut server = Peer::accept(&listener);
     server.receive_line();
     server.send("UP 1\r\n");
-    assert_eq!(whole.receive_line(), "UP 1\r\n");
-    assert_eq!(half.receive_line(), "BUSY\r\n");
+    assert_eq!(completed.receive_line(), "UP 1\r\n");
+    assert_eq!(partial.receive_line(), "BUSY\r\n");
     proxy.thread.join().unwrap();
 }
 
-/// One that stood before the start waited for its server for up to 40 s, whatever became of the process meanwhile; and
-/// one that left was counted as failed.
+/// Guards against two faults: a session that was established before the start waited for its server for up to 40 s
+/// although the process was stopping, and one whose client disconnected was counted as failed.
 #[test]
-fn a_connection_of_before_has_an_answer_when_the_proxy_stops() {
-    let (deaf, at) = FullBacklog::new();
+fn a_session_from_before_the_start_is_answered_at_a_shutdown() {
+    let (full_backlog, at) = FullBacklog::new();
     let proxy = start_with_servers(&[at]);
-    let mut waits = Peer::connect(proxy.address, &open_line("c=chat,d=2000,at=s-0"));
+    let mut client = Peer::connect(proxy.address, &open_line("c=chat,d=2000,at=s-0"));
     drop(Peer::connect(proxy.address, &open_line("c=pay,d=2000,at=s-0")));
-    deaf.wait_for_connection_attempt();
+    full_backlog.wait_for_connection_attempt();
     metrics_become(&proxy, [0, 0, 0, 0, 0, 0, 0, 1]);
     drop(proxy.stop);
-    assert_eq!(waits.receive_line(), "ERR\r\n");
+    assert_eq!(client.receive_line(), "ERR\r\n");
     proxy.thread.join().unwrap();
-    assert_eq!(first_lines(&deaf.listen()), [""; 0]);
+    assert_eq!(first_lines(&full_backlog.listen()), [""; 0]);
 }
 
-/// Which refusals came without a dial, for the figure that tells of processes that serve nobody.
+/// The metric reveals processes that serve nobody, so it counts only rejections without an attempt.
 #[test]
-fn sessions_that_were_refused_without_a_dial_are_counted() {
+fn sessions_rejected_without_an_attempt_are_counted() {
     const NAME: &str = "larklink_sessions_refused_without_dial_total";
     let (listener, at) = listen();
     let proxy = start_with_servers(&[at]);
@@ -372,42 +387,44 @@
     }
 }
 
-/// Its server took nothing any more, and nobody looked: the session stood for as long as both sides did.
+/// Guards against an undetected silent server: while a write to it was blocked, its unanswered messages were not
+/// checked, and the session stayed open for as long as both connections did.
 #[test]
-fn a_session_whose_server_takes_no_more_lines_is_moved() {
+fn a_session_whose_server_stops_reading_is_migrated() {
     let (listener, at) = listen();
     let proxy = start_with_servers(&[at]);
     let (mut client, _server) = establish(proxy.address, &listener);
-    let mut says = client.0.get_ref().try_clone().unwrap();
+    let mut sender = client.0.get_ref().try_clone().unwrap();
     let flood =
-        thread::spawn(move || while says.write_all(&[b"a line\r\n".as_slice(); 999].concat()).is_ok() {});
+        thread::spawn(move || while sender.write_all(&[b"a line\r\n".as_slice(); 999].concat()).is_ok() {});
     assert_eq!(client.receive_line(), "MOVE\r\n");
     flood.join().unwrap();
 }
 
-/// Crowds that probe without end, say a byte at a time, or say nothing, on a list of 1,024 servers: a process that has
-/// just started is ready in time, others are served at once meanwhile, and all descriptors come back.
+/// Many clients send health checks without end, or stay silent and then send one byte at a time, and the list has 1,024
+/// servers: a process that has just started is ready in time, serves other clients at once meanwhile, and releases all
+/// descriptors.
 #[test]
-fn a_process_that_starts_in_a_flood_serves_all_the_same() {
+fn a_process_that_starts_during_a_flood_serves_sessions() {
     let ((listener, at), (agent, discovery)) = (listen(), listen());
-    let door = TcpListener::bind("127.0.0.1:0").unwrap();
-    let to = door.local_addr().unwrap();
-    let mut crowd: Vec<_> = (0..60).map(|_| Peer::connect(to, &"PING\r\n".repeat(2000))).collect();
-    crowd.extend((0..60).map(|_| Peer::connect(to, "OPEN 1 2 c=cha")));
+    let proxy_listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let to = proxy_listener.local_addr().unwrap();
+    let mut flood: Vec<_> = (0..60).map(|_| Peer::connect(to, &"PING\r\n".repeat(2000))).collect();
+    flood.extend((0..60).map(|_| Peer::connect(to, "OPEN 1 2 c=cha")));
     let begun = Instant::now();
-    let proxy = start_on(door, &config(&[], discovery, "proxy", 1024));
+    let proxy = start_on(proxy_listener, &config(&[], discovery, "proxy", 1024));
     let mut watch = Peer::accept(&agent);
     receive_request(&mut watch);
     let all: Vec<_> = (0..1024).map(|n| endpoint(&format!("s-{n:08x}"), at, "up")).collect();
     respond(&mut watch, &list(41, true, &all));
     wait_until(|| proxy.metrics.is_ready());
     assert!(begun.elapsed() < Duration::from_secs(10), "ready after {:?}", begun.elapsed());
-    let dripping = thread::spawn(move || {
-        // A byte each now and then, up to the end of its time: none of them is a whole line.
-        while crowd[60..].iter_mut().filter_map(|c| c.0.get_mut().write_all(b"x").ok()).count() > 0 {
+    let slow_senders = thread::spawn(move || {
+        // One byte every 50 ms until their timeout: none of them completes a line.
+        while flood[60..].iter_mut().filter_map(|c| c.0.get_mut().write_all(b"x").ok()).count() > 0 {
             thread::sleep(Duration::from_millis(50));
         }
-        crowd
+        flood
     });
     for _ in 0..20 {
         let begun = Instant::now();
@@ -416,37 +433,39 @@
         assert_eq!(server.receive_line(), "one\r\n");
         assert!(begun.elapsed() < Duration::from_secs(1), "{:?} for a session", begun.elapsed());
     }
-    for mut one in dripping.join().unwrap().drain(60..) {
+    for mut one in slow_senders.join().unwrap().drain(60..) {
         assert_eq!(one.receive_line(), "ERR\r\n");
     }
-    // With nearly all descriptors asked for once more, none is missing.
-    let again: Vec<_> = (0..400).map(|_| establish(proxy.address, &listener)).collect();
-    drop(again);
+    // These sessions need nearly all descriptors: none was leaked.
+    let sessions: Vec<_> = (0..400).map(|_| establish(proxy.address, &listener)).collect();
+    drop(sessions);
 }
 
-/// It was looked at only while a line of its was out: without one it held its server's connection for ever.
+/// Guards against a leak: a client that does not read was detected only while a message of its own was unanswered;
+/// without one it held its server's connection for ever.
 #[test]
-fn a_client_that_reads_nothing_and_says_nothing_lets_its_server_go() {
+fn a_client_that_neither_reads_nor_sends_releases_its_server() {
     let (listener, at) = listen();
     let proxy = start_with_servers(&[at]);
     let (client, mut server) = establish(proxy.address, &listener);
-    let (tell, gone) = std::sync::mpsc::channel();
+    let (sender, released) = std::sync::mpsc::channel();
     thread::spawn(move || {
-        // Far more than all buffers between hold.
+        // Far more than all buffers in between can hold.
         let lines = "a line of the server's own\r\n".repeat(2000);
         while server.0.get_mut().write_all(lines.as_bytes()).is_ok() {}
-        tell.send(())
+        sender.send(())
     });
-    gone.recv_timeout(2 * WAIT_TIMEOUT).expect("its server is held");
+    released.recv_timeout(2 * WAIT_TIMEOUT).expect("the connection to the server stays open");
     drop(client);
 }
 
-/// Its server was slow to close after its last word, and the proxy stopped meanwhile: told to move after that, its client
-/// came again for what had been served to its end.
+/// Guards against a session that is served twice: its server was slow to close after `BYE` and the proxy stopped
+/// meanwhile; asked to migrate after `BYE`, the client reconnected for a session that was complete.
 #[test]
-fn a_session_that_was_served_to_its_end_is_not_moved() {
+fn a_completed_session_is_not_migrated() {
     let (listener, at) = listen();
-    // A stop moves all before the server is given up that does not close.
+    // With this dial timeout, a shutdown migrates all sessions before the proxy gives up waiting for the server to
+    // close.
     let proxy =
         start_with_config(&config(&[at], refusing_address(), "proxy", 1024).replace("300000000", "1000000"));
     let (mut client, mut server) = establish(proxy.address, &listener);
--- a/crates/larklink-proxy/tests/first_lines.rs
+++ b/crates/larklink-proxy/tests/first_lines.rs
@@ -1,4 +1,4 @@
-//! What a client may send first, and what becomes of one that sends nothing, nonsense or too much.
+//! What a client may send first, and how one is treated that sends nothing, invalid lines or too much.
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
@@ -7,7 +7,7 @@
 use stage::{establish, establish_with, listen, refusing_address, start, start_with_servers};
 
 #[test]
-fn a_client_that_leaves_while_it_waits_is_noticed() {
+fn a_client_that_disconnects_while_it_waits_is_detected() {
     let (listener, at) = listen();
     let proxy = start_with_servers(&[at]);
     let client = Peer::connect(proxy.address, &open_line("c=chat,d=9000"));
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn bad_first_lines_are_failed_and_probes_answered() {
+fn invalid_first_lines_are_failed_and_health_checks_answered() {
     let proxy = start_with_servers(&[]);
     let long = format!("OPEN 1 2 c=chat,d=2000,x={}", "y".repeat(5000));
     for line in ["OPEN 1 2 c=nobody,d=2000\r\n", "OPEN 1 xyz c=chat,d=2000\r\n", "what\r\n", &long] {
@@ -29,11 +29,11 @@
     let mut client = Peer::connect(proxy.address, "PING\r\nPING\r\n");
     assert_eq!((client.receive_line(), client.receive_line()), ("PONG\r\n".into(), "PONG\r\n".into()));
     client.send(&open_line("c=chat,d=2000"));
-    assert!(client.receive_line().starts_with("BUSY"), "no server, no session");
+    assert!(client.receive_line().starts_with("BUSY"), "without a server the session is rejected");
 }
 
 #[test]
-fn without_descriptors_a_client_is_refused_at_once() {
+fn without_descriptors_a_client_is_rejected_at_once() {
     let (listener, at) = listen();
     let proxy = start(&[at], refusing_address(), "proxy", 8);
     let held: Vec<_> = (0..3).map(|_| establish(proxy.address, &listener)).collect();
@@ -42,9 +42,10 @@
     drop(held);
 }
 
-/// Servers fail it wherever it is sent, and that looked like trouble of the session store.
+/// Guards against a false alarm: every server fails a session whose id is in use, which looked like a fault of the
+/// session store.
 #[test]
-fn the_id_of_a_session_that_is_open_is_not_taken_twice() {
+fn the_id_of_an_open_session_is_not_accepted_again() {
     let (listener, at) = listen();
     let proxy = start_with_servers(&[at]);
     let head = open_line("c=chat,d=2000");
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn who_does_not_wait_for_the_answer_is_failed() {
+fn a_client_that_sends_before_its_answer_is_failed() {
     let (listener, at) = listen();
     let proxy = start_with_servers(&[at]);
     let mut client = Peer::connect(proxy.address, &open_line("c=chat,d=2000"));
@@ -67,9 +68,10 @@
     server.expect_end();
 }
 
-/// They were let wait for 5 s, and for 60 s after a probe; 3 s are owed.
+/// Guards against long waits: silent clients were kept for 5 s, and for 60 s after a health check; they must be closed
+/// within 3 s.
 #[test]
-fn who_says_nothing_is_soon_let_go() {
+fn silent_clients_are_disconnected_soon() {
     let proxy = start_with_servers(&[]);
     let started = Instant::now();
     let (mut silent, mut pinged) =
@@ -81,28 +83,29 @@
     assert!(started.elapsed() < Duration::from_secs(5));
 }
 
-/// Each took two descriptors, and real clients were refused.
+/// Guards against rejections for lack of descriptors: each idle client took two of them, and clients with sessions were
+/// rejected.
 #[test]
-fn who_has_never_spoken_gives_way_to_sessions() {
+fn clients_that_sent_nothing_are_evicted_for_sessions() {
     let (listener, at) = listen();
     let proxy = start(&[at], refusing_address(), "proxy", 8);
     let mut pinged = Peer::connect(proxy.address, "PING\r\n");
     assert_eq!(pinged.receive_line(), "PONG\r\n");
-    // With six descriptors for clients and their servers, three more than there are.
+    // Six descriptors are available for clients and their servers: these are three clients too many.
     let mut silent: Vec<_> = (0..8).map(|_| Peer::connect(proxy.address, "")).collect();
-    for mut gone in silent.drain(..3) {
-        assert_eq!(gone.receive_line(), "BUSY\r\n");
+    for mut evicted in silent.drain(..3) {
+        assert_eq!(evicted.receive_line(), "BUSY\r\n");
     }
     let _held: Vec<_> = (0..2).map(|_| establish(proxy.address, &listener)).collect();
-    for mut gone in silent.drain(..4) {
-        assert_eq!(gone.receive_line(), "BUSY\r\n");
+    for mut evicted in silent.drain(..4) {
+        assert_eq!(evicted.receive_line(), "BUSY\r\n");
     }
     pinged.send("PING\r\n");
     assert_eq!(pinged.receive_line(), "PONG\r\n");
 }
 
 #[test]
-fn who_sends_sixty_megabytes_hears_the_error_all_the_same() {
+fn a_client_that_sends_sixty_megabytes_still_receives_the_error() {
     let proxy = start_with_servers(&[]);
     let mut client = Peer::connect(proxy.address, "OPEN 1 2 c=chat,d=2000,x=");
     let chunk = "y".repeat(1 << 20);
--- a/crates/larklink-proxy/tests/handover.rs
+++ b/crates/larklink-proxy/tests/handover.rs
@@ -1,5 +1,5 @@
-//! Processes of one proxy that take over from each other: the program itself on loopback, under clients that come
-//! without pause. Every wait is for a line, an end or an exit that must come.
+//! Handover between processes of one proxy: these tests run the program on loopback while clients connect continuously.
+//! Every wait is for a line, an end of stream or an exit that must come.
 #![allow(clippy::unwrap_used, reason = "a test stops where its setup fails")]
 use std::fs;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -23,18 +23,18 @@
 mod peer;
 use peer::{Peer, WAIT_TIMEOUT, open_line};
 
-/// A proxy's folder, address and configuration; its processes come and go.
+/// The folder and listen address of a proxy, whose processes replace each other.
 struct Proxy {
     folder: PathBuf,
     listen: SocketAddr,
-    /// Keeps the port from others; it is bound and never listens.
+    /// Reserves the port: the socket is bound and never listens.
     _port: socket2::Socket,
 }
 
 struct Process {
     child: Child,
     admin_address: SocketAddr,
-    /// Its log, read as it comes: a full pipe would hold its exit up.
+    /// Its log, read continuously: a full pipe would block its exit.
     log: Receiver<String>,
 }
 
@@ -49,25 +49,25 @@
         kill_process(Pid::from_child(&self.child), signal).unwrap();
     }
 
-    /// Waits until its log says so.
+    /// Waits for a log line that contains `text`.
     fn wait_for_log(&self, text: &str) {
-        let said = |log: &Receiver<String>| log.recv_timeout(WAIT_TIMEOUT).expect("it never says so");
-        while !said(&self.log).contains(text) {}
+        let next_line = || self.log.recv_timeout(WAIT_TIMEOUT).expect("the log line never comes");
+        while !next_line().contains(text) {}
     }
 
     fn is_ready(&self) -> bool {
-        let mut door = TcpStream::connect(self.admin_address).unwrap();
-        door.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
-        door.write_all(b"GET /ready HTTP/1.1\r\n\r\n").unwrap();
+        let mut admin = TcpStream::connect(self.admin_address).unwrap();
+        admin.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
+        admin.write_all(b"GET /ready HTTP/1.1\r\n\r\n").unwrap();
         let mut reply = String::new();
-        door.read_to_string(&mut reply).unwrap();
+        admin.read_to_string(&mut reply).unwrap();
         reply.starts_with("HTTP/1.1 200 ")
     }
 
     fn wait_until_ready(self) -> Self {
         let until = Instant::now() + WAIT_TIMEOUT;
         while !self.is_ready() {
-            assert!(Instant::now() < until, "it is never ready");
+            assert!(Instant::now() < until, "the process never becomes ready");
             thread::yield_now();
         }
         self
@@ -111,16 +111,16 @@
         command.arg(self.folder.join("config.json"));
         command.env("TMPDIR", &self.folder).env("ROUTER_CONSOLE", "127.0.0.1:0").stderr(Stdio::piped());
         let mut child = command.spawn().unwrap();
-        let (tell, log) = channel();
+        let (log_sender, log) = channel();
         let lines = BufReader::new(child.stderr.take().unwrap()).lines();
-        thread::spawn(move || lines.map_while(Result::ok).for_each(|line| _ = tell.send(line)));
-        let door = loop {
-            let line = log.recv_timeout(WAIT_TIMEOUT).expect("it ended at its start");
-            if let Some((_, door)) = line.split_once("console=") {
-                break door.parse().unwrap();
+        thread::spawn(move || lines.map_while(Result::ok).for_each(|line| _ = log_sender.send(line)));
+        let admin_address = loop {
+            let line = log.recv_timeout(WAIT_TIMEOUT).expect("the process exited during its start");
+            if let Some((_, address)) = line.split_once("console=") {
+                break address.parse().unwrap();
             }
         };
-        Process { child, admin_address: door, log }
+        Process { child, admin_address, log }
     }
 }
 
@@ -130,25 +130,25 @@
     }
 }
 
-/// A stop that came before it heard signals took it away as it stood, with what the kernel had accepted for it.
+/// Guards against a SIGTERM that comes before the signal handlers are installed: it killed the process on the spot,
+/// together with the connections that the kernel had accepted for it.
 #[test]
-fn a_process_that_is_stopped_as_it_starts_ends_in_good_order() {
+fn a_process_that_is_stopped_during_its_start_exits_cleanly() {
     let nobody = SocketAddr::from(([127, 0, 0, 1], 9));
     let proxy = Proxy::new("stopped-early", "proxy", nobody, nobody);
-    // It is held at its start by a process that serves already and says nothing.
-    let before = UnixListener::bind(proxy.socket_path()).unwrap();
+    // A predecessor that sends nothing keeps it in its start.
+    let predecessor = UnixListener::bind(proxy.socket_path()).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_larklink"));
     command.arg(proxy.folder.join("config.json")).env("TMPDIR", &proxy.folder).stderr(Stdio::null());
     let mut child = command.env("ROUTER_CONSOLE", "127.0.0.1:0").spawn().unwrap();
-    let met = before.accept().unwrap();
+    let connection = predecessor.accept().unwrap();
     kill_process(Pid::from_child(&child), Signal::TERM).unwrap();
-    drop((met, before));
-    let end = child.wait().unwrap();
-    assert!(end.success(), "{end}");
+    drop((connection, predecessor));
+    let status = child.wait().unwrap();
+    assert!(status.success(), "{status}");
 }
 
-/// A server that accepts every session, answers each line with the same line, and ends with the first that says
-/// so.
+/// A server that accepts every session, echoes each line, and completes the session at the line `END`.
 fn echo_server() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
@@ -172,27 +172,27 @@
     at
 }
 
-/// An agent that never answers; it is as good as none.
+/// A discovery service that never responds.
 fn silent_listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     (listener, at)
 }
 
-/// An agent that tells the whole list at once, and nothing more.
+/// A discovery service that sends the complete list at once and no changes.
 fn discovery_service(server: SocketAddr) -> SocketAddr {
     let (listener, at) = silent_listener();
     let body = format!(
         r#"{{"index":2,"snapshot":true,"endpoints":[{{"name":"s-0","address":"{server}","status":"up"}}]}}"#
     );
     thread::spawn(move || {
-        let mut kept = Vec::new();
+        let mut open_connections = Vec::new();
         for stream in listener.incoming() {
             let mut peer = Peer::new(stream.unwrap());
             while !matches!(peer.receive_line().as_str(), "\r\n" | "") {}
             let _ =
                 write!(peer.0.get_mut(), "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-            kept.push(peer);
+            open_connections.push(peer);
         }
     });
     at
@@ -210,27 +210,27 @@
     assert_eq!(client.receive_line(), "M 1\r\n");
 }
 
-/// Ten replacements, while clients come without pause, each with one answer, and sessions that stand go on unbroken
-/// with what each side had said of a line.
+/// A proxy's process is replaced ten times while clients connect continuously. Each client is served once, and
+/// established sessions continue without a break, including partial lines that each side has sent.
 #[test]
 fn ten_replacements_lose_no_connection_and_break_no_session() {
     for mode in ["pass", "proxy"] {
         let server = echo_server();
         let proxy = Proxy::new("ten", mode, server, discovery_service(server));
         let mut process = proxy.start().wait_until_ready();
-        let mut standing: Vec<_> = (0..20).map(|_| establish(&proxy)).collect();
-        let over = AtomicBool::new(false);
-        /// Lets the others end too where the test fails.
-        struct Over<'a>(&'a AtomicBool);
-        impl Drop for Over<'_> {
+        let mut established: Vec<_> = (0..20).map(|_| establish(&proxy)).collect();
+        let stopped = AtomicBool::new(false);
+        /// Stops the client threads on drop, also if the test fails.
+        struct StopOnDrop<'a>(&'a AtomicBool);
+        impl Drop for StopOnDrop<'_> {
             fn drop(&mut self) {
                 self.0.store(true, Relaxed);
             }
         }
         thread::scope(|scope| {
-            let come = || {
+            let run_clients = || {
                 let mut served = 0;
-                while !over.load(Relaxed) {
+                while !stopped.load(Relaxed) {
                     let mut client = establish(&proxy);
                     client.send("END\r\n");
                     assert_eq!(client.receive_line(), "BYE\r\n");
@@ -239,30 +239,30 @@
                 }
                 served
             };
-            let comers: Vec<_> = (0..4).map(|_| scope.spawn(come)).collect();
-            let ends = Over(&over);
+            let clients: Vec<_> = (0..4).map(|_| scope.spawn(run_clients)).collect();
+            let stop = StopOnDrop(&stopped);
             for _ in 0..10 {
-                standing.iter_mut().for_each(|c| c.send("half"));
+                established.iter_mut().for_each(|c| c.send("half"));
                 let next = proxy.start().wait_until_ready();
                 process.signal(Signal::TERM);
                 std::mem::replace(&mut process, next).wait_for_exit();
-                for client in &mut standing {
+                for client in &mut established {
                     client.send(" of it\r\n");
                     assert_eq!(client.receive_line(), "half of it\r\n");
                     expect_echo(client);
                 }
             }
-            drop(ends);
-            assert!(comers.into_iter().all(|c| c.join().unwrap() > 10));
+            drop(stop);
+            assert!(clients.into_iter().all(|c| c.join().unwrap() > 10));
         });
     }
 }
 
-/// A server that drops each session as soon as it has come, and how many have.
+/// A server that closes the connection of each session after its first line, and the number of sessions received.
 fn dropping_server() -> (SocketAddr, Arc<AtomicUsize>) {
     let (listener, at) = silent_listener();
-    let come = Arc::new(AtomicUsize::new(0));
-    let count = Arc::clone(&come);
+    let received = Arc::new(AtomicUsize::new(0));
+    let count = Arc::clone(&received);
     thread::spawn(move || {
         for stream in listener.incoming() {
             let (mut peer, count) = (Peer::new(stream.unwrap()), Arc::clone(&count));
@@ -273,52 +273,52 @@
             });
         }
     });
-    (at, come)
+    (at, received)
 }
 
-/// Both processes of a proxy together keep its retry budget: the one that takes over has no free dial of its own while the
-/// old one's still count. Of two free ones in a minute the old one makes one at once.
+/// Both processes of a proxy share its retry budget: the new one has no free retry of its own while those of the old
+/// one still count. Of the two free retries in a minute, the old process makes one at once.
 #[test]
-fn a_ration_of_further_dials_holds_for_both_processes_together() {
-    let (server, come) = dropping_server();
+fn the_retry_budget_is_shared_by_both_processes() {
+    let (server, received) = dropping_server();
     let safety = r#"{"budget_free":2,"extra_per_request":0,"counted_over_ns":60000000000}"#;
     let proxy = Proxy::with("retry_budget", "proxy", server, discovery_service(server), safety);
-    let refused = || {
+    let expect_rejected = || {
         let mut client = Peer::new(TcpStream::connect(proxy.listen).unwrap());
         client.send(&open_line("c=chat,t=acme,d=5000,g=3"));
         assert!(client.receive_line().starts_with("BUSY"));
     };
     let old = proxy.start().wait_until_ready();
-    (0..3).for_each(|_| refused());
-    assert_eq!(come.load(Relaxed), 3 + 1);
+    (0..3).for_each(|_| expect_rejected());
+    assert_eq!(received.load(Relaxed), 3 + 1);
     let new = proxy.start().wait_until_ready();
     old.signal(Signal::TERM);
     old.wait_for_exit();
-    (0..3).for_each(|_| refused());
-    assert_eq!(come.load(Relaxed), 4 + 3, "the new process spent what was free once more");
+    (0..3).for_each(|_| expect_rejected());
+    assert_eq!(received.load(Relaxed), 4 + 3, "the new process used free retries of its own");
     drop(new);
 }
 
-/// Whoever of the two is stopped or dies, the one that is left serves on in full.
+/// Whichever of the two processes is stopped or dies, the remaining one keeps serving all clients.
 #[test]
-fn the_process_that_is_left_serves_on() {
+fn the_remaining_process_keeps_serving() {
     let server = echo_server();
-    let (_mute, silent) = silent_listener();
-    let proxy = Proxy::new("left", "proxy", server, silent);
+    let (_listener, silent_discovery) = silent_listener();
+    let proxy = Proxy::new("left", "proxy", server, silent_discovery);
     let old = proxy.start().wait_until_ready();
     let mut client = establish(&proxy);
-    // One that dies before it is ready: with a discovery that says nothing that takes it a while.
+    // A new process that dies before it is ready, which takes a while because discovery does not respond.
     let early = proxy.start();
     assert!(!early.is_ready());
     drop(early);
     old.wait_for_log("new process lost");
     expect_echo(&mut establish(&proxy));
-    // One that dies after it was ready, and before the old one was stopped.
+    // A new process that dies after it was ready and before the old one is stopped.
     drop(proxy.start().wait_until_ready());
     old.wait_for_log("successor lost, accepting connections again");
     expect_echo(&mut establish(&proxy));
     expect_echo(&mut client);
-    // The old one is stopped before the new one is ready, and gives it what stands at once.
+    // The old process is stopped before the new one is ready, and hands its sessions over at once.
     let new = proxy.start();
     assert!(!new.is_ready());
     old.signal(Signal::TERM);
@@ -326,7 +326,7 @@
     old.wait_for_exit();
     expect_echo(&mut establish(&proxy));
     expect_echo(&mut client);
-    // Two new ones at once: one takes over from the other.
+    // Two new processes at once: one takes over from the other.
     let (one, two) = (proxy.start(), proxy.start());
     let (one, two) = (one.wait_until_ready(), two.wait_until_ready());
     new.signal(Signal::TERM);
@@ -339,50 +339,51 @@
     expect_echo(&mut establish(&proxy));
     last.signal(Signal::KILL);
     let _ = last.child.wait();
-    // What a killed one leaves behind in the folder keeps no other from its start.
+    // The socket file that a killed process leaves behind does not prevent a new start.
     let _last = proxy.start().wait_until_ready();
     expect_echo(&mut establish(&proxy));
 }
 
 #[test]
-fn who_meets_nonsense_starts_without_it() {
+fn a_process_starts_without_a_handover_if_its_predecessor_sends_invalid_messages() {
     let server = echo_server();
     let old_version = r#"{"offer":{"version":7,"list":[]}}"#;
     let long = "x".repeat(2 << 20);
-    for said in ["", "hello\n", old_version, "{\"offer\":", "{\"take\":null}\n", "\"stops\"\n", &long] {
+    for message in ["", "hello\n", old_version, "{\"offer\":", "{\"take\":null}\n", "\"stops\"\n", &long] {
         let proxy = Proxy::new("nonsense", "proxy", server, discovery_service(server));
-        let place = UnixListener::bind(proxy.socket_path()).unwrap();
-        let said = said.to_owned();
-        let speaks = thread::spawn(move || {
-            let (mut met, _) = place.accept().unwrap();
-            // It may hang up before all is said.
-            let _ = met.write_all(said.as_bytes());
-            if said.ends_with('\n') {
-                let _ = met.read(&mut [0]);
+        let socket = UnixListener::bind(proxy.socket_path()).unwrap();
+        let message = message.to_owned();
+        let predecessor = thread::spawn(move || {
+            let (mut stream, _) = socket.accept().unwrap();
+            // The new process may close the connection before all is written.
+            let _ = stream.write_all(message.as_bytes());
+            if message.ends_with('\n') {
+                let _ = stream.read(&mut [0]);
             }
         });
         let _process = proxy.start().wait_until_ready();
-        speaks.join().unwrap();
+        predecessor.join().unwrap();
         expect_echo(&mut establish(&proxy));
     }
 }
 
-/// It asked again and again, twenty times a second, for as long as the other hung.
+/// Guards against an endless wait: a process whose takeover was denied asked again twenty times a second for as long as
+/// the process that had been faster hung.
 #[test]
-fn who_is_told_that_another_was_faster_is_ready_even_if_that_one_never_serves() {
+fn a_process_becomes_ready_even_if_a_rival_that_was_faster_never_serves() {
     let server = echo_server();
     let proxy = Proxy::new("rival", "proxy", server, discovery_service(server));
-    let place = UnixListener::bind(proxy.socket_path()).unwrap();
-    let door = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-    door.set_reuse_port(true).unwrap();
-    door.bind(&proxy.listen.into()).unwrap();
-    door.listen(1).unwrap();
+    let socket = UnixListener::bind(proxy.socket_path()).unwrap();
+    let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+    listener.set_reuse_port(true).unwrap();
+    listener.bind(&proxy.listen.into()).unwrap();
+    listener.listen(1).unwrap();
     thread::spawn(move || {
-        for met in place.incoming() {
-            let (mut reader, writer) = message_channel(async_io::Async::new(met.unwrap()).unwrap());
+        for stream in socket.incoming() {
+            let (mut reader, writer) = message_channel(async_io::Async::new(stream.unwrap()).unwrap());
             async_io::block_on(async {
                 let offer = HandoverMessage::Offer { version: VERSION, endpoints: Vec::new() };
-                let _ = writer.send(&offer, &[door.as_fd()]).await;
+                let _ = writer.send(&offer, &[listener.as_fd()]).await;
                 if reader.receive().await.is_ok() {
                     let _ = writer.send(&HandoverMessage::AlreadyTaken, &[]).await;
                 }
@@ -394,23 +395,24 @@
     expect_echo(&mut establish(&proxy));
 }
 
-/// Somebody who comes to the meeting place and says nonsense or nothing, leaves or stays, changes nothing.
+/// A process that connects to the handover socket and sends nothing or invalid messages, whether it disconnects or
+/// stays, changes nothing.
 #[test]
-fn who_is_met_by_nonsense_serves_on() {
+fn a_process_keeps_serving_if_a_new_process_sends_invalid_messages() {
     let server = echo_server();
     let proxy = Proxy::new("visited", "proxy", server, discovery_service(server));
     let process = proxy.start().wait_until_ready();
-    let meet = || UnixStream::connect(proxy.socket_path()).unwrap();
-    let _silent = meet();
-    for said in ["nonsense\n", "{\"session\":{}}\n", "\"stops\"\n"] {
-        meet().write_all(said.as_bytes()).unwrap();
+    let connect = || UnixStream::connect(proxy.socket_path()).unwrap();
+    let _silent = connect();
+    for message in ["nonsense\n", "{\"session\":{}}\n", "\"stops\"\n"] {
+        connect().write_all(message.as_bytes()).unwrap();
         process.wait_for_log("new process lost");
         expect_echo(&mut establish(&proxy));
     }
 }
 
 #[test]
-fn words_that_are_none_are_told_with_their_reason() {
+fn invalid_messages_are_errors_with_a_reason() {
     assert!(parse_message(br#"{"offer":{"version":1,"list":[]}}"#).is_ok());
     for (line, reason) in [
         (&br#"{"offer":{"version":2,"list":[]}}"#[..], "version 2"),
@@ -421,12 +423,12 @@
         (b"\xff\xfe", "expected value"),
         (b"", "EOF"),
     ] {
-        let wrong = parse_message(line).unwrap_err().to_string();
-        assert!(wrong.contains(reason), "{line:?}: {wrong}");
+        let error = parse_message(line).unwrap_err().to_string();
+        assert!(error.contains(reason), "{line:?}: {error}");
     }
 }
 
-/// An offer of 1,024 servers crosses whole, in far more pieces than the socket holds at once.
+/// An offer of 1,024 servers, which is larger than the socket's buffer, arrives complete.
 #[test]
 fn an_offer_holds_a_list_of_1024_servers() {
     let list: Vec<_> = (0..1024)
@@ -440,34 +442,35 @@
     let (_, writer) = message_channel(async_io::Async::new(one).unwrap());
     let (mut reader, _) = message_channel(async_io::Async::new(other).unwrap());
     let offer = HandoverMessage::Offer { version: VERSION, endpoints: list };
-    let said = writer.send(&offer, &[]);
-    let (said, heard) = async_io::block_on(futures_lite::future::zip(said, reader.receive()));
-    said.unwrap();
-    assert_eq!(heard.unwrap(), offer);
+    let sent = writer.send(&offer, &[]);
+    let (sent, received) = async_io::block_on(futures_lite::future::zip(sent, reader.receive()));
+    sent.unwrap();
+    assert_eq!(received.unwrap(), offer);
 }
 
-/// Two processes never hold more than one may; who gives up lets the other have it.
+/// Two processes together never have more descriptors open than the limit; what one releases, the other may use.
 #[test]
-fn descriptors_count_for_both() {
+fn the_descriptors_of_both_processes_count() {
     let limiter = ConnectionLimiter::new(6);
-    let guest = limiter.try_acquire().unwrap();
+    let idle = limiter.try_acquire().unwrap();
     let mut session = limiter.try_acquire().unwrap();
     assert!(session.start_session() && session.try_acquire_upstream());
     assert_eq!(limiter.client_descriptors(), 3);
     limiter.set_other_process_use(3);
     assert_eq!(limiter.client_descriptors(), 3);
-    // Full with the other's: the guest gives way, and then there is nobody left to.
+    // The limit is reached with those of the other process: the idle connection is evicted, and then none is left to
+    // evict.
     let more = limiter.try_acquire().unwrap();
-    assert!(!guest.start_session());
-    drop(guest);
+    assert!(!idle.start_session());
+    drop(idle);
     assert!(more.start_session());
     assert!(limiter.try_acquire().is_none());
-    // Sessions that are given come all the same, and count.
-    let given = limiter.adopt();
+    // Sessions that are handed over are accepted beyond the limit, and count.
+    let handed_over = limiter.adopt();
     assert_eq!(limiter.client_descriptors(), 5);
     limiter.set_other_process_use(1);
     assert!(limiter.try_acquire().is_none());
-    drop(given);
+    drop(handed_over);
     assert!(limiter.try_acquire().is_some());
     limiter.set_other_process_use(0);
     drop((more, session));
--- a/crates/larklink-proxy/tests/health_check.rs
+++ b/crates/larklink-proxy/tests/health_check.rs
@@ -21,7 +21,7 @@
 fn a_waiting_health_check_takes_precedence_over_an_idle_connection() {
     let (listener, at) = listen();
     let answers = thread::spawn(move || {
-        // The first two are answered once both have come, so that the third has to wait.
+        // The first two are answered once both have arrived, so that the third has to wait for a permit.
         let mut both = [Peer::accept(&listener), Peer::accept(&listener)];
         both.iter_mut().for_each(|one| assert_eq!(one.receive_line(), "PING\r\n"));
         both.iter_mut().for_each(|one| one.send("PONG\r\n"));
@@ -41,7 +41,7 @@
     let checks = future::zip(future::zip(checker.check(0, at), checker.check(1, at)), checker.check(2, at));
     let late = async {
         async_io::Timer::after(WAIT_TIMEOUT).await;
-        panic!("a health check waits without end");
+        panic!("a health check waits forever");
     };
     async_io::block_on(future::or(async { _ = checks.await }, late));
     let all = std::iter::from_fn(|| events.try_recv().ok());
--- a/crates/larklink-proxy/tests/line_fixtures.rs
+++ b/crates/larklink-proxy/tests/line_fixtures.rs
@@ -83,31 +83,35 @@
 }
 
 #[test]
-fn a_server_is_asked_for_its_report_where_reports_tell_the_load() {
+fn a_health_check_requests_a_load_report_where_reports_give_the_load() {
     let (listener, at) = listen();
     let config = config(&[at], refusing_address(), "proxy", 1024);
     let config = config.replace(r#""safety":{"#, r#""feedback":{"names":["inflight","x0"]},"safety":{"#);
     let proxy = start_with_config(&config.replace(r#""send_cap""#, r#""probing":true,"send_cap""#));
     let _client = Peer::connect(proxy.address, &open_line("c=pay,d=5000"));
-    let mut probe = Peer::accept(&listener);
-    let mut asked = [0; 7];
-    probe.0.read_exact(&mut asked).unwrap();
-    assert_eq!(&asked, b"STATS\r\n");
+    let mut health_check = Peer::accept(&listener);
+    let mut request = [0; 7];
+    health_check.0.read_exact(&mut request).unwrap();
+    assert_eq!(&request, b"STATS\r\n");
 }
 
-/// Its wait is this whole number of milliseconds and nothing follows; where none may be told, none is.
+/// The Retry-After of a rejection is a whole number of milliseconds that nothing follows; where the settings allow
+/// none, the answer has none.
 #[test]
-fn a_refused_client_is_told_to_wait_in_whole_milliseconds_or_nothing() {
-    let refused = |config: &str| {
+fn a_rejection_has_a_retry_after_in_whole_milliseconds_or_none() {
+    let rejection = |config: &str| {
         let proxy = start_with_config(config);
         let mut client = Peer::connect(proxy.address, &open_line("c=chat,d=2000"));
         let mut answer = String::new();
         client.0.read_to_string(&mut answer).unwrap();
         answer
     };
-    let told = config(&[], refusing_address(), "proxy", 1024);
-    let answer = refused(&told);
+    let with_retry_after = config(&[], refusing_address(), "proxy", 1024);
+    let answer = rejection(&with_retry_after);
     let ms = answer.strip_prefix("BUSY ").and_then(|a| a.strip_suffix("\r\n")).unwrap_or_default();
     assert!(!ms.is_empty() && ms.bytes().all(|b| b.is_ascii_digit()) && !ms.starts_with('0'), "{answer:?}");
-    assert_eq!(refused(&told.replace(r#""retry_after":true"#, r#""retry_after":false"#)), "BUSY\r\n");
+    assert_eq!(
+        rejection(&with_retry_after.replace(r#""retry_after":true"#, r#""retry_after":false"#)),
+        "BUSY\r\n"
+    );
 }
--- a/crates/larklink-proxy/tests/message_latency.rs
+++ b/crates/larklink-proxy/tests/message_latency.rs
@@ -23,12 +23,12 @@
     assert_eq!(
         estimator.record_answer(at(ticks(40_000)), 1, ticks(50)),
         Some(ticks(50)),
-        "back under: once more"
+        "once more after it fell below the threshold"
     );
     assert_eq!(estimator.record_answer(at(ticks(50_000)), 1, ticks(50)), None);
     assert_eq!(
         estimator.record_answer(at(ticks(50_000)), 2, ticks(500)),
         Some(ticks(500)),
-        "each endpoint by itself"
+        "each endpoint has its own interval"
     );
 }
--- a/crates/larklink-proxy/tests/peer/mod.rs
+++ b/crates/larklink-proxy/tests/peer/mod.rs
@@ -1,4 +1,4 @@
-//! One end of a connection, spoken line by line, as the tests on sockets share it.
+//! One end of a line-based connection, shared by the tests that use sockets.
 #![allow(clippy::unwrap_used, reason = "a test stops where its setup fails")]
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpStream;
@@ -7,7 +7,7 @@
 
 pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A line and the connection it came on.
+/// A connection that is read line by line.
 pub(crate) struct Peer(pub(crate) BufReader<TcpStream>);
 
 impl Peer {
@@ -20,7 +20,7 @@
         self.0.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    /// The next line; nothing at the end.
+    /// Receives the next line; empty at the end of the stream.
     pub(crate) fn receive_line(&mut self) -> String {
         let mut line = String::new();
         self.0.read_line(&mut line).unwrap();
@@ -28,8 +28,8 @@
     }
 }
 
-/// A first line with an id of its own, as each connection has.
-pub(crate) fn open_line(rest: &str) -> String {
+/// Creates a first line with a unique session id and the given attributes.
+pub(crate) fn open_line(attributes: &str) -> String {
     static NEXT: AtomicU64 = AtomicU64::new(1);
-    format!("OPEN {:x} 2 {rest}\r\n", NEXT.fetch_add(1, Relaxed))
+    format!("OPEN {:x} 2 {attributes}\r\n", NEXT.fetch_add(1, Relaxed))
 }
--- a/crates/larklink-proxy/tests/protocol.rs
+++ b/crates/larklink-proxy/tests/protocol.rs
@@ -1,4 +1,4 @@
-//! The lines of the protocol: open lines, messages of endpoints, load reports, and the bounded buffer.
+//! The line protocol: open lines, server messages, load reports, and the bounded line buffer.
 #![allow(clippy::unwrap_used, reason = "a test stops where its setup fails")]
 use larklink_proxy::discovery::http::ResponseReader;
 use larklink_proxy::protocol::{
@@ -79,7 +79,7 @@
     assert_eq!(parse_load_report("inflight=7,util=0.5,x0=0.61", &names), [0.61, 0.5]);
     assert!(
         parse_load_report("inflight=7,x0=0.61", &names).is_empty(),
-        "a report that lacks a value is none"
+        "a report without one of the values counts as none"
     );
 }
 
@@ -104,24 +104,24 @@
 
     #[test]
     fn a_line_buffer_returns_what_was_read_and_no_more_than_fits(chunks in prop::collection::vec(1..900usize, 1..40)) {
-        let (mut buffer, mut read, mut taken) = (LineBuffer::default(), Vec::new(), Vec::new());
+        let (mut buffer, mut read, mut consumed) = (LineBuffer::default(), Vec::new(), Vec::new());
         for (n, size) in chunks.into_iter().enumerate() {
             let line: Vec<u8> = (0..size).map(|i| b'a' + (i % 26) as u8).chain(*b"\r\n").collect();
-            let got = buffer.fill(|buf| {
+            let received = buffer.fill(|buf| {
                 let n = buf.len().min(line.len());
                 buf[..n].copy_from_slice(&line[..n]);
                 Ok(n)
             });
-            read.extend_from_slice(&line[..got.unwrap()]);
+            read.extend_from_slice(&line[..received.unwrap()]);
             prop_assert!(buffer.bytes().len() <= MAX_LINE_LENGTH);
             prop_assert_eq!(buffer.is_full(), buffer.bytes().len() == MAX_LINE_LENGTH);
             if n % 3 == 0 || buffer.is_full() {
-                let whole = if buffer.is_full() { MAX_LINE_LENGTH } else { buffer.complete_lines_len() };
-                taken.extend_from_slice(&buffer.bytes()[..whole]);
-                buffer.consume(whole);
+                let length = if buffer.is_full() { MAX_LINE_LENGTH } else { buffer.complete_lines_len() };
+                consumed.extend_from_slice(&buffer.bytes()[..length]);
+                buffer.consume(length);
             }
         }
-        taken.extend_from_slice(buffer.bytes());
-        prop_assert_eq!(read, taken);
+        consumed.extend_from_slice(buffer.bytes());
+        prop_assert_eq!(read, consumed);
     }
 }
--- a/crates/larklink-proxy/tests/session_metrics.rs
+++ b/crates/larklink-proxy/tests/session_metrics.rs
@@ -1,24 +1,24 @@
-//! Sessions are counted as their peers saw them.
+//! The session metrics match what the peers observed.
 
 mod stage;
 use stage::peer::{Peer, open_line};
 use stage::{establish, listen, metrics_become, start_with_servers};
 
-/// One of each kind of end, against what the servers and clients of this test saw: for each listener accepted,
-/// refused, failed; then tries, sessions in progress, servers.
+/// Compares the metrics after each kind of session end with what the test's servers and clients observed. The values
+/// are accepted, rejected and failed sessions for each listener, then attempts, sessions in progress, and servers.
 #[test]
-fn figures_are_what_peers_saw_whatever_the_end() {
+fn session_metrics_match_what_peers_observed() {
     let (listener, at) = listen();
     let proxy = start_with_servers(&[at]);
     metrics_become(&proxy, [0, 0, 0, 0, 0, 0, 0, 0, 1]);
-    let mut mute = Peer::connect(proxy.address, "PING\r\n");
-    assert_eq!(mute.receive_line(), "PONG\r\n");
+    let mut idle = Peer::connect(proxy.address, "PING\r\n");
+    assert_eq!(idle.receive_line(), "PONG\r\n");
     let (client, mut server) = establish(proxy.address, &listener);
     metrics_become(&proxy, [1, 0, 0, 0, 0, 0, 1, 1, 1]);
     drop(client);
     server.expect_end();
     metrics_become(&proxy, [1, 0, 0, 0, 0, 0, 1, 0, 1]);
-    // A server that resets a session that stands, and one that ends it.
+    // A server that resets an established session, and one that completes it.
     let (mut client, server) = establish(proxy.address, &listener);
     server.reset();
     client.expect_reset();
@@ -27,7 +27,7 @@
     assert_eq!(client.receive_line(), "BYE\r\n");
     client.expect_end();
     metrics_become(&proxy, [3, 0, 0, 0, 0, 0, 3, 0, 1]);
-    // Turned away where it runs out of servers; failed where it may have run.
+    // Rejected when no server is left to try; failed when it may have run.
     let mut client = Peer::connect(proxy.address, &open_line("c=chat,d=2000"));
     for _ in 0..2 {
         let mut server = Peer::accept(&listener);
@@ -42,7 +42,7 @@
     drop(server);
     assert_eq!(client.receive_line(), "ERR\r\n");
     metrics_become(&proxy, [3, 1, 0, 0, 0, 1, 6, 0, 1]);
-    // One that leaves before its answer is none of the three.
+    // A session whose client disconnects before its answer counts as none of the three.
     let client = Peer::connect(proxy.address, &open_line("c=chat,d=2000"));
     let mut server = Peer::accept(&listener);
     server.receive_line();
@@ -50,7 +50,7 @@
     drop(client);
     server.expect_end();
     metrics_become(&proxy, [3, 1, 0, 0, 0, 1, 7, 0, 1]);
-    // At a stop it says no, and what it held is counted out as it is moved.
+    // At a shutdown the proxy is not ready, and its migrated sessions are no longer in progress.
     let (mut client, _server) = establish(proxy.address, &listener);
     proxy.stop.close();
     assert_eq!(client.receive_line(), "MOVE\r\n");
--- a/crates/larklink-proxy/tests/stage/mod.rs
+++ b/crates/larklink-proxy/tests/stage/mod.rs
@@ -1,6 +1,7 @@
-//! A whole proxy on loopback sockets; the test plays its clients, its servers and the discovery service, line by line.
+//! Runs a complete proxy on loopback sockets; the test acts as its clients, its servers and the discovery service, line
+//! by line.
 #![allow(clippy::unwrap_used, reason = "a test stops where its setup fails")]
-#![allow(dead_code, reason = "each file of tests uses a part")]
+#![allow(dead_code, reason = "each test file uses a part")]
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::unix::net::UnixStream;
@@ -22,10 +23,10 @@
 pub(crate) mod peer;
 use peer::{Peer, WAIT_TIMEOUT, open_line};
 
-/// As that of the standard library.
+/// The same backlog as in the standard library.
 const LISTEN_BACKLOG: i32 = 128;
 
-/// A proxy that runs in a thread of its own.
+/// A proxy that runs in its own thread.
 pub(crate) struct Proxy {
     pub(crate) address: SocketAddr,
     /// Closing it asks the proxy to stop.
@@ -35,23 +36,23 @@
     pub(crate) hold: ThreadHold,
 }
 
-/// Pauses a proxy's thread, so that what happens meanwhile happens in the order that a test wants.
+/// Pauses a proxy's thread, so that a test controls the order in which the proxy notices events.
 pub(crate) struct ThreadHold {
-    orders: UnixStream,
+    commands: UnixStream,
     paused: mpsc::Receiver<()>,
 }
 
 impl ThreadHold {
-    /// Also a task for the thread that is to be paused.
+    /// Creates a hold, and the task that pauses the thread that runs it.
     pub(crate) fn new() -> (Self, impl Future<Output = ()>) {
-        let (orders, received) = UnixStream::pair().unwrap();
+        let (commands, received) = UnixStream::pair().unwrap();
         let (pausing, paused) = mpsc::channel();
         let task = async move {
             let received = Async::new(received).unwrap();
             let next = async || {
-                let mut order = [0];
+                let mut command = [0];
                 let _ = received.readable().await;
-                received.get_ref().read(&mut order).is_ok_and(|n| n > 0).then_some(order[0])
+                received.get_ref().read(&mut command).is_ok_and(|n| n > 0).then_some(command[0])
             };
             while next().await.is_some() {
                 while pausing.send(()).is_ok() && async_io::block_on(next()) == Some(b's') {
@@ -59,27 +60,28 @@
                 }
             }
         };
-        (Self { orders, paused }, task)
+        (Self { commands, paused }, task)
     }
 
-    /// The thread is paused from here on: the reactor is notified of what comes, and no task runs.
-    pub(crate) fn stop(&mut self) {
-        self.order(b'x');
+    /// Pauses the thread: the reactor still receives events, and no task runs.
+    pub(crate) fn pause(&mut self) {
+        self.command(b'x');
         self.paused.recv_timeout(WAIT_TIMEOUT).unwrap();
     }
 
-    /// Tasks that are ready by now run once; those that they wake do not yet.
+    /// Runs the tasks that are ready once, but not those that they wake, and pauses the thread again.
     pub(crate) fn step(&mut self) {
-        self.order(b's');
+        self.command(b's');
         self.paused.recv_timeout(WAIT_TIMEOUT).unwrap();
     }
 
-    pub(crate) fn go(&mut self) {
-        self.order(b'g');
+    /// Resumes the thread.
+    pub(crate) fn resume(&mut self) {
+        self.command(b'g');
     }
 
-    fn order(&mut self, order: u8) {
-        self.orders.write_all(&[order]).unwrap();
+    fn command(&mut self, command: u8) {
+        self.commands.write_all(&[command]).unwrap();
     }
 }
 
@@ -94,12 +96,13 @@
         Self::new(listener.accept().unwrap().0)
     }
 
-    /// Closes the connection and waits until the other side's kernel knows; its process need not.
+    /// Closes the connection and waits until the kernel has reported the end to the peer's socket, whether or not the
+    /// peer's process has noticed it.
     pub(crate) fn close_and_wait(self) {
         let of = |at: std::io::Result<SocketAddr>| format!("0100007F:{:04X}", at.unwrap().port());
         let (own, other) = (of(self.0.get_ref().local_addr()), of(self.0.get_ref().peer_addr()));
         drop(self);
-        // As the kernel lists it: both addresses, and that the far side has ended it.
+        // The peer's entry in /proc/net/tcp: both addresses, and the state CLOSE_WAIT.
         let ended = format!("{other} {own} 08");
         wait_until(|| std::fs::read_to_string("/proc/net/tcp").unwrap().contains(&ended));
     }
@@ -120,8 +123,9 @@
     }
 }
 
-/// A listener that plays a server, and its address. The port stays taken when it is closed: a proxy that still shuts down
-/// would go on polling discovery there, at the listener of another test.
+/// Creates a listener for a server of the test, and returns it with its address. The port stays reserved when the
+/// listener is closed: a proxy that is still shutting down could otherwise poll discovery at the listener of another
+/// test.
 pub(crate) fn listen() -> (TcpListener, SocketAddr) {
     let placeholder = port_sharing_socket();
     placeholder.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
@@ -130,7 +134,7 @@
     let listener = port_sharing_socket();
     listener.bind(&address).unwrap();
     listener.listen(LISTEN_BACKLOG).unwrap();
-    // A connection that must come and does not fails the test instead of holding it up.
+    // A connection that never comes fails the test instead of blocking it.
     listener.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     (listener.into(), address.as_socket().unwrap())
 }
@@ -141,7 +145,7 @@
     socket
 }
 
-/// An address that refuses connections, and is kept from other tests.
+/// An address that refuses connections and is reserved, so that no other test uses it.
 pub(crate) fn refusing_address() -> SocketAddr {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
@@ -166,7 +170,7 @@
     start_on(TcpListener::bind("127.0.0.1:0").unwrap(), config)
 }
 
-/// A proxy that finds connections waiting for it.
+/// Starts a proxy on a listener that may already have connections in its accept queue.
 pub(crate) fn start_on(listener: TcpListener, config: &str) -> Proxy {
     let config: Config = serde_json::from_str(config).unwrap();
     let address = listener.local_addr().unwrap();
@@ -215,7 +219,7 @@
     start(servers, refusing_address(), "proxy", 1024)
 }
 
-/// A session established at a server: its client's end and its server's.
+/// Establishes a session; returns the client's and the server's connection.
 pub(crate) fn establish(proxy: SocketAddr, listener: &TcpListener) -> (Peer, Peer) {
     establish_with(&open_line("c=chat,t=acme,d=2000,g=3"), proxy, listener)
 }
@@ -229,12 +233,12 @@
     (client, server)
 }
 
-/// Receives one request for the endpoint list: its path.
+/// Receives one request for the endpoint list and returns its path.
 pub(crate) fn receive_request(agent: &mut Peer) -> String {
     let line = agent.receive_line();
     let mut last = line.clone();
     while last != "\r\n" {
-        assert!(!last.is_empty(), "the call ended before all of it had come");
+        assert!(!last.is_empty(), "the connection ended before the request was complete");
         last = agent.receive_line();
     }
     line.split(' ').nth(1).unwrap().to_owned()
@@ -244,12 +248,12 @@
     agent.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
 }
 
-/// Waits until the first metrics, in the order of the text, have these values.
+/// Waits until the first metrics, in the order of the text format, have these values.
 pub(crate) fn metrics_become<const N: usize>(proxy: &Proxy, want: [u32; N]) {
     wait_until(|| metrics(proxy)[..N] == want);
 }
 
-/// Waits until the metrics after the answers have these values: attempts, sessions in progress, endpoints.
+/// Waits until the metrics that follow the answer counts have these values: attempts, sessions in progress, endpoints.
 pub(crate) fn last_metrics_become(proxy: &Proxy, want: [u32; 3]) {
     wait_until(|| {
         ["app.upstream_tries", "app.in_progress", "app.known_servers"].map(|name| metric(proxy, name)) == want
@@ -270,13 +274,13 @@
 pub(crate) fn wait_until(condition: impl Fn() -> bool) {
     let until = Instant::now() + WAIT_TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < until, "the condition does not come to hold");
+        assert!(Instant::now() < until, "the condition never holds");
         thread::yield_now();
     }
 }
 
-/// A server on which connections do not come up until [`FullBacklog::listen`]: its backlog is full, and the kernel of a
-/// client that connects meanwhile tries again a second later.
+/// A server at which no connection is established until [`FullBacklog::listen`]: its backlog is full, and the kernel of
+/// a client that connects meanwhile repeats the SYN after a second.
 pub(crate) struct FullBacklog {
     listener: TcpListener,
     at: SocketAddr,
@@ -296,23 +300,24 @@
 
     /// Waits until a client tries to connect.
     pub(crate) fn wait_for_connection_attempt(&self) {
-        // As the kernel lists it: the far address, and the state SYN_SENT.
+        // The client's entry in /proc/net/tcp: the remote address, and the state SYN_SENT.
         let wanted = format!(":{:04X} 02", self.at.port());
         wait_until(|| std::fs::read_to_string("/proc/net/tcp").unwrap().contains(&wanted));
     }
 
+    /// Frees the backlog, so that connections are established.
     pub(crate) fn listen(self) -> TcpListener {
         drop((self.listener.accept().unwrap(), self.first));
         self.listener
     }
 }
 
-/// What has been sent to a server on connections that nobody answered, up to now.
+/// The first lines sent so far to a server on connections that were not accepted yet.
 pub(crate) fn open_lines(listener: &TcpListener) -> Vec<String> {
     first_lines(listener).into_iter().filter(|line| !line.is_empty()).collect()
 }
 
-/// The first line on each connection to a server, up to now; nothing where none was sent.
+/// The first line on each connection that was made so far to a server and not accepted yet; empty where none was sent.
 pub(crate) fn first_lines(listener: &TcpListener) -> Vec<String> {
     let last = Peer::connect(listener.local_addr().unwrap(), "the last\r\n");
     let all = std::iter::repeat_with(|| Peer::accept(listener).receive_line());
