--- a/crates/larklink-proxy/src/config.rs
+++ b/crates/larklink-proxy/src/config.rs
@@ -1,5 +1,5 @@
-//! The configuration that a proxy starts with: one JSON file, and one environment variable that goes before it. This is
-//! where the names in the file are mapped.
+//! The configuration of a proxy: a JSON file, and one environment variable that takes precedence over it. Fields that
+//! have another name in the file are mapped by serde attributes.
 use std::net::{AddrParseError, SocketAddr};
 use std::path::{Path, PathBuf};
 
@@ -19,33 +19,33 @@
 /// The configuration of a proxy.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Config {
-    /// The proxy's name, for its log.
+    /// The proxy's name, written to its log.
     #[serde(default)]
     pub name: String,
-    /// Where clients connect to.
+    /// The address on which client connections are accepted.
     pub listen: SocketAddr,
-    /// Where the endpoint list is polled.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// Where the admin endpoint listens; there is none without it.
+    /// The address of the admin endpoint, which is disabled if there is none.
     #[serde(default, rename = "console")]
     pub admin_address: Option<SocketAddr>,
-    /// The seed of all random choices; hexadecimal in the file.
+    /// The seed of all random number generators, hexadecimal in the file.
     #[serde(deserialize_with = "deserialize_hex")]
     pub seed: u64,
-    /// Limits of the process.
+    /// Resource limits of the process.
     #[serde(default)]
     pub limits: Limits,
-    /// The endpoint list that the proxy starts with.
+    /// The endpoint list to use until discovery sends one.
     #[serde(default, rename = "known")]
     pub cached_endpoints: CachedEndpoints,
-    /// The settings of the decisions.
+    /// The settings of the decision engine.
     pub settings: ProxySettings,
 }
 
-/// Limits of a process.
+/// Resource limits of a process.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Limits {
-    /// File descriptors that the process may have open.
+    /// The most file descriptors that the process may have open.
     #[serde(rename = "sockets")]
     pub max_descriptors: usize,
 }
@@ -56,29 +56,29 @@
     }
 }
 
-/// The endpoint list as this proxy last had it, which may be outdated. Unreadable entries are left out: discovery has
-/// the list, and a process that did not start would serve no client.
+/// The last endpoint list that this proxy had, which may be outdated. Invalid entries are skipped instead of
+/// failing the start: discovery sends the current list anyway, and a process that does not start serves no client.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(from = "Value")]
 pub struct CachedEndpoints {
-    /// The endpoints that could be read.
+    /// The valid entries.
     pub endpoints: Vec<Endpoint>,
-    /// What was left out.
-    pub unreadable: Vec<UnreadableEndpoints>,
+    /// Why entries, or the whole list, were skipped.
+    pub errors: Vec<CachedEndpointError>,
 }
 
-/// Why a part of the cached endpoint list was left out.
+/// Why a part of the cached endpoint list was skipped.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-pub enum UnreadableEndpoints {
-    /// There is no list of endpoints.
-    #[error("known.endpoints: no list of servers")]
+pub enum CachedEndpointError {
+    /// `endpoints` is missing or not an array.
+    #[error("known.endpoints: missing or not a list")]
     NoList,
-    /// An entry is no endpoint.
+    /// An entry is not a valid endpoint.
     #[error("known.endpoints[{index}]: {reason}")]
     Entry {
-        /// Its place in the list.
+        /// The entry's index in the list.
         index: usize,
-        /// What is wrong with it.
+        /// The deserialization error.
         reason: String,
     },
 }
@@ -87,7 +87,7 @@
     fn from(mut list: Value) -> Self {
         let mut cached = Self::default();
         let Some(Value::Array(entries)) = list.get_mut("endpoints").map(Value::take) else {
-            cached.unreadable.push(UnreadableEndpoints::NoList);
+            cached.errors.push(CachedEndpointError::NoList);
             return cached;
         };
         for (index, entry) in entries.into_iter().enumerate() {
@@ -95,7 +95,7 @@
                 Ok(endpoint) => cached.endpoints.push(endpoint),
                 Err(error) => {
                     let reason = error.to_string();
-                    cached.unreadable.push(UnreadableEndpoints::Entry { index, reason });
+                    cached.errors.push(CachedEndpointError::Entry { index, reason });
                 }
             }
         }
@@ -116,27 +116,27 @@
     Unreadable {
         /// The file.
         file: PathBuf,
-        /// The error of the system.
+        /// The I/O error.
         reason: std::io::Error,
     },
-    /// A field has no valid value.
+    /// A field is missing or has an invalid value.
     #[error("{}: {reason}", file.display())]
     InvalidField {
         /// The file.
         file: PathBuf,
-        /// The path of the field and what is wrong there.
+        /// The path of the field and the error.
         reason: serde_path_to_error::Error<serde_json::Error>,
     },
-    /// Something follows the JSON object.
+    /// There is data after the JSON object.
     #[error("{}: {reason}", file.display())]
     TrailingData {
         /// The file.
         file: PathBuf,
-        /// Where it follows.
+        /// The error, with the position of the data.
         reason: serde_json::Error,
     },
     /// The settings list no listener.
-    #[error("{}: the settings name no listener", file.display())]
+    #[error("{}: the settings list no listener", file.display())]
     NoListener {
         /// The file.
         file: PathBuf,
@@ -146,7 +146,7 @@
     InvalidAdminAddress {
         /// The variable's value.
         value: String,
-        /// What is wrong with it.
+        /// The parse error.
         reason: AddrParseError,
     },
 }
@@ -169,8 +169,8 @@
         Ok(config)
     }
 
-    /// Replaces the admin address by the value of `ROUTER_CONSOLE`, if that is set and not empty: the environment
-    /// belongs to one process, while two processes of a proxy may share the file.
+    /// Overrides the admin address with the value of `ROUTER_CONSOLE` if that is set and not empty. Two processes of a
+    /// proxy may share the file, but each needs an admin address of its own.
     ///
     /// # Errors
     /// The value is not a socket address.
--- a/crates/larklink-proxy/src/endpoint_list.rs
+++ b/crates/larklink-proxy/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list in the form that discovery has it, and the conversion of its entries for the decisions. Pure.
+//! The endpoint list as discovery sends it, and the conversion of its entries for the decision engine. Performs no I/O.
 use larklink_balancer::{EndpointEntry, EndpointIndex, EndpointState, TickDuration, Timestamp};
 use larklink_engine::engine::EndpointId;
 use serde::{Deserialize, Serialize};
@@ -6,49 +6,49 @@
 
 const TICKS_PER_MILLISECOND: f64 = 10.0;
 
-/// The endpoint list, or what changed in it, as discovery sends it.
+/// A complete endpoint list, or changes to one, as discovery sends it.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct EndpointList {
-    /// Grows with each change.
+    /// The version of the list, which increases with each change.
     pub index: u64,
-    /// Whether it is complete; otherwise it contains changes only.
+    /// Whether the list is complete; otherwise it contains the changed entries only.
     #[serde(default)]
     pub snapshot: bool,
-    /// The endpoints.
+    /// The entries.
     pub endpoints: Vec<Endpoint>,
 }
 
 /// An entry of the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Endpoint {
-    /// Its name, which its id is made from.
+    /// Its name, from which its id is derived.
     pub name: String,
     /// Its socket address.
     pub address: String,
-    /// Its state: `up`, `draining`, `removed`, or another, which counts as `draining`.
+    /// Its state: `up`, `draining` or `removed`. Any other value is treated as `draining`.
     pub status: String,
-    /// The name of its zone; empty if discovery names none.
+    /// The name of its zone; empty if unknown.
     #[serde(default)]
     pub zone: String,
-    /// The number of its cell, a group of endpoints that share idempotency keys.
+    /// Its cell: the group of endpoints with which it shares idempotency keys.
     #[serde(default, rename = "group")]
     pub cell: u16,
-    /// Its capacity relative to other endpoints; 0 if discovery names none.
+    /// Its capacity relative to other endpoints; 0 if unknown.
     #[serde(default)]
     pub weight: f64,
-    /// When it started, in milliseconds since 1970; 0 if discovery does not say.
+    /// When it started, in milliseconds since the Unix epoch; 0 if unknown.
     #[serde(default, rename = "since_ms")]
     pub started_at_ms: f64,
 }
 
-/// An endpoint's id. It is made from the name alone, so that all proxies agree on it whatever the endpoint's address
-/// and its place in the list.
+/// Derives an endpoint's id from its name alone, so that all proxies agree on the id regardless of the endpoint's
+/// address and its position in the list.
 pub fn endpoint_id(name: &str) -> EndpointId {
     xxh3_64(name.as_bytes()) as EndpointId
 }
 
 impl Endpoint {
-    /// The entry as the decisions take it. A zone that is not among `zones` gets the number after the last.
+    /// Converts the entry for the decision engine. A zone that is not in `zones` gets the index `zones.len()`.
     pub fn to_entry(&self, zones: &[String]) -> EndpointEntry {
         EndpointEntry {
             endpoint: EndpointIndex(0),
@@ -66,7 +66,7 @@
         match self.status.as_str() {
             "up" => EndpointState::Ready,
             "removed" => EndpointState::Removed,
-            // An unknown state gets no new sessions, and keeps those that it has.
+            // An endpoint in an unknown state gets no new sessions and keeps its established ones.
             _ => EndpointState::Draining,
         }
     }
--- a/crates/larklink-proxy/src/lib.rs
+++ b/crates/larklink-proxy/src/lib.rs
@@ -1,13 +1,13 @@
-//! A proxy for long-lived connections on sockets, around the larklink decisions. One thread runs all tasks but the admin
-//! endpoint and the log. One task owns the decisions ([`decision_task`]); the others reach them through its queue only and
-//! get commands back ([`events`]).
+//! A proxy for long-lived TCP connections, built on the larklink decision engine. One thread runs all tasks except the
+//! admin endpoint and the log writer. One task owns the engine ([`decision_task`]); all others send it events through a
+//! queue and receive commands back ([`events`]).
 //!
-//! - [`proxy`] assembles the tasks and stops them; `accept` accepts connections.
+//! - [`proxy`] starts the tasks and shuts them down; `accept` accepts connections.
 //! - `session` runs a client's session: first line, attempts, relay, migration.
 //! - [`upstream`] makes attempts and health checks at endpoints; [`discovery`] follows the endpoint list.
-//! - [`handover`] takes over from a predecessor process, and hands over to a successor.
-//! - [`limiter`] counts file descriptors; [`metrics`], [`admin`] and [`log`] report.
-//! - [`config`], [`reload`], [`protocol`] and [`endpoint_list`] hold the external formats.
+//! - [`handover`] takes sessions over from a predecessor process and hands them over to a successor.
+//! - [`limiter`] limits the open file descriptors; [`metrics`], [`admin`] and [`log`] report.
+//! - [`config`], [`reload`], [`protocol`] and [`endpoint_list`] define the external formats.
 mod accept;
 pub mod admin;
 pub mod clock;
--- a/crates/larklink-proxy/src/log.rs
+++ b/crates/larklink-proxy/src/log.rs
@@ -1,4 +1,4 @@
-//! The program's log: where it is written, and the reason codes of the one line that each connection leaves when it ends.
+//! The log of the process, and the reason codes of the line that is logged when a connection ends.
 use std::fmt;
 
 use tracing::Level;
@@ -6,50 +6,50 @@
 
 /// The environment variable with the log level.
 const LEVEL_VARIABLE: &str = "LARKLINK_LOG";
-/// Lines that may wait for the log's reader; further ones are dropped.
+/// Lines that are buffered for standard error; further ones are dropped.
 const MAX_BUFFERED_LINES: usize = 4096;
 
-/// Why a connection ended; `docs/on-call.md` says what to do about each.
+/// Why a connection ended. `docs/on-call.md` describes what to do about each reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// Its client sent only health checks.
+    /// The client sent health checks only.
     HealthCheck,
-    /// Its client or endpoint broke the protocol.
+    /// The client or the endpoint violated the protocol.
     ProtocolError,
-    /// Its first line was not complete in time.
+    /// The first line was not complete in time.
     OpenLineTimeout,
-    /// No file descriptors were left for it.
+    /// No file descriptor was free for the connection.
     NoDescriptors,
-    /// The session was rejected: it has run nowhere and may be retried.
+    /// The session was rejected. It has not run on any endpoint and may be retried.
     Rejected,
-    /// The session was failed: it may have run and must not run again.
+    /// The session failed. It may have run and must not be retried.
     Failed,
-    /// Its client closed it, before or after the session was accepted.
+    /// The client closed the connection, before or after the session was accepted.
     ClientClosed,
-    /// Its client reset it.
+    /// The client reset the connection.
     ClientReset,
-    /// Its client did not read what was sent to it.
+    /// The client did not read what was sent to it in time.
     ClientWriteTimeout,
-    /// The session was served to its end.
+    /// The session completed.
     Completed,
-    /// Its endpoint asked the client to reconnect.
+    /// The endpoint asked the client to reconnect.
     ServerMigrated,
-    /// Its endpoint closed it within the session.
+    /// The endpoint closed the connection during the session.
     ServerClosed,
-    /// Its endpoint reset it.
+    /// The endpoint reset the connection.
     ServerReset,
-    /// Its endpoint answered nothing for too long.
+    /// The endpoint was silent for too long.
     Unresponsive,
-    /// The decisions migrated its client.
+    /// The decision engine migrated the session.
     Migrated,
-    /// The proxy stops.
+    /// The proxy is shutting down.
     Shutdown,
-    /// It goes on in the process that replaces this one.
+    /// The session was handed over to the successor process.
     HandedOver,
 }
 
 impl EndReason {
-    /// The code in the log.
+    /// Returns the reason code for the log.
     fn code(self) -> &'static str {
         match self {
             Self::HealthCheck => "health_check",
@@ -79,9 +79,9 @@
     }
 }
 
-/// Starts the log on standard error, at the level that `LARKLINK_LOG` names (`info` without it); `debug` adds each event
-/// and action of the decisions. Lines are written by a thread of its own and dropped while too many wait: a reader that
-/// stalls must not stall the proxy. The log is flushed when the guard is dropped.
+/// Starts logging to standard error at the level in `LARKLINK_LOG`, by default `info`; `debug` adds each event and
+/// action of the decision engine. A separate thread writes the lines, and lines are dropped while its buffer is full,
+/// so that a stalled reader cannot stall the proxy. Dropping the guard flushes the log.
 pub fn start() -> WorkerGuard {
     let (writer, guard) = NonBlockingBuilder::default()
         .buffered_lines_limit(MAX_BUFFERED_LINES)
--- a/crates/larklink-proxy/src/main.rs
+++ b/crates/larklink-proxy/src/main.rs
@@ -1,6 +1,6 @@
-//! Starts a proxy: `larklink [CONFIG]`, else with the configuration that `ROUTER_CONFIG` names. SIGTERM and SIGINT stop
-//! it, SIGHUP reloads the configuration. `ROUTER_CONSOLE` names the address of the admin endpoint, before the one in the
-//! configuration.
+//! Runs a proxy: `larklink [CONFIG]`. Without an argument, `ROUTER_CONFIG` names the configuration file. SIGTERM and
+//! SIGINT shut the proxy down gracefully, SIGHUP reloads the configuration. `ROUTER_CONSOLE` overrides the configured
+//! address of the admin endpoint.
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -22,23 +22,23 @@
 use socket2::{Domain, Socket, Type};
 use thiserror::Error;
 
-/// The environment variable with the path of the configuration.
+/// The environment variable with the path of the configuration file.
 const CONFIG_VARIABLE: &str = "ROUTER_CONFIG";
-/// The environment variable with the folder in which the processes of a proxy meet.
-const FOLDER_VARIABLE: &str = "TMPDIR";
-/// Connections that the kernel holds until they are accepted.
+/// The environment variable with the directory of the handover socket.
+const SOCKET_DIRECTORY_VARIABLE: &str = "TMPDIR";
+/// The length of the kernel's queue of connections that wait to be accepted.
 const LISTEN_BACKLOG: i32 = 1024;
 
-/// Why a proxy does not run.
+/// Why a proxy cannot start or run.
 #[derive(Debug, Error)]
 enum StartError {
     #[error(transparent)]
     Config(#[from] ConfigError),
-    #[error("signals: {0}")]
+    #[error("cannot register signal handlers: {0}")]
     Signals(std::io::Error),
-    #[error("{address}: {reason}")]
+    #[error("cannot listen on {address}: {reason}")]
     Listen { address: SocketAddr, reason: std::io::Error },
-    #[error("console {address}: {reason}")]
+    #[error("cannot start the admin endpoint on {address}: {reason}")]
     AdminEndpoint { address: SocketAddr, reason: std::io::Error },
     #[error(transparent)]
     Run(std::io::Error),
@@ -63,11 +63,11 @@
     let admin_address = std::env::var(ADMIN_ADDRESS_VARIABLE).ok();
     let mut config = Config::read(&path)?.with_admin_address(admin_address.as_deref())?;
     let _log_guard = log::start();
-    // Before the listener: the kernel accepts connections from the first moment on, which a signal without a handler would
-    // end with the process.
+    // The handlers are registered before the socket listens: the kernel accepts connections from then on, and a signal
+    // without a handler would terminate the process and reset them.
     let signals = Signals::new([Signal::Hup, Signal::Term, Signal::Int]).map_err(StartError::Signals)?;
-    let socket_path = socket_path(&config, std::env::var_os(FOLDER_VARIABLE).map(PathBuf::from));
-    let offer = socket_path.as_deref().and_then(|path| meet_predecessor(path, config.listen));
+    let socket_path = socket_path(&config, std::env::var_os(SOCKET_DIRECTORY_VARIABLE).map(PathBuf::from));
+    let offer = socket_path.as_deref().and_then(|path| connect_to_predecessor(path, config.listen));
     let (listener, predecessor) = open_listener(&config, offer)?;
     let address = listener.local_addr().map_err(StartError::Run)?;
     tracing::info!(name = config.name, listen = %address, "proxy started");
@@ -81,7 +81,7 @@
     let (shutdown_sender, shutdown) = async_channel::bounded(1);
     let (new_discovery_address, discovery_addresses) = async_channel::bounded(1);
     let reloader = ConfigReloader::new(path, config.clone(), new_discovery_address);
-    // Runs until the process ends.
+    // The task runs until the process exits.
     executor.spawn(handle_signals(signals, reloader, shutdown_sender)).detach();
     config.limits.max_descriptors = raise_descriptor_limit(config.limits.max_descriptors);
     let options =
@@ -90,7 +90,8 @@
     async_io::block_on(executor.run(proxy)).map_err(StartError::Run)
 }
 
-/// Reloads on SIGHUP, and requests the shutdown on the others; further ones of those change nothing.
+/// Reloads the configuration on SIGHUP, and requests shutdown on any other signal. Repeated shutdown requests have no
+/// effect.
 async fn handle_signals(mut signals: Signals, reloader: ConfigReloader, shutdown: Sender<()>) {
     while let Some(signal) = signals.next().await {
         match signal {
@@ -100,24 +101,25 @@
     }
 }
 
-/// Raises the process's limit of descriptors as far as the system allows; what it may hold then, `wanted` at most. More
-/// connections than that would take the descriptors of discovery and the log.
+/// Raises the soft limit of open descriptors to `wanted`, or as far as the hard limit allows. Returns how many the
+/// process may use, at most `wanted`. The connection limiter needs this number: with a higher one, client connections
+/// would use up the descriptors of discovery and the log.
 fn raise_descriptor_limit(wanted: usize) -> usize {
     let limit = getrlimit(Resource::Nofile);
     let current = limit.current.unwrap_or(u64::MAX);
-    let raised = (wanted as u64).min(limit.maximum.unwrap_or(u64::MAX));
+    let new_limit = (wanted as u64).min(limit.maximum.unwrap_or(u64::MAX));
     let is_raised = current < wanted as u64
-        && setrlimit(Resource::Nofile, Rlimit { current: Some(raised), ..limit }).is_ok();
-    let allowed = if is_raised { raised } else { current };
+        && setrlimit(Resource::Nofile, Rlimit { current: Some(new_limit), ..limit }).is_ok();
+    let allowed = if is_raised { new_limit } else { current };
     if allowed < wanted as u64 {
         tracing::warn!(wanted, allowed, "descriptor limit below limits.sockets");
     }
     allowed.min(wanted as u64) as usize
 }
 
-/// Meets the process that serves already at this address. One that does not speak the protocol is ignored: the address
-/// can be shared with it.
-fn meet_predecessor(socket_path: &Path, listen: SocketAddr) -> Option<Offer> {
+/// Requests a handover from the process that already listens on this address, if there is one. A process that does not
+/// speak the handover protocol is ignored: the address is then shared with it through `SO_REUSEPORT`.
+fn connect_to_predecessor(socket_path: &Path, listen: SocketAddr) -> Option<Offer> {
     let path = socket_path.display();
     match async_io::block_on(predecessor::meet(socket_path)) {
         Ok(Some(offer)) if offer.listener.local_addr().ok() == Some(listen) => Some(offer),
@@ -133,7 +135,7 @@
     }
 }
 
-/// The predecessor's listener, or else one of this process's own.
+/// Returns the predecessor's listening socket if it offers one, or else opens a new one.
 fn open_listener(
     config: &Config,
     offer: Option<Offer>,
@@ -150,9 +152,9 @@
 
 fn listen(config: &Config) -> std::io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(config.listen), Type::STREAM, None)?;
-    // A restart takes the address over from connections that are still closing.
+    // After a restart, connections of the previous process that are still closing may occupy this address.
     socket.set_reuse_address(true)?;
-    // A successor that cannot have this process's socket shares the address with it.
+    // A successor to which this socket cannot be handed over binds to the same address.
     socket.set_reuse_port(config.admin_address.is_some())?;
     socket.bind(&config.listen.into())?;
     socket.listen(LISTEN_BACKLOG)?;
--- a/crates/larklink-proxy/src/proxy.rs
+++ b/crates/larklink-proxy/src/proxy.rs
@@ -1,4 +1,4 @@
-//! Assembles a proxy from its tasks, and stops it gracefully.
+//! Starts the tasks of a proxy and shuts it down gracefully.
 use std::convert::Infallible;
 use std::io::Result;
 use std::net::{SocketAddr, TcpListener};
@@ -33,40 +33,40 @@
 use crate::session::shutdown::Shutdown;
 use crate::upstream::health_check::HealthChecker;
 
-/// Descriptors kept for the listener, discovery, the log, the event loop and one handover, and for a connection that is
-/// accepted while another is evicted for it. Those of the admin endpoint come on top.
+/// Descriptors reserved for the listener, discovery, the log, the event loop, one handover, and a connection that is
+/// accepted before the one evicted for it has closed. The admin endpoint needs [`admin::DESCRIPTORS`] more.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// How long new connections are still accepted after the proxy is asked to stop.
+/// How long new connections are still accepted after shutdown is requested.
 const ACCEPT_GRACE: Duration = Duration::from_millis(600);
-/// How long the last of those may wait for an answer at most: for the longest dial timeout, up to this.
+/// Upper bound on the time for answering the last accepted connections. It is otherwise the longest dial timeout.
 const MAX_ANSWER_GRACE: Duration = Duration::from_secs(3);
-/// How long a new process waits for the first list of discovery before it counts as ready without one.
+/// How long a starting process waits for the first endpoint list before it becomes ready without one.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(2);
-/// How often a stopping process looks whether its sessions have ended.
+/// How often a process that is shutting down checks whether its sessions have ended.
 const SESSIONS_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// The streams of random numbers beside that of the decisions, all of one seed.
+/// Streams of random numbers. They share the configured seed; the decision engine uses a stream of its own.
 const DISCOVERY_RNG_STREAM: u64 = 1;
 const SESSION_RNG_STREAM: u64 = 2;
 
-/// What a process of a proxy starts with.
+/// The inputs of [`run`].
 pub struct ProxyOptions {
-    /// Its configuration.
+    /// The configuration.
     pub config: Config,
-    /// Its listening socket.
+    /// The listening socket.
     pub listener: TcpListener,
-    /// Closes when the proxy is to stop.
+    /// Closes when shutdown is requested.
     pub shutdown: Receiver<()>,
-    /// Each new address of discovery.
+    /// Receives the address of discovery on each reload of the configuration.
     pub discovery_addresses: Receiver<SocketAddr>,
-    /// Where it counts.
+    /// The metrics that the proxy updates.
     pub metrics: Arc<Metrics>,
-    /// Where the processes of this proxy meet, if there may be two.
+    /// The path of the handover socket; none if handover is disabled.
     pub socket_path: Option<PathBuf>,
-    /// The process that serves already.
+    /// The process to take over from, if there is one.
     pub predecessor: Option<Predecessor>,
 }
 
-/// The handover of a process, from its predecessor and to its successor.
+/// What the process needs to take over from its predecessor and to hand over to its successor.
 struct Handover {
     context: Rc<HandoverContext>,
     server: Rc<HandoverServer>,
@@ -74,10 +74,10 @@
     handed_over: Sender<HandedOverSession>,
 }
 
-/// Runs a proxy until it was asked to stop and has stopped. The tasks that it spawns end with the executor.
+/// Runs a proxy until shutdown is requested and complete. The tasks that it spawns are dropped with the executor.
 ///
 /// # Errors
-/// The listener cannot be registered with the reactor, or not be cloned for a successor.
+/// The listener cannot be registered with the reactor or cloned for a successor.
 pub async fn run(options: ProxyOptions, executor: Rc<LocalExecutor<'static>>) -> Result<()> {
     let ProxyOptions { mut config, listener, shutdown, metrics, socket_path, predecessor, .. } = options;
     let shared_listener = socket_path.as_ref().map(|_| listener.try_clone()).transpose()?;
@@ -92,7 +92,7 @@
     let session_shutdown = Shutdown::new(shutdown.clone(), shutdown_grace(&config));
     let context =
         new_session_context(&config, &queue, &limiter, &metrics, session_shutdown, accepting_closed);
-    // While a predecessor accepts connections, this process does not.
+    // With a predecessor, this process accepts connections only once the predecessor has stopped accepting them.
     let accepts_at_start = predecessor.is_none();
     let (accepting, accepting_changes) = async_channel::bounded(1);
     let (handed_over, handed_over_sessions) = async_channel::bounded(1);
@@ -136,9 +136,9 @@
     ConnectionLimiter::with_reserved(reserved, config.limits.max_descriptors)
 }
 
-/// The endpoint list to start with: the predecessor's if it has one, else the cached one.
+/// Returns the endpoint list to start with: the predecessor's if it has one, else the cached one.
 fn initial_endpoints(cached: CachedEndpoints, predecessor: Option<&Predecessor>) -> Vec<Endpoint> {
-    for reason in cached.unreadable {
+    for reason in cached.errors {
         tracing::warn!(%reason, "cached endpoint ignored");
     }
     match predecessor {
@@ -147,7 +147,7 @@
     }
 }
 
-/// Spawns the decision task; the channel that is returned closes with the first list of discovery.
+/// Spawns the decision task. The returned channel closes when discovery has sent the first endpoint list.
 fn spawn_decisions(
     config: &Config,
     endpoints: Vec<Endpoint>,
@@ -193,7 +193,7 @@
     rng
 }
 
-/// How long the proxy runs on after it is asked to stop.
+/// Returns how long the proxy keeps running after shutdown is requested.
 fn shutdown_grace(config: &Config) -> Duration {
     ACCEPT_GRACE + to_duration(config.settings.max_dial_timeout).min(MAX_ANSWER_GRACE)
 }
@@ -221,20 +221,20 @@
     })
 }
 
-/// Continues the sessions that the predecessor hands over.
+/// Resumes the sessions that the predecessor hands over.
 async fn resume_sessions(
     context: &Rc<SessionContext>,
     sessions: &Receiver<HandedOverSession>,
     executor: &LocalExecutor<'static>,
 ) -> Infallible {
     while let Ok(session) = sessions.recv().await {
-        // Ends with its session, or with the process.
+        // The task ends with its session or with the executor.
         executor.spawn(handler::resume(Rc::clone(context), session)).detach();
     }
     future::pending().await
 }
 
-/// Makes the process ready, after it has taken over from its predecessor if there is one; then serves successors.
+/// Takes over from the predecessor, if there is one, and marks the process as ready; then serves successors.
 async fn become_ready(
     handover: Option<Handover>,
     first_list: Receiver<Infallible>,
@@ -251,12 +251,12 @@
         Some(predecessor) => {
             let predecessor = predecessor.take_over(&context, list_ready).await;
             let limiter = Rc::clone(&context.limiter);
-            // Ends with the predecessor.
+            // The task ends when the predecessor exits.
             executor.spawn(async move { predecessor.follow(&limiter, &handed_over).await }).detach();
         }
         None => list_ready.await,
     }
-    // Before it is ready: the supervisor may then start the next process at once.
+    // The socket is bound first: the supervisor may start the next process as soon as this one is ready.
     let socket = server.bind();
     metrics.set_ready(true);
     let served = async { server.run(socket?, executor).await };
@@ -267,7 +267,8 @@
     future::pending().await
 }
 
-/// Resolves with the first list, or after a time without: a silent discovery must not keep a process from being ready.
+/// Waits for the first endpoint list, but no longer than [`FIRST_LIST_TIMEOUT`]: an unresponsive discovery service must
+/// not keep a process from becoming ready.
 async fn first_list_or_timeout(first_list: Receiver<Infallible>) {
     let received = async {
         let _ = first_list.recv().await;
@@ -278,21 +279,21 @@
     received.or(timeout).await;
 }
 
-/// Starts the shutdown, and waits until no more connections come.
+/// Starts the shutdown, and waits while new connections may still arrive.
 async fn drain_listener(context: &SessionContext) {
-    // The grace period starts here.
+    // Starts the grace period.
     context.shutdown.deadline();
-    // None comes any more where a successor accepts them.
+    // A successor already accepts all new connections.
     if !context.successor.is_present() {
         Timer::after(ACCEPT_GRACE).await;
     }
 }
 
-/// Waits until all sessions have ended, up to the deadline. Where packets pass through, they do so until those in front
-/// of the proxy send them elsewhere.
+/// Waits until all sessions have ended or the deadline has passed. In passthrough mode, sessions are relayed until
+/// then: the load balancer in front of the proxy needs that time to route their packets elsewhere.
 async fn drain_sessions(context: &Rc<SessionContext>) {
     let deadline = context.shutdown.deadline();
-    // Each session's task holds a reference.
+    // Each session task holds a reference to the context.
     while Rc::strong_count(context) > 1 && Instant::now() < deadline {
         Timer::after(SESSIONS_POLL_INTERVAL).await;
     }
--- a/crates/larklink-proxy/src/reload.rs
+++ b/crates/larklink-proxy/src/reload.rs
@@ -1,5 +1,6 @@
-//! Reload of the configuration while the proxy runs. Only the address of discovery is applied; sessions are untouched.
-//! Everything else needs a restart, and the log says so where it differs.
+//! Reloads the configuration while the proxy runs. Only the address of discovery is applied, and sessions are not
+//! affected. Other changes need a restart; a warning is logged if the name, the listen address, the limits or the
+//! settings differ.
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -7,21 +8,22 @@
 
 use crate::config::Config;
 
-/// Reads the configuration file again on request.
+/// Reloads the configuration file.
 pub struct ConfigReloader {
     path: PathBuf,
-    /// The configuration that the proxy runs with.
+    /// The configuration that is in effect.
     running: Config,
     discovery: Sender<SocketAddr>,
 }
 
 impl ConfigReloader {
-    /// A reloader that sends the address of discovery to a channel with room for one: of several reloads the last counts.
+    /// Creates a reloader that sends the address of discovery to `discovery`, a channel with a capacity of one. Each
+    /// reload replaces an address that has not been received yet.
     pub fn new(path: PathBuf, running: Config, discovery: Sender<SocketAddr>) -> Self {
         Self { path, running, discovery }
     }
 
-    /// Reads the file and applies it. One that cannot be read is logged and changes nothing.
+    /// Reads the file and applies it. If it cannot be read or is invalid, the error is logged and nothing changes.
     pub fn reload(&self) {
         let new = match Config::read(&self.path) {
             Ok(new) => new,
@@ -34,7 +36,7 @@
             tracing::warn!("configuration changes other than discovery need a restart");
         }
         tracing::info!(discovery = %new.discovery, "configuration reloaded");
-        // It only fails when the proxy is about to exit.
+        // Sending fails only when the proxy is about to exit.
         let _ = self.discovery.force_send(new.discovery);
     }
 
--- a/crates/larklink-proxy/src/timeout.rs
+++ b/crates/larklink-proxy/src/timeout.rs
@@ -1,14 +1,14 @@
-//! A time limit on asynchronous operations.
+//! Timeouts for asynchronous operations.
 use std::io::{ErrorKind, Result};
 use std::time::Duration;
 
 use async_io::Timer;
 use futures_lite::FutureExt;
 
-/// Runs an operation for at most `timeout`, and drops it then.
+/// Runs an operation, and drops it if it has not completed within `timeout`.
 ///
 /// # Errors
-/// The operation's own, or [`ErrorKind::TimedOut`].
+/// The operation's error, or [`ErrorKind::TimedOut`].
 pub async fn with_timeout<T>(timeout: Duration, operation: impl Future<Output = Result<T>>) -> Result<T> {
     let timed_out = async {
         Timer::after(timeout).await;
--- a/crates/larklink-proxy/tests/wire_fixtures.rs
+++ b/crates/larklink-proxy/tests/wire_fixtures.rs
@@ -163,7 +163,7 @@
     assert_eq!(config.limits.max_descriptors, 4096);
     assert_eq!(config.cached_endpoints.endpoints, endpoints());
     assert_eq!(
-        config.cached_endpoints.unreadable.iter().map(ToString::to_string).collect::<Vec<_>>(),
+        config.cached_endpoints.errors.iter().map(ToString::to_string).collect::<Vec<_>>(),
         [
             "known.endpoints[5]: missing field `address`",
             "known.endpoints[6]: invalid type: integer `5`, expected a string",
@@ -239,7 +239,7 @@
     let config: Config = serde_json::from_str(text).unwrap();
     assert_eq!((config.name.as_str(), config.admin_address, config.seed), ("", None, 31));
     assert_eq!(config.limits.max_descriptors, 1024);
-    assert!(config.cached_endpoints.endpoints.is_empty() && config.cached_endpoints.unreadable.is_empty());
+    assert!(config.cached_endpoints.endpoints.is_empty() && config.cached_endpoints.errors.is_empty());
     let told = &config.settings;
     assert_eq!(
         (&told.listeners, told.zones.len(), told.load_report_names.len()),
