--- a/crates/larklink-proxy/src/discovery/client.rs
+++ b/crates/larklink-proxy/src/discovery/client.rs
@@ -1,4 +1,4 @@
-//! The discovery client: polls the endpoint list without end, at the latest address that it was given.
+//! The discovery client: polls the endpoint list for as long as the proxy runs, at the latest configured address.
 use std::convert::Infallible;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -16,12 +16,12 @@
 use crate::events::{DecisionEvent, DecisionQueue};
 use crate::timeout::with_timeout;
 
-/// A proxy has to be notified by a new address four seconds after SIGHUP: its first poll is timed like one after a
-/// failure.
-const FAILURES_AT_NEW_ADDRESS: u32 = 1;
+/// Failures that are assumed when the address changes. A proxy counts as notified by the new address four seconds after
+/// SIGHUP, so its first poll there uses the short timeouts that apply after a failure.
+const INITIAL_FAILURES_AT_NEW_ADDRESS: u32 = 1;
 
-/// Follows the endpoint list for as long as it is run, always at the latest address. A new address starts a new watch:
-/// list indices of another address cannot be compared.
+/// Polls the endpoint list until dropped, always at the latest address. A new address resets all state, since list
+/// indices of different addresses cannot be compared.
 pub async fn follow(
     mut address: SocketAddr,
     new_addresses: Receiver<SocketAddr>,
@@ -45,20 +45,20 @@
                 Err(_) => future::pending().await,
             }
         };
-        // A new address drops the watch of the old one wherever it waits.
+        // A new address cancels the poll or backoff that is in progress.
         address = new_address.or(async { match watch.run().await {} }).await;
-        failures = FAILURES_AT_NEW_ADDRESS;
+        failures = INITIAL_FAILURES_AT_NEW_ADDRESS;
     }
 }
 
-/// Polls at one address.
+/// Polls the endpoint list at one address.
 struct Watch<'a> {
     address: SocketAddr,
     schedule: &'a PollSchedule,
     queue: &'a DecisionQueue,
     rng: &'a mut ChaCha8Rng,
     state: WatchState,
-    /// The connection of the last poll, if the next can use it.
+    /// The connection of the last poll, if it can be reused.
     idle_connection: Option<DiscoveryConnection>,
 }
 
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Polls, acts on the outcome, and rests as long as that asks for.
+    /// Polls once, handles the outcome, and waits until the next poll is due.
     async fn poll_once(&mut self) {
         let polled_at = Instant::now();
         let progress = PollProgress::default();
@@ -82,19 +82,19 @@
         }
     }
 
-    /// Polls, and keeps the connection open where the next poll can use it.
+    /// Polls once, and keeps the connection if it can be reused.
     async fn poll(&mut self, progress: &PollProgress) -> PollOutcome {
         let reused = self.idle_connection.take();
         let is_reused = reused.is_some();
         let path = self.state.request_path(self.schedule);
-        let timeouts = self.state.part_timeouts(self.schedule);
+        let timeouts = self.state.phase_timeouts(self.schedule);
         let total_timeout = self.state.total_timeout(self.schedule);
         let polled = async { Ok(poll(self.address, reused, &path, &timeouts, progress).await) };
         let response = with_timeout(total_timeout, polled).await.unwrap_or_else(|e| Err(PollError::Io(e)));
         match response {
             Ok((list, connection)) => {
                 let outcome = self.state.classify(list, is_reused);
-                // What else a connection with an outdated list brings would be outdated, too.
+                // Any further response on a connection that delivered an outdated list would be late, too.
                 let outdated = matches!(outcome, PollOutcome::OutdatedList(_));
                 self.idle_connection = connection.filter(|_| !outdated);
                 outcome
@@ -120,7 +120,7 @@
         if list.snapshot || !list.endpoints.is_empty() {
             self.queue.send(DecisionEvent::EndpointList(scope, list.endpoints)).await;
         }
-        // Discovery that does not hold its responses must not be polled in a tight loop.
+        // A service that answers long polls at once must not be polled in a tight loop.
         if !is_new && polled_at.elapsed() < MIN_POLL_INTERVAL {
             Timer::after(MIN_POLL_INTERVAL).await;
         }
@@ -138,7 +138,7 @@
     }
 
     async fn fail(&mut self, error: &PollError, connected: bool) {
-        // Logged once per outage, as polls may fail several times a second.
+        // Logged once per outage, since polls may fail several times a second.
         if self.state.record_unavailable() {
             tracing::warn!(address = %self.address, %error, "discovery unavailable");
         }
--- a/crates/larklink-proxy/src/discovery/http.rs
+++ b/crates/larklink-proxy/src/discovery/http.rs
@@ -1,4 +1,4 @@
-//! Reads the HTTP responses of discovery: one response with an endpoint list in JSON, with or without chunks. Pure.
+//! Parses the HTTP responses of discovery: an endpoint list in JSON, plain or in chunked encoding. Performs no I/O.
 use std::num::ParseIntError;
 use std::ops::Range;
 
@@ -9,51 +9,52 @@
 
 const MAX_HEAD_BYTES: usize = 16 << 10;
 const MAX_HEADERS: usize = 32;
-/// A list of some 4,000 endpoints, or of 2,000 in indented JSON.
+/// Enough for a list of some 4,000 endpoints, or of 2,000 in indented JSON.
 const MAX_BODY_BYTES: usize = 1 << 20;
 const CRLF_BYTES: usize = 2;
 
 /// Why a response cannot be used.
 #[derive(Debug, Error)]
 pub enum ResponseError {
-    /// The head is not HTTP.
-    #[error("{0}")]
+    /// The head is not valid HTTP.
+    #[error("invalid response head: {0}")]
     Head(httparse::Error),
-    /// The head is not complete within the limit.
-    #[error("the head is too long")]
+    /// The head exceeds the size limit.
+    #[error("response head over {MAX_HEAD_BYTES} bytes")]
     HeadTooLong,
     /// The status is not 200.
-    #[error("status {0}")]
+    #[error("unexpected status {0}")]
     Status(u16),
-    /// There is neither a length nor chunks.
-    #[error("no length")]
-    NoLength,
+    /// The body has neither a length nor chunked encoding.
+    #[error("neither Content-Length nor chunked encoding")]
+    MissingLength,
     /// The length is not a number.
-    #[error("{0}")]
-    BadLength(ParseIntError),
-    /// The body is over the limit.
-    #[error("the body is too long")]
+    #[error("invalid Content-Length: {0}")]
+    InvalidLength(ParseIntError),
+    /// The body exceeds the size limit.
+    #[error("response body over {MAX_BODY_BYTES} bytes")]
     BodyTooLong,
-    /// A chunk does not begin with its size.
-    #[error("a chunk without a size")]
-    BadChunkSize,
+    /// A chunk does not begin with a valid size.
+    #[error("invalid chunk size")]
+    InvalidChunkSize,
     /// The body is not an endpoint list.
-    #[error("{0}")]
+    #[error("invalid endpoint list: {0}")]
     Body(serde_json::Error),
 }
 
 /// A complete response.
 #[derive(Debug)]
 pub struct Response {
-    /// The list in its body.
+    /// The endpoint list in the body.
     pub list: EndpointList,
     /// Whether the server keeps the connection open.
     pub keep_alive: bool,
-    /// Its length in bytes, head included.
+    /// The length of the response in bytes, including the head.
     pub length: usize,
 }
 
-/// Reads a response from a growing buffer. Only an incomplete head is read again when more has arrived.
+/// Parses a response incrementally from a growing buffer. The head is parsed from the start on each call until it is
+/// complete; the body is not parsed twice.
 #[derive(Default)]
 pub struct ResponseReader {
     head: Option<Head>,
@@ -64,25 +65,25 @@
     body: Body,
 }
 
-/// How the body is delimited, and how far it was read.
+/// How the body is delimited.
 enum Body {
-    /// It fills these bytes.
+    /// A body with a known length, at this range of the buffer.
     Plain(Range<usize>),
     Chunked(ChunkedBody),
 }
 
 struct ChunkedBody {
-    /// Where the next chunk begins.
+    /// The position of the next chunk in the buffer.
     next_chunk: usize,
-    /// The content of the chunks before it.
+    /// The content of all chunks before that position.
     content: Vec<u8>,
 }
 
 impl ResponseReader {
-    /// Reads from all bytes that have arrived so far; returns none while the response is incomplete.
+    /// Parses `bytes`, all that has been received so far. Returns none while the response is incomplete.
     ///
     /// # Errors
-    /// The response cannot be used.
+    /// The response is invalid, or its status is not 200.
     pub fn read(&mut self, bytes: &[u8]) -> Result<Option<Response>, ResponseError> {
         if self.head.is_none() {
             self.head = Head::parse(bytes)?;
@@ -106,7 +107,7 @@
 }
 
 impl Head {
-    /// Parses a head; none while it is incomplete.
+    /// Parses the head. Returns none while it is incomplete.
     fn parse(bytes: &[u8]) -> Result<Option<Self>, ResponseError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
@@ -127,14 +128,14 @@
 }
 
 impl Body {
-    /// The body that a head announces, which begins at `start`.
+    /// Determines the framing of a body that begins at `start`.
     fn new(head: &httparse::Response<'_, '_>, start: usize) -> Result<Self, ResponseError> {
         let encoding = header(head, "transfer-encoding");
         if encoding.is_some_and(|value| value.eq_ignore_ascii_case("chunked")) {
             return Ok(Self::Chunked(ChunkedBody { next_chunk: start, content: Vec::new() }));
         }
-        let length = header(head, "content-length").ok_or(ResponseError::NoLength)?;
-        let length: usize = length.parse().map_err(ResponseError::BadLength)?;
+        let length = header(head, "content-length").ok_or(ResponseError::MissingLength)?;
+        let length: usize = length.parse().map_err(ResponseError::InvalidLength)?;
         if length > MAX_BODY_BYTES {
             return Err(ResponseError::BodyTooLong);
         }
@@ -143,13 +144,13 @@
 }
 
 impl ChunkedBody {
-    /// Reads all complete chunks; returns whether the last one is among them.
+    /// Reads the chunks that are complete. Returns whether the last chunk has been read.
     fn read(&mut self, bytes: &[u8]) -> Result<bool, ResponseError> {
         loop {
             let (size_line_length, size) = match httparse::parse_chunk_size(&bytes[self.next_chunk..]) {
-                Ok(Status::Complete(found)) => found,
+                Ok(Status::Complete(parsed)) => parsed,
                 Ok(Status::Partial) => return Ok(false),
-                Err(_) => return Err(ResponseError::BadChunkSize),
+                Err(_) => return Err(ResponseError::InvalidChunkSize),
             };
             let size = usize::try_from(size).unwrap_or(usize::MAX);
             if size > MAX_BODY_BYTES.saturating_sub(self.content.len()) {
--- a/crates/larklink-proxy/src/discovery/mod.rs
+++ b/crates/larklink-proxy/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Follows the endpoint list at the discovery service.
+//! Keeps the endpoint list up to date by polling the discovery service.
 mod client;
 pub mod http;
 mod poll;
--- a/crates/larklink-proxy/src/discovery/poll.rs
+++ b/crates/larklink-proxy/src/discovery/poll.rs
@@ -1,4 +1,4 @@
-//! One poll of discovery: an HTTP request on a connection that is reused from poll to poll.
+//! A single poll of discovery: one HTTP request, on a new or a reused connection.
 use std::cell::Cell;
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpStream};
@@ -20,10 +20,10 @@
 /// Why a poll failed.
 #[derive(Debug, Error)]
 pub(crate) enum PollError {
-    /// The connection failed, or a part of the poll took too long.
+    /// The connection failed, or a phase of the poll timed out.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// The response cannot be used.
+    /// The response is invalid, or its status is not 200.
     #[error(transparent)]
     Response(#[from] ResponseError),
 }
@@ -33,8 +33,8 @@
         matches!(self, Self::Io(e) if e.kind() == ErrorKind::TimedOut)
     }
 
-    /// Whether discovery responded, and with something else than a list. A list that breaks off in mid-JSON is a
-    /// broken connection instead.
+    /// Whether discovery responded with something other than an endpoint list. A response that ends in the middle of
+    /// the JSON counts as a broken connection instead.
     pub(crate) fn is_rejection(&self) -> bool {
         match self {
             Self::Io(e) => e.kind() == ErrorKind::InvalidData,
@@ -44,15 +44,15 @@
     }
 }
 
-/// How long the parts of a poll may take.
-pub(crate) struct PartTimeouts {
-    /// The connection.
+/// Timeouts of the phases of a poll.
+pub(crate) struct PhaseTimeouts {
+    /// Connecting.
     pub(crate) connect: Duration,
-    /// A response, from its first byte on.
+    /// Receiving the response, from its first byte on.
     pub(crate) response: Duration,
 }
 
-/// How far a poll has come, for the caller also if it gives the poll up.
+/// The progress of a poll, which the caller can read after cancelling the poll.
 #[derive(Default)]
 pub(crate) struct PollProgress {
     pub(crate) connected: Cell<bool>,
@@ -62,12 +62,13 @@
 /// Polls once. Returns the list, and the connection if it can be reused.
 ///
 /// # Errors
-/// No usable response within the timeouts. There is none for the wait before a response begins: the caller has it.
+/// No valid response arrived within the timeouts. The wait for the first byte has no timeout here; the caller has to
+/// limit it.
 pub(crate) async fn poll(
     discovery: SocketAddr,
     reused: Option<DiscoveryConnection>,
     path: &str,
-    timeouts: &PartTimeouts,
+    timeouts: &PhaseTimeouts,
     progress: &PollProgress,
 ) -> Result<(EndpointList, Option<DiscoveryConnection>), PollError> {
     let mut stream = match reused {
@@ -78,15 +79,15 @@
     let request = format!("GET {path} HTTP/1.1\r\nHost: {discovery}\r\nAccept: application/json\r\n\r\n");
     stream.write_all(request.as_bytes()).await?;
     stream.readable().await?;
-    // A response that never ends must not keep the proxy from later changes.
+    // Without this timeout a response that never ends would block all later updates.
     let read = async { Ok(read_response(&mut stream, progress).await) };
     let (response, received) = with_timeout(timeouts.response, read).await??;
-    // Bytes beyond the response would be taken for the next one.
-    let keep = response.keep_alive && response.length == received;
-    Ok((response.list, keep.then_some(stream)))
+    // With surplus bytes the connection is not reused: they would be parsed as the next response.
+    let reusable = response.keep_alive && response.length == received;
+    Ok((response.list, reusable.then_some(stream)))
 }
 
-/// Reads a response; returns it and how many bytes were received.
+/// Reads a response. Returns it with the number of bytes received.
 async fn read_response(
     stream: &mut DiscoveryConnection,
     progress: &PollProgress,
--- a/crates/larklink-proxy/src/discovery/watch_state.rs
+++ b/crates/larklink-proxy/src/discovery/watch_state.rs
@@ -1,57 +1,57 @@
-//! What the polls so far say of the endpoint list and of discovery. Pure.
+//! The state derived from previous polls: the known version of the list and the consecutive failures. Performs no I/O.
 use std::time::{Duration, Instant};
 
-use crate::discovery::poll::{PartTimeouts, PollError};
+use crate::discovery::poll::{PhaseTimeouts, PollError};
 use crate::discovery::schedule::{MIN_POLL_INTERVAL, PollSchedule};
 use crate::endpoint_list::EndpointList;
 
-/// What a poll brought, as far as the state decides it.
+/// The outcome of a poll.
 pub(crate) enum PollOutcome {
-    /// The connection reused from an earlier poll had been closed; this says nothing about discovery.
+    /// The reused connection had been closed by the server, which does not mean that discovery is unavailable.
     ReusedConnectionClosed,
-    /// A complete list older than the one that is known: the late response to an earlier poll, in which endpoints that
-    /// are draining now are still ready.
+    /// A complete list that is older than the known one. It is the late response to an earlier poll, and applying it
+    /// would make endpoints ready again that are draining now.
     OutdatedList(EndpointList),
-    /// Changes to a list that is not known: the complete list has to be polled.
+    /// Changes relative to an unknown list. The complete list has to be polled.
     UnknownChanges(EndpointList),
-    /// The list, or what changed in it.
+    /// A complete list, or changes to the known one.
     List(EndpointList),
     /// The poll failed.
     Failed(PollError),
 }
 
-/// Counts of failures in a row.
+/// Counts of consecutive failures.
 #[derive(Clone, Copy, Default)]
 struct FailureCounts {
-    /// All of them.
+    /// All failures.
     failures: u32,
-    /// Those that discovery rejected, or answered with something that cannot be used.
+    /// Polls that were rejected or got an invalid response.
     rejections: u32,
-    /// Those that connected and timed out.
+    /// Polls that connected and timed out.
     timeouts: u32,
 }
 
 /// The state of the polls of one discovery address.
 pub(crate) struct WatchState {
-    /// The index of the list that is known; none if the complete list is to be polled.
+    /// The index of the known list; none if the complete list has to be polled.
     index: Option<u64>,
     counts: FailureCounts,
-    /// When the last poll began that brought an outdated list.
+    /// The start of the last poll that returned an outdated list.
     outdated_polled_at: Option<Instant>,
     /// Whether polls have failed since the last response.
     unavailable: bool,
 }
 
-/// After which rule to back off.
+/// How the last poll failed, which determines the backoff.
 pub(crate) enum BackoffRule {
-    /// Discovery rejected this many polls in a row.
+    /// It was rejected or got an invalid response. Contains the number of such polls since the last list.
     Rejected(u32),
-    /// This many polls in a row failed otherwise.
+    /// It failed otherwise. Contains the number of all failed polls since the last list.
     Failed(u32),
 }
 
 impl WatchState {
-    /// A state in which no list is known and so many polls in a row have failed.
+    /// Creates a state without a known list, as if `failures` consecutive polls had failed.
     pub(crate) fn new(failures: u32) -> Self {
         Self {
             index: None,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The path of the next poll.
+    /// Returns the request path of the next poll.
     pub(crate) fn request_path(&self, schedule: &PollSchedule) -> String {
         match self.index {
             None => "/api/targets".to_owned(),
@@ -72,21 +72,21 @@
         }
     }
 
-    /// How long the parts of the next poll may take.
-    pub(crate) fn part_timeouts(&self, schedule: &PollSchedule) -> PartTimeouts {
-        PartTimeouts {
+    /// Returns the phase timeouts of the next poll.
+    pub(crate) fn phase_timeouts(&self, schedule: &PollSchedule) -> PhaseTimeouts {
+        PhaseTimeouts {
             connect: schedule.response_timeout,
             response: schedule.response_timeout_after(self.counts.timeouts),
         }
     }
 
-    /// How long the next poll may take in all. A first poll for the complete list may take as long as a long poll:
-    /// discovery may be as busy as the proxy at their start.
+    /// Returns the timeout of the whole next poll. The first poll may take as long as a long poll, although it requests
+    /// the complete list: discovery may be as busy as the proxy while both are starting.
     pub(crate) fn total_timeout(&self, schedule: &PollSchedule) -> Duration {
         schedule.total_timeout(self.counts.failures, self.counts.timeouts)
     }
 
-    /// What a list means that a poll brought.
+    /// Classifies the list that a poll returned.
     pub(crate) fn classify(&self, list: EndpointList, on_reused_connection: bool) -> PollOutcome {
         let outdated = self.index.is_some_and(|known| list.index < known);
         if list.snapshot && outdated && on_reused_connection {
@@ -98,14 +98,14 @@
         }
     }
 
-    /// Records that a reused connection was closed, found by a poll that began at `polled_at`. If that took long, the
-    /// next poll must not wait long again.
+    /// Records that a poll started at `polled_at` found its reused connection closed. If that took long, it counts as a
+    /// failure, so that the next poll uses the short wait.
     pub(crate) fn record_closed_connection(&mut self, polled_at: Instant) {
         self.counts.failures += u32::from(polled_at.elapsed() >= MIN_POLL_INTERVAL);
     }
 
-    /// Records an outdated list from a poll that began at `polled_at`. Returns whether to rest before the next poll,
-    /// since the last such list has only just arrived.
+    /// Records an outdated list from a poll started at `polled_at`. Returns whether to wait before the next poll, which
+    /// is the case if the previous poll with an outdated list was started less than [`MIN_POLL_INTERVAL`] ago.
     pub(crate) fn record_outdated_list(&mut self, polled_at: Instant) -> bool {
         self.index = None;
         self.record_closed_connection(polled_at);
@@ -113,12 +113,12 @@
         earlier.is_some_and(|at| at.elapsed() < MIN_POLL_INTERVAL)
     }
 
-    /// Records that discovery responded. Returns whether it was unavailable before.
+    /// Records a response of discovery. Returns whether discovery was unavailable before.
     pub(crate) fn record_response(&mut self) -> bool {
         std::mem::take(&mut self.unavailable)
     }
 
-    /// Records changes to a list that is not known.
+    /// Records changes relative to an unknown list.
     pub(crate) fn record_unknown_changes(&mut self) -> BackoffRule {
         self.index = None;
         self.counts.failures += 1;
@@ -126,13 +126,13 @@
         BackoffRule::Rejected(self.counts.rejections)
     }
 
-    /// Records a list. Returns whether its index is new.
+    /// Records a list. Returns whether its index differs from the known one.
     pub(crate) fn record_list(&mut self, list: &EndpointList) -> bool {
         self.counts = FailureCounts::default();
         self.index.replace(list.index) != Some(list.index)
     }
 
-    /// Records a failed poll, and whether it had connected.
+    /// Records a failed poll; `connected` tells whether a connection had been established.
     pub(crate) fn record_failure(&mut self, error: &PollError, connected: bool) -> BackoffRule {
         self.counts.failures += 1;
         self.counts.timeouts += u32::from(connected && error.is_timeout());
