--- a/crates/larklink-proxy/src/admin/mod.rs
+++ b/crates/larklink-proxy/src/admin/mod.rs
@@ -1,5 +1,5 @@
-//! The admin endpoint: HTTP/1.1 on an address of its own, one request to a connection. It runs in a thread of its own,
-//! so that load from clients does not delay it, and reads nothing but the metrics.
+//! The admin endpoint: an HTTP/1.1 server on a separate address that serves one request per connection. It runs in a
+//! separate thread, so that client load does not delay it, and accesses the metrics only.
 pub mod response;
 
 use std::collections::VecDeque;
@@ -18,24 +18,26 @@
 use crate::timeout::with_timeout;
 use response::respond;
 
-/// Connections that are served at once. A further one evicts the oldest, so that callers that connect and send no
-/// complete request keep nobody out, as long as fewer come within `REQUEST_TIMEOUT`.
+/// Connections that are served concurrently. A further one evicts the oldest, so that callers that never complete their
+/// request do not block others. A caller is still served if fewer than this connect after it within `REQUEST_TIMEOUT`.
 pub const MAX_CONNECTIONS: usize = 16;
-/// Descriptors that the endpoint needs: its connections, its listener, and one that is accepted while the oldest closes.
+/// Descriptors that the admin endpoint needs: for its connections, its listener, and a connection that is accepted
+/// before the oldest has closed.
 pub const DESCRIPTORS: usize = MAX_CONNECTIONS + 2;
 
-/// How long a connection may take from accept to close.
+/// How long a connection may last from accept to close.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long a caller may take to close after its response: closing with unread data would reset the connection.
-const LINGER: Duration = Duration::from_millis(500);
-/// The rest after a failure to accept, as without free descriptors.
+/// How long to wait after the response for the caller to close: closing a socket with unread data would reset the
+/// connection, and the caller might lose the response.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long to wait after a failure to accept, for example when no descriptor is free.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 const READ_BYTES: usize = 1024;
 
-/// Starts the endpoint in a thread that runs until the process ends, and returns its address.
+/// Starts the admin endpoint in a thread that runs until the process exits. Returns the address that it is bound to.
 ///
 /// # Errors
-/// The address cannot be bound, or there is no thread to be had.
+/// The address cannot be bound, or the thread cannot be started.
 pub fn start(address: SocketAddr, metrics: Arc<Metrics>) -> Result<SocketAddr> {
     let listener = Async::<TcpListener>::bind(address)?;
     let bound = listener.get_ref().local_addr()?;
@@ -55,8 +57,8 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                // The task ends with its connection, or when the slot is needed for another.
-                let evicted = slots.take();
+                // The task ends with its connection, or when the connection is evicted.
+                let evicted = slots.add();
                 executor.spawn(serve(stream, evicted, Arc::clone(metrics))).detach();
             }
             Err(error) => {
@@ -67,14 +69,15 @@
     }
 }
 
-/// The connections that are served, the oldest first. Each has the receiver of a channel: dropping the sender evicts
-/// it, and the sender is closed once the connection has ended.
+/// The connections being served, oldest first. Each connection holds the receiver of a channel: dropping the sender
+/// evicts the connection, and the channel is closed once the connection has ended.
 #[derive(Default)]
 struct ConnectionSlots(VecDeque<Sender<()>>);
 
 impl ConnectionSlots {
-    /// Takes a slot, that of the oldest connection if none is free.
-    fn take(&mut self) -> Receiver<()> {
+    /// Adds a connection, evicting the oldest one if there are [`MAX_CONNECTIONS`] already. Returns the receiver that
+    /// signals its eviction.
+    fn add(&mut self) -> Receiver<()> {
         self.0.retain(|connection| !connection.is_closed());
         if self.0.len() == MAX_CONNECTIONS {
             self.0.pop_front();
@@ -85,18 +88,18 @@
     }
 }
 
-/// Serves one connection until it ends, its time is over, or it is evicted.
+/// Serves a connection until it ends, times out or is evicted.
 async fn serve(stream: Async<TcpStream>, evicted: Receiver<()>, metrics: Arc<Metrics>) {
     let eviction = async {
-        // Nothing is ever sent: this fails when the sender is dropped.
+        // Nothing is ever sent; this fails when the sender is dropped.
         let _ = evicted.recv().await;
         Ok(())
     };
-    // A caller that breaks off is of no interest.
+    // Errors are ignored: they only mean that the caller disconnected or timed out.
     let _ = with_timeout(REQUEST_TIMEOUT, exchange(&stream, &metrics)).or(eviction).await;
 }
 
-/// Reads one request, sends its response, and waits for the caller to close.
+/// Reads a request, sends the response, and waits for the caller to close the connection.
 async fn exchange(mut stream: &Async<TcpStream>, metrics: &Metrics) -> Result<()> {
     let response = read_request(stream, metrics).await?;
     stream.write_all(response.as_bytes()).await?;
@@ -106,10 +109,10 @@
         while stream.read(&mut ignored).await? > 0 {}
         Ok(())
     };
-    with_timeout(LINGER, closed).await
+    with_timeout(LINGER_TIMEOUT, closed).await
 }
 
-/// Reads until there is a response.
+/// Reads a request until it can be answered. Returns the response.
 async fn read_request(mut stream: &Async<TcpStream>, metrics: &Metrics) -> Result<String> {
     let mut bytes = Vec::new();
     let mut chunk = [0; READ_BYTES];
--- a/crates/larklink-proxy/src/admin/response.rs
+++ b/crates/larklink-proxy/src/admin/response.rs
@@ -1,4 +1,4 @@
-//! The responses of the admin endpoint. Pure but for the metrics.
+//! The responses of the admin endpoint, computed from the received bytes and the metrics.
 use httparse::Status;
 
 use crate::metrics::Metrics;
@@ -6,7 +6,7 @@
 const MAX_HEAD_BYTES: usize = 8 << 10;
 const MAX_HEADERS: usize = 64;
 
-/// The response to a request of which these bytes have arrived; none while its head is incomplete.
+/// Returns the response to a request of which `bytes` have been received, or none while its head is incomplete.
 pub fn respond(bytes: &[u8], metrics: &Metrics) -> Option<String> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -32,7 +32,7 @@
     }
 }
 
-/// A complete response; `header` is one further header line with its CRLF, or empty.
+/// Builds a response. `header` is an additional header line including its CRLF, or empty.
 fn response(status: &str, header: &str, body: &str) -> String {
     let length = body.len();
     format!(
--- a/crates/larklink-proxy/src/limiter/budget.rs
+++ b/crates/larklink-proxy/src/limiter/budget.rs
@@ -1,43 +1,44 @@
-//! How the descriptors of a process are divided. Pure: counts and the rules on them.
-
-/// What is reserved for the process and for health checks together is at most the limit divided by this: requests of
-/// clients may take another third, and the connections to their endpoints the last. With a long list and a small limit,
-/// health checks share what there is.
-const LIMIT_PER_RESERVATIONS: isize = 3;
-/// A limit below twice what is to be reserved for the process leaves less for that, but the limit divided by this at
-/// least.
-const LIMIT_PER_MIN_RESERVED: usize = 4;
-
-/// Numbers of descriptors. Counts are signed: what is reserved may come to exceed what is free.
+//! The division of a process's file descriptors among their uses. Only counts; no descriptors are opened or closed.
+
+/// The reservations for the process and for health checks together are at most the limit divided by this, so that one
+/// third of the limit remains for client connections and one for their connections to endpoints. With a long endpoint
+/// list and a low limit, health checks have to share the reservation.
+const MAX_RESERVATIONS_DIVISOR: isize = 3;
+/// If the limit is less than twice the reservation for the process, that reservation is reduced, but not below the
+/// limit divided by this.
+const MIN_RESERVED_DIVISOR: usize = 4;
+
+/// Numbers of descriptors by use. They are signed, since a growing reservation may exceed the number of free
+/// descriptors.
 pub(super) struct DescriptorBudget {
     /// Reserved for the process itself.
     reserved: isize,
-    /// All others: for clients, the connections to their endpoints, and health checks.
+    /// All others: for client connections, their connections to endpoints, and health checks.
     shared: isize,
-    /// Of `shared`, reserved for health checks.
+    /// The part of `shared` that is reserved for health checks.
     reserved_for_health_checks: isize,
-    /// The most that may be reserved for health checks.
+    /// Upper bound of `reserved_for_health_checks`.
     max_reserved_for_health_checks: isize,
-    /// Of `shared`, in use by clients and the connections to their endpoints.
+    /// The part of `shared` in use by client connections and their connections to endpoints.
     client_use: isize,
-    /// Of `shared`, in use by health checks.
+    /// The part of `shared` in use by health checks.
     health_check_use: isize,
-    /// Of `shared`, in use by the other process of this proxy while there are two.
+    /// The part of `shared` in use by the other process of this proxy during a handover.
     other_process_use: isize,
-    /// Of `client_use`, those of evicted connections that have not closed yet.
+    /// The part of `client_use` that belongs to evicted connections which have not closed yet.
     being_evicted: isize,
 }
 
 impl DescriptorBudget {
-    /// Divides a limit after `reserved` descriptors for the process itself.
+    /// Creates a budget for `limit` descriptors, of which `reserved` are for the process itself.
     pub(super) fn new(reserved: usize, limit: usize) -> Self {
-        let min_reserved = limit / LIMIT_PER_MIN_RESERVED;
+        let min_reserved = limit / MIN_RESERVED_DIVISOR;
         let reserved = reserved.min(limit.saturating_sub(reserved).max(min_reserved));
         Self {
             reserved: signed(reserved),
             shared: signed(limit - reserved),
             reserved_for_health_checks: 0,
-            max_reserved_for_health_checks: (signed(limit) / LIMIT_PER_RESERVATIONS - signed(reserved))
+            max_reserved_for_health_checks: (signed(limit) / MAX_RESERVATIONS_DIVISOR - signed(reserved))
                 .max(0),
             client_use: 0,
             health_check_use: 0,
@@ -54,7 +55,7 @@
         unsigned(self.client_use)
     }
 
-    /// What the other process has to leave to this one.
+    /// Returns how many descriptors the other process must leave to this one.
     pub(super) fn in_use(&self) -> usize {
         unsigned(self.reserved + self.health_check_use + self.client_use)
     }
@@ -76,8 +77,9 @@
         self.being_evicted += descriptors;
     }
 
-    /// Takes a descriptor for a health check, if one is reserved and free. The first is granted whatever clients use.
-    pub(super) fn try_take_health_check(&mut self) -> bool {
+    /// Acquires a descriptor for a health check if one is reserved and free. If no health check is running, it is
+    /// granted even if client connections use all descriptors.
+    pub(super) fn try_acquire_health_check(&mut self) -> bool {
         let in_use = self.health_check_use + self.client_use + self.other_process_use;
         let reservation_used = self.health_check_use >= self.reserved_for_health_checks;
         if self.health_check_use > 0 && (reservation_used || in_use >= self.shared) {
@@ -87,23 +89,23 @@
         true
     }
 
-    pub(super) fn give_back_health_check(&mut self) {
+    pub(super) fn release_health_check(&mut self) {
         self.health_check_use -= 1;
     }
 
-    /// Free for clients. Negative while evicted connections have not closed yet, and where the reservation for health
-    /// checks has grown into what sessions use.
+    /// Returns the number of descriptors that are free for clients. It is negative while evicted connections have not
+    /// closed yet, or if the reservation for health checks has grown beyond what sessions leave.
     pub(super) fn free(&self) -> isize {
         let health_checks = self.reserved_for_health_checks.max(self.health_check_use);
         self.shared - self.other_process_use - health_checks - self.client_use
     }
 
-    /// Free for clients once all evicted connections have closed.
+    /// Returns the number of descriptors that will be free for clients once all evicted connections have closed.
     pub(super) fn free_after_evictions(&self) -> isize {
         self.free() + self.being_evicted
     }
 
-    /// Whether evicted connections still hold descriptors that are in use again.
+    /// Whether descriptors of evicted connections have been granted to others before those connections have closed.
     pub(super) fn awaits_evictions(&self) -> bool {
         self.free() < 0 && self.being_evicted > 0
     }
--- a/crates/larklink-proxy/src/limiter/eviction.rs
+++ b/crates/larklink-proxy/src/limiter/eviction.rs
@@ -1,23 +1,24 @@
-//! Which idle connection is evicted first.
+//! The order in which idle connections are evicted.
 use std::collections::BTreeMap;
 
 use async_channel::{Receiver, Sender};
 
-/// A connection's place in the eviction order: first those that have never sent anything, then the others, as health
-/// checks and answered connections that linger; of each the oldest first.
+/// A connection's position in the eviction order. Connections that have never sent anything come first; the others,
+/// such as those that sent health checks or linger after their answer, come next. Within both classes the oldest come
+/// first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EvictionPriority {
-    /// Whether it has ever sent anything.
+    /// Whether the connection has ever sent anything.
     pub(super) has_been_active: bool,
-    /// Counts connections in the order in which they came.
+    /// The connection's sequence number.
     pub(super) connection: u64,
 }
 
-/// Signals one connection that it is evicted.
+/// Notifies a connection that it is evicted.
 #[derive(Clone)]
 pub(super) struct EvictionSignal {
     sender: Sender<()>,
-    /// Held so that the channel closes by [`EvictionSignal::send`] only.
+    /// Kept so that only [`EvictionSignal::send`] closes the channel.
     receiver: Receiver<()>,
 }
 
@@ -35,17 +36,17 @@
         self.receiver.is_closed()
     }
 
-    /// Resolves when it is sent.
+    /// Resolves when the signal is sent.
     pub(super) fn wait(&self) -> impl Future<Output = ()> + use<> {
         let receiver = self.receiver.clone();
         async move {
-            // Nothing is ever sent through the channel: this fails when it is closed.
+            // Nothing is ever sent through the channel; this fails when the channel is closed.
             let _ = receiver.recv().await;
         }
     }
 }
 
-/// The idle connections, each of which uses one descriptor.
+/// The idle connections in eviction order. Each uses one descriptor.
 #[derive(Default)]
 pub(super) struct EvictionQueue(BTreeMap<EvictionPriority, EvictionSignal>);
 
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Takes the connection out that is evicted next.
+    /// Removes the connection that is to be evicted next and returns its signal.
     pub(super) fn pop(&mut self) -> Option<EvictionSignal> {
         self.0.pop_first().map(|(_, signal)| signal)
     }
--- a/crates/larklink-proxy/src/limiter/mod.rs
+++ b/crates/larklink-proxy/src/limiter/mod.rs
@@ -1,7 +1,7 @@
-//! Limits the file descriptors of the process: some are reserved for the process itself, a part for health checks grows
-//! with the endpoint list, and the rest is for clients and the connections to their endpoints. A client connection uses
-//! one, and a second from its first attempt on. When none is left, an idle connection, one without a session, is
-//! evicted.
+//! Limits the file descriptors of the process. Some are reserved for the process itself, some for health checks, in
+//! proportion to the endpoint list; the rest is for client connections and their connections to endpoints. A client
+//! connection uses one descriptor, and a second one from its first attempt on. When none is free, an idle connection,
+//! that is, one without a session, is evicted.
 mod budget;
 mod eviction;
 
@@ -13,26 +13,26 @@
 use budget::DescriptorBudget;
 use eviction::{EvictionPriority, EvictionQueue, EvictionSignal};
 
-/// Descriptors of a client connection with a session: its own, and that of the connection to its endpoint.
+/// Descriptors of a client connection with a session: its own and that of its connection to the endpoint.
 const SESSION_DESCRIPTORS: isize = 2;
 
-/// Grants descriptors for connections and health checks.
+/// Grants descriptors to client connections and health checks.
 pub struct ConnectionLimiter {
     budget: RefCell<DescriptorBudget>,
     eviction_queue: RefCell<EvictionQueue>,
     next_connection: Cell<u64>,
-    /// Tasks that wait for a descriptor to be given back.
+    /// Tasks that wait for a descriptor to be released.
     waiters: RefCell<Vec<Waker>>,
 }
 
 impl ConnectionLimiter {
-    /// A limiter with this many descriptors, none of them reserved.
+    /// Creates a limiter with this many descriptors, none of them reserved.
     pub fn new(descriptors: usize) -> Rc<Self> {
         Self::with_reserved(0, descriptors)
     }
 
-    /// A limiter with `limit` descriptors, of which `reserved` are for the process itself; fewer if the limit is less
-    /// than twice that.
+    /// Creates a limiter with `limit` descriptors, of which `reserved` are for the process itself, or fewer if the
+    /// limit is less than twice that.
     pub fn with_reserved(reserved: usize, limit: usize) -> Rc<Self> {
         Rc::new(Self {
             budget: DescriptorBudget::new(reserved, limit).into(),
@@ -42,30 +42,30 @@
         })
     }
 
-    /// Reserves a descriptor for the health check of each of so many endpoints, as far as the limit allows. Idle
-    /// connections are evicted at once where they use them; sessions stay, and health checks get theirs as sessions
-    /// end.
+    /// Reserves one descriptor per endpoint for health checks, as far as the limit allows. Idle connections that use
+    /// these descriptors are evicted at once. Sessions are not; health checks get their descriptors as sessions end.
     pub fn reserve_for_health_checks(&self, endpoints: usize) {
         self.budget.borrow_mut().reserve_for_health_checks(endpoints);
         self.evict_excess();
         self.wake_waiters();
     }
 
-    /// Descriptors reserved for the process itself: all that a process without clients needs.
+    /// Returns the number of descriptors reserved for the process itself, which is all that it needs without clients.
     pub fn reserved(&self) -> usize {
         self.budget.borrow().reserved()
     }
 
-    /// Descriptors that the other process of this proxy has to leave to this one: the reserved ones and those in use.
+    /// Returns how many descriptors the other process of this proxy must leave to this one: the reserved ones and those
+    /// in use.
     pub fn in_use(&self) -> usize {
         self.budget.borrow().in_use()
     }
 
-    /// A permit for a new connection, which is idle until its session
-    /// [starts](ConnectionPermit::start_session). Evicts an idle connection if no descriptor is free; none if all
-    /// others have sessions.
+    /// Acquires a permit for a new connection, which is idle until its session
+    /// [starts](ConnectionPermit::start_session). Evicts an idle connection if no descriptor is free. Returns none if
+    /// all other connections have sessions.
     pub fn try_acquire(self: &Rc<Self>) -> Option<ConnectionPermit> {
-        if !self.try_take() {
+        if !self.try_acquire_descriptor() {
             return None;
         }
         let permit = self.new_permit(1);
@@ -73,33 +73,33 @@
         Some(permit)
     }
 
-    /// Whether the next connection needs an eviction, or gets no permit.
+    /// Whether no descriptor is free, so that the next connection needs an eviction or gets no permit.
     pub fn is_full(&self) -> bool {
         self.budget.borrow().free() <= 0
     }
 
-    /// Descriptors in use by clients and the connections to their endpoints.
+    /// Returns the number of descriptors in use by client connections and their connections to endpoints.
     pub fn client_descriptors(&self) -> usize {
         self.budget.borrow().client_use()
     }
 
-    /// Sets how many descriptors the other process of this proxy uses. Idle connections are evicted where too few are
-    /// left; sessions stay, and no connection gets a permit until some have ended.
+    /// Sets how many descriptors the other process of this proxy uses. Idle connections are evicted if too few are
+    /// left. Sessions are not; if they use too many, no connection gets a permit until some have ended.
     pub fn set_other_process_use(&self, descriptors: usize) {
         self.budget.borrow_mut().set_other_process_use(descriptors);
         self.evict_excess();
         self.wake_waiters();
     }
 
-    /// The permit of a session that the other process hands over. It is granted even if no descriptor is free, as that
-    /// process gives its own back.
+    /// Acquires the permit of a session that the other process hands over. It is granted even if no descriptor is free,
+    /// since the other process releases its own.
     pub fn adopt(self: &Rc<Self>) -> ConnectionPermit {
         self.budget.borrow_mut().add_client_use(SESSION_DESCRIPTORS);
         self.new_permit(SESSION_DESCRIPTORS)
     }
 
-    /// Resolves when the evicted connections have closed whose descriptors are in use again: until then the process
-    /// would exceed its limit.
+    /// Waits until evicted connections have closed whose descriptors have been granted again. Opening a descriptor
+    /// before that would exceed the limit.
     pub async fn evictions_done(&self) {
         poll_fn(|cx| {
             if self.budget.borrow().awaits_evictions() {
@@ -110,11 +110,11 @@
         .await;
     }
 
-    /// A permit for a health check, if one of the reserved descriptors is free. One health check at a time always
-    /// gets one.
+    /// Acquires a permit for a health check if one of the reserved descriptors is free. A single health check at a time
+    /// always gets one.
     pub fn try_acquire_health_check(self: &Rc<Self>) -> Option<HealthCheckPermit> {
-        let taken = self.budget.borrow_mut().try_take_health_check();
-        taken.then(|| HealthCheckPermit { limiter: Rc::clone(self) })
+        let acquired = self.budget.borrow_mut().try_acquire_health_check();
+        acquired.then(|| HealthCheckPermit { limiter: Rc::clone(self) })
     }
 
     /// Waits for a permit for a health check.
@@ -126,8 +126,8 @@
         .await
     }
 
-    /// Takes a descriptor for a client, by evictions if need be. Returns whether there was one.
-    fn try_take(&self) -> bool {
+    /// Acquires a descriptor for a client, evicting idle connections if necessary. Returns whether it succeeded.
+    fn try_acquire_descriptor(&self) -> bool {
         while self.budget.borrow().free_after_evictions() <= 0 {
             if !self.evict_next() {
                 return false;
@@ -137,7 +137,7 @@
         true
     }
 
-    /// Evicts idle connections until no more descriptors are used than there are, as far as there are any.
+    /// Evicts idle connections until the descriptors in use are within the limit, or no idle connection is left.
     fn evict_excess(&self) {
         while self.budget.borrow().free_after_evictions() < 0 {
             if !self.evict_next() {
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Evicts the idle connection whose turn it is. Returns whether there was one.
+    /// Evicts the first idle connection in eviction order. Returns whether there was one.
     fn evict_next(&self) -> bool {
         let Some(signal) = self.eviction_queue.borrow_mut().pop() else { return false };
         self.budget.borrow_mut().add_being_evicted(1);
@@ -175,54 +175,54 @@
     }
 }
 
-/// The descriptor of a health check; dropping it gives the descriptor back.
+/// The descriptor of a health check, released on drop.
 pub struct HealthCheckPermit {
     limiter: Rc<ConnectionLimiter>,
 }
 
 impl Drop for HealthCheckPermit {
     fn drop(&mut self) {
-        self.limiter.budget.borrow_mut().give_back_health_check();
+        self.limiter.budget.borrow_mut().release_health_check();
         self.limiter.wake_waiters();
     }
 }
 
-/// The descriptors of a client connection; dropping it gives them back.
+/// The descriptors of a client connection, released on drop.
 pub struct ConnectionPermit {
     limiter: Rc<ConnectionLimiter>,
-    /// The connection's number in the eviction order.
+    /// The connection's sequence number, for the eviction order.
     connection: u64,
-    /// How many descriptors it has.
+    /// How many descriptors the connection holds.
     descriptors: isize,
     eviction: EvictionSignal,
 }
 
 impl ConnectionPermit {
-    /// Resolves when the connection, idle now, is evicted.
+    /// Resolves when the connection is evicted, which can only happen while it is idle.
     pub fn evicted(&self) -> impl Future<Output = ()> + use<> {
         self.eviction.wait()
     }
 
-    /// Records that a connection without a session has sent something: it is evicted later than one that has never.
-    /// Also for a connection whose session is over, which keeps its own descriptor only.
+    /// Records that a connection without a session has sent something; it is then evicted later than connections that
+    /// never have. Also called when a session is over: the connection is idle again and keeps only its own descriptor.
     pub fn record_activity(&mut self) {
         self.leave_eviction_queue();
-        self.give_back(self.descriptors - 1);
+        self.release(self.descriptors - 1);
         if !self.eviction.is_sent() {
             self.set_idle(true);
         }
     }
 
-    /// Starts a session: the connection is not evicted from now on. Returns false if it has been already.
+    /// Starts a session, after which the connection cannot be evicted. Returns false if it has been evicted before.
     pub fn start_session(&self) -> bool {
         self.leave_eviction_queue();
         !self.eviction.is_sent()
     }
 
-    /// For an idle connection whose line has arrived: if it was evicted meanwhile, another is evicted in its place.
-    /// Returns false if there is no other. While many connections are accepted, lines lie unread in the kernel, and
-    /// their connections would be evicted with those that never send any.
-    pub fn keep_if_not_evicted(&mut self) -> bool {
+    /// Cancels the eviction of a connection whose first line has arrived, if it was evicted, by evicting another idle
+    /// connection instead. Returns false if there is no other. While many connections are being accepted, first lines
+    /// wait unread in the kernel; without this their connections would be evicted like those that never send one.
+    pub fn cancel_eviction(&mut self) -> bool {
         if !self.eviction.is_sent() {
             return true;
         }
@@ -234,10 +234,10 @@
         true
     }
 
-    /// Acquires the second descriptor, for an attempt, unless the connection has it. Returns whether it has it now; it
-    /// may be used once the [evictions are done](ConnectionLimiter::evictions_done).
+    /// Acquires the second descriptor, for an attempt, unless the connection already holds it. Returns whether it holds
+    /// it now. The descriptor may be opened once the [evictions are done](ConnectionLimiter::evictions_done).
     pub fn try_acquire_upstream(&mut self) -> bool {
-        if self.descriptors < SESSION_DESCRIPTORS && self.limiter.try_take() {
+        if self.descriptors < SESSION_DESCRIPTORS && self.limiter.try_acquire_descriptor() {
             self.descriptors = SESSION_DESCRIPTORS;
         }
         self.descriptors == SESSION_DESCRIPTORS
@@ -252,7 +252,7 @@
         self.limiter.eviction_queue.borrow_mut().remove(self.connection);
     }
 
-    fn give_back(&mut self, descriptors: isize) {
+    fn release(&mut self, descriptors: isize) {
         self.descriptors -= descriptors;
         self.limiter.budget.borrow_mut().add_client_use(-descriptors);
         self.limiter.wake_waiters();
@@ -265,6 +265,6 @@
         if self.eviction.is_sent() {
             self.limiter.budget.borrow_mut().add_being_evicted(-1);
         }
-        self.give_back(self.descriptors);
+        self.release(self.descriptors);
     }
 }
--- a/crates/larklink-proxy/src/metrics/mod.rs
+++ b/crates/larklink-proxy/src/metrics/mod.rs
@@ -1,5 +1,5 @@
-//! The metrics of the process: written where a thing happens, read by the admin endpoint in a thread of its own. Every
-//! counter starts at 0 with the process.
+//! The metrics of the process. The proxy's thread updates them, and the thread of the admin endpoint reads them. All
+//! counters start at 0 with the process.
 mod rejection_streak;
 
 use std::fmt::Write;
@@ -10,18 +10,18 @@
 use crate::log::EndReason;
 use rejection_streak::{RejectionStreak, rejection_cause};
 
-/// A session's final answer.
+/// The final answer to a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
-    /// It was accepted.
+    /// The session was accepted.
     Accepted,
-    /// It was rejected.
+    /// The session was rejected.
     Rejected,
-    /// It failed: any other answer, also where the session may have run.
+    /// Any other answer, including those to sessions that may have run.
     Failed,
 }
 
-/// The final answers to the sessions of one listener.
+/// Counts of the final answers to the sessions of one listener.
 #[derive(Debug, Default)]
 struct AnswerCounters {
     accepted: AtomicUsize,
@@ -45,12 +45,12 @@
     endpoints_avoided: AtomicUsize,
     is_ready: AtomicBool,
     rejections_without_attempt: AtomicUsize,
-    /// How often the process has come to reject all sessions.
+    /// The number of periods in which all sessions were rejected.
     rejecting_all_periods: AtomicUsize,
     rejection_streak: Mutex<RejectionStreak>,
 }
 
-/// Counts a session as in progress until it is dropped.
+/// Counts a session as in progress until dropped.
 pub struct InProgress(Arc<Metrics>);
 
 impl Drop for InProgress {
@@ -60,7 +60,7 @@
 }
 
 impl Metrics {
-    /// Metrics for listeners of these names, all 0.
+    /// Creates the metrics for listeners with these names, all 0.
     pub fn new(listeners: &[String]) -> Arc<Self> {
         let listeners = listeners
             .iter()
@@ -69,7 +69,7 @@
         Arc::new(Self { listeners, ..Self::default() })
     }
 
-    /// A session of a listener, given by its place in the settings, got its final answer.
+    /// Records the final answer to a session of the listener with this index in the settings.
     pub fn record_answer(&self, listener: usize, answer: FinalAnswer) {
         let Some(ListenerMetrics { answers, .. }) = self.listeners.get(listener) else { return };
         let counter = match answer {
@@ -80,7 +80,8 @@
         counter.fetch_add(1, Relaxed);
     }
 
-    /// A session was rejected without an attempt. If all sessions are, a further counter and the log record that once.
+    /// Records that a session was rejected without an attempt. The start of a period in which all sessions are rejected
+    /// is counted and logged once.
     pub fn record_rejection_without_attempt(&self, reason: EndReason, now: Instant) {
         self.rejections_without_attempt.fetch_add(1, Relaxed);
         let mut streak = self.rejection_streak();
@@ -95,7 +96,7 @@
         tracing::warn!(%reason, cause, sessions, duration_ms, "rejecting all sessions");
     }
 
-    /// An attempt begins, before its connection.
+    /// Records the start of an attempt, before it connects. This ends a period in which all sessions were rejected.
     pub fn record_attempt_started(&self, now: Instant) {
         let streak = std::mem::take(&mut *self.rejection_streak());
         if streak.rejects_all {
@@ -104,18 +105,18 @@
         }
     }
 
-    /// The complete open line of an attempt was sent.
+    /// Records that the complete open line of an attempt was sent.
     pub fn record_attempt_sent(&self) {
         self.attempts_sent.fetch_add(1, Relaxed);
     }
 
-    /// A session started; it is in progress while the result is held.
+    /// Records the start of a session, which is in progress until the returned guard is dropped.
     pub fn session_started(self: &Arc<Self>) -> InProgress {
         self.sessions_in_progress.fetch_add(1, Relaxed);
         InProgress(Arc::clone(self))
     }
 
-    /// Sets how many endpoints are listed, and how many of them get no new sessions now.
+    /// Sets how many endpoints are listed, and how many of them currently get no new sessions.
     pub fn set_endpoints(&self, listed: usize, avoided: usize) {
         self.endpoints_listed.store(listed, Relaxed);
         self.endpoints_avoided.store(avoided, Relaxed);
@@ -126,16 +127,17 @@
         self.is_ready.store(is_ready, Relaxed);
     }
 
-    /// Whether connections are accepted, with the latest endpoint list that could be had, and no stop was asked for.
+    /// Whether the process is ready: it accepts connections, has the endpoint list or has given up waiting for it, and
+    /// is not shutting down.
     pub fn is_ready(&self) -> bool {
         self.is_ready.load(Relaxed)
     }
 
-    /// The body of `/metrics`: one `name=value` a line. This is where the names of the metrics are.
+    /// Returns the body of `/metrics`, one `name=value` per line. The names of all metrics are defined here.
     pub fn text(&self) -> String {
         let mut text = String::new();
         let mut line = |name: &str, value: &AtomicUsize| {
-            // Writing to a string does not fail.
+            // Writing to a string cannot fail.
             let _ = writeln!(text, "{name}={}", value.load(Relaxed));
         };
         for ListenerMetrics { name, answers } in &self.listeners {
@@ -153,7 +155,7 @@
     }
 
     fn rejection_streak(&self) -> MutexGuard<'_, RejectionStreak> {
-        // Each change of the streak leaves it valid, so that a panic in another thread does no harm.
+        // The streak is valid after every assignment, so a mutex poisoned by a panic can be used.
         self.rejection_streak.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/larklink-proxy/src/session/handler.rs
+++ b/crates/larklink-proxy/src/session/handler.rs
@@ -107,7 +107,7 @@
             return ConnectionEnd::without_session(EndReason::ProtocolError);
         }
     };
-    if !client.permit.keep_if_not_evicted() || !client.permit.start_session() {
+    if !client.permit.cancel_eviction() || !client.permit.start_session() {
         let reason = EndReason::NoDescriptors;
         context.metrics.record_answer(listener, FinalAnswer::Rejected);
         context.metrics.record_rejection_without_attempt(reason, Instant::now());
@@ -144,7 +144,7 @@
         Err(EndReason::Shutdown)
     };
     let received = read_open_line(client).or(evicted).or(accepting_closed).await;
-    if has_late_line(&received, &mut client.connection) && client.permit.keep_if_not_evicted() {
+    if has_late_line(&received, &mut client.connection) && client.permit.cancel_eviction() {
         let evicted = until_evicted(&client.permit);
         let last_answer_due = context.shutdown.last_answer_due();
         return read_open_line(client).or(evicted).or(last_answer_due).await;
--- a/crates/larklink-proxy/tests/connection_limiter.rs
+++ b/crates/larklink-proxy/tests/connection_limiter.rs
@@ -54,7 +54,7 @@
     let (mut session, idle) = (limiter.try_acquire().unwrap(), limiter.try_acquire().unwrap());
     let new = limiter.try_acquire().unwrap();
     assert!(!session.start_session());
-    assert!(session.keep_if_not_evicted() && session.start_session());
+    assert!(session.cancel_eviction() && session.start_session());
     assert!(block_on(poll_once(session.evicted())).is_none());
     assert!(block_on(poll_once(idle.evicted())).is_some());
     drop(idle);
@@ -62,7 +62,7 @@
     let mut last = new;
     let more = limiter.try_acquire().unwrap();
     assert!(more.start_session());
-    assert!(!last.keep_if_not_evicted(), "all others are sessions");
+    assert!(!last.cancel_eviction(), "all others are sessions");
     drop((session, last, more));
     assert_eq!(limiter.client_descriptors(), 0);
 }
