--- a/crates/larklink-proxy/tests/admin.rs
+++ b/crates/larklink-proxy/tests/admin.rs
@@ -1,4 +1,4 @@
-//! The admin endpoint on loopback: its responses, whoever else connects.
+//! The admin endpoint on a loopback address: its responses, also while other connections stall.
 #![allow(clippy::unwrap_used, reason = "a test stops where its setup fails")]
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -19,13 +19,13 @@
     let mut stream = TcpStream::connect(endpoint).unwrap();
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     stream.write_all(text).unwrap();
-    let mut reply = String::new();
-    stream.read_to_string(&mut reply).unwrap();
-    reply
+    let mut response = String::new();
+    stream.read_to_string(&mut response).unwrap();
+    response
 }
 
 #[test]
-fn each_request_gets_its_status_and_a_length() {
+fn responses_have_the_expected_status_and_their_length() {
     let endpoint = admin::start("127.0.0.1:0".parse().unwrap(), metrics()).unwrap();
     let long = format!("GET /ready HTTP/1.1\r\nx: {}", "y".repeat(9000));
     let many = format!("GET /ready HTTP/1.1\r\n{}\r\n", "x: y\r\n".repeat(80));
@@ -39,8 +39,8 @@
         (&long, "431 Request Header Fields Too Large"),
         (&many, "431 Request Header Fields Too Large"),
     ] {
-        let reply = request(endpoint, text.as_bytes());
-        let (head, body) = reply.split_once("\r\n\r\n").unwrap();
+        let response = request(endpoint, text.as_bytes());
+        let (head, body) = response.split_once("\r\n\r\n").unwrap();
         assert!(head.starts_with(&format!("HTTP/1.1 {status}\r\n")), "{text:?}: {head}");
         assert!(head.contains(&format!("Content-Length: {}\r\n", body.len())), "{head}");
         assert!(head.contains("Connection: close"), "{head}");
@@ -49,13 +49,14 @@
 }
 
 #[test]
-fn a_request_may_arrive_cut_at_any_byte() {
+fn an_incomplete_request_gets_no_response_yet() {
     let text = b"GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n";
     (0..text.len()).for_each(|n| assert_eq!(respond(&text[..n], &metrics()), None));
     assert!(respond(text, &metrics()).unwrap().ends_with("_refusing_all_periods_total=0\n"));
 }
 
-/// Many more connections than are served at once, that send nothing or a part of a request, keep no caller out.
+/// More connections than are served concurrently, which send nothing or only a part of a request, do not block a
+/// caller.
 #[test]
 fn stalled_connections_are_evicted() {
     let endpoint = admin::start("127.0.0.1:0".parse().unwrap(), metrics()).unwrap();
@@ -67,17 +68,17 @@
         })
         .collect();
     assert!(request(endpoint, b"GET /metrics HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 200"));
-    // The first of them was evicted for the later ones.
+    // The oldest one was evicted.
     let mut first = &stalled[0];
     first.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     assert!(matches!(first.read(&mut [0]), Ok(0) | Err(_)));
-    // So are those that close without a request.
+    // Connections that are closed without a request do not block a caller either.
     stalled.iter().for_each(|s| _ = s.shutdown(Shutdown::Both));
     assert!(request(endpoint, b"GET /metrics HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 200"));
 }
 
 #[test]
-fn a_taken_address_is_an_error() {
+fn an_address_in_use_is_an_error() {
     let endpoint = admin::start("127.0.0.1:0".parse().unwrap(), metrics()).unwrap();
     assert!(admin::start(endpoint, metrics()).is_err());
 }
--- a/crates/larklink-proxy/tests/connection_limiter.rs
+++ b/crates/larklink-proxy/tests/connection_limiter.rs
@@ -1,4 +1,4 @@
-//! The connection limiter: what is reserved for whom, and who is evicted first.
+//! The connection limiter: its reservations, and the order of evictions.
 #![allow(clippy::unwrap_used, reason = "a test stops where its setup fails")]
 
 use futures_lite::future::{block_on, poll_once};
@@ -11,35 +11,36 @@
     assert!(session.start_session() && session.try_acquire_upstream());
     let mut idle: Vec<_> = (0..88).map(|_| limiter.try_acquire().unwrap()).collect();
     assert_eq!(limiter.client_descriptors(), 90);
-    // One health check runs whatever clients use, on what is reserved for the process.
+    // One health check is granted even if clients use all other descriptors; it uses a descriptor of the process.
     let mut health_checks = vec![limiter.try_acquire_health_check().unwrap()];
     assert!(limiter.try_acquire_health_check().is_none());
     let mut evicted = 0;
     for endpoints in [1, 8, 16, 1024] {
         limiter.reserve_for_health_checks(endpoints);
-        // A third of the limit at most, with what is reserved for the process.
+        // At most a third of the limit, including the reservation for the process.
         let reserved = endpoints.min(33 - 10);
-        let gone =
+        let newly_evicted =
             idle.iter().filter(|connection| block_on(poll_once(connection.evicted())).is_some()).count();
-        assert_eq!(evicted + gone, reserved, "as many as were reserved, the oldest");
+        assert_eq!(evicted + newly_evicted, reserved, "as many as were reserved");
         assert!(
             limiter.try_acquire_health_check().is_none(),
-            "evicted connections use theirs until they have closed"
+            "evicted connections hold their descriptors until they have closed"
         );
-        idle.drain(..gone).for_each(drop);
-        evicted += gone;
+        // The oldest connections are the evicted ones.
+        idle.drain(..newly_evicted).for_each(drop);
+        evicted += newly_evicted;
         health_checks.extend(std::iter::from_fn(|| limiter.try_acquire_health_check()));
         assert_eq!((health_checks.len(), limiter.client_descriptors()), (reserved, 90 - reserved));
     }
     drop(health_checks);
-    // A new connection does not take what is reserved: the oldest idle one is evicted for it, the session never.
+    // A new connection does not use the reservation: the oldest idle connection is evicted for it, and no session.
     let new = limiter.try_acquire().unwrap();
     assert!(block_on(poll_once(idle[0].evicted())).is_some());
     assert!(block_on(poll_once(limiter.evictions_done())).is_none(), "the oldest has not closed yet");
     idle.remove(0);
     assert!(block_on(poll_once(limiter.evictions_done())).is_some());
     assert!(block_on(poll_once(session.evicted())).is_none());
-    // With a shorter list the descriptors are free for clients again.
+    // After the list has shrunk, the descriptors are free for clients again.
     limiter.reserve_for_health_checks(0);
     idle.extend((0..23).map(|_| limiter.try_acquire().unwrap()));
     assert_eq!(limiter.client_descriptors(), 90);
@@ -47,9 +48,9 @@
     drop(new);
 }
 
-/// The open line of an evicted connection may lie in the kernel while many others are accepted.
+/// The open line of an evicted connection may wait unread in the kernel while many other connections are accepted.
 #[test]
-fn an_evicted_connection_with_a_line_is_kept_and_the_next_idle_one_evicted() {
+fn the_eviction_of_a_connection_with_an_open_line_is_cancelled_by_evicting_the_next_idle_one() {
     let limiter = ConnectionLimiter::new(2);
     let (mut session, idle) = (limiter.try_acquire().unwrap(), limiter.try_acquire().unwrap());
     let new = limiter.try_acquire().unwrap();
@@ -62,7 +63,7 @@
     let mut last = new;
     let more = limiter.try_acquire().unwrap();
     assert!(more.start_session());
-    assert!(!last.cancel_eviction(), "all others are sessions");
+    assert!(!last.cancel_eviction(), "all other connections have sessions");
     drop((session, last, more));
     assert_eq!(limiter.client_descriptors(), 0);
 }
@@ -88,10 +89,11 @@
 }
 
 #[test]
-fn the_other_process_leaves_what_is_in_use_and_not_what_is_reserved_for_health_checks() {
+fn descriptors_in_use_exclude_the_unused_reservation_for_health_checks() {
     let limiter = ConnectionLimiter::with_reserved(10, 100);
     limiter.reserve_for_health_checks(20);
-    let _probes = (limiter.try_acquire_health_check().unwrap(), limiter.try_acquire_health_check().unwrap());
+    let _health_checks =
+        (limiter.try_acquire_health_check().unwrap(), limiter.try_acquire_health_check().unwrap());
     let _idle = limiter.try_acquire().unwrap();
     assert_eq!((limiter.reserved(), limiter.in_use()), (10, 10 + 2 + 1));
 }
@@ -106,7 +108,7 @@
     assert!(block_on(poll_once(&mut next)).is_none());
     health_checks.pop();
     assert!(block_on(poll_once(&mut next)).is_some());
-    // Sessions stay where a list has grown: health checks get their descriptors as sessions end.
+    // When the list grows, sessions are not evicted: health checks get their descriptors as sessions end.
     let limiter = ConnectionLimiter::with_reserved(4, 30);
     let mut sessions: Vec<_> =
         (0..26).map(|_| limiter.try_acquire().filter(|permit| permit.start_session()).unwrap()).collect();
@@ -115,6 +117,6 @@
     let first = limiter.try_acquire_health_check();
     assert!(first.is_some() && limiter.try_acquire_health_check().is_none());
     sessions.truncate(23);
-    let few: Vec<_> = std::iter::from_fn(|| limiter.try_acquire_health_check()).collect();
-    assert_eq!(few.len(), 2);
+    let further: Vec<_> = std::iter::from_fn(|| limiter.try_acquire_health_check()).collect();
+    assert_eq!(further.len(), 2);
 }
--- a/crates/larklink-proxy/tests/discovery.rs
+++ b/crates/larklink-proxy/tests/discovery.rs
@@ -1,5 +1,5 @@
-//! When a change of the endpoint list arrives at the latest, whatever becomes of the polls before: the bound for all
-//! settings, and a stand-in for discovery that fails in every order and then sends a drain.
+//! The time until a change of the endpoint list arrives after failed polls: its bound for all settings, and proxies
+//! whose scripted discovery service fails in every order of failures and then sends a change.
 #![allow(clippy::unwrap_used, reason = "a test stops where its setup fails")]
 use std::net::TcpListener;
 use std::thread;
@@ -22,130 +22,143 @@
     TickDuration::from_ticks(count)
 }
 
-/// From a tenth of a millisecond to a day, in tenths of a millisecond; and none.
-fn spans() -> impl Iterator<Item = u64> + Clone {
+/// Durations in ticks: 0, 0.1 ms to about a day in geometric steps, and a very large one.
+fn durations() -> impl Iterator<Item = u64> + Clone {
     std::iter::once(0).chain((0..120).map(|n| 1.19_f64.powi(n) as u64)).chain([u64::MAX / 100])
 }
 
 #[test]
-fn a_change_arrives_within_six_seconds_whatever_the_settings() {
+fn the_notification_delay_stays_within_its_bound_for_all_settings() {
     let bound = NOTIFICATION_DEADLINE - SCHEDULING_MARGIN;
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     for (discovery_deadline, grace) in
-        spans().flat_map(|deadline| spans().map(move |grace| (deadline, grace)))
+        durations().flat_map(|deadline| durations().map(move |grace| (deadline, grace)))
     {
         for polled_discovery in [false, true] {
             let schedule = PollSchedule::new(ticks(discovery_deadline), ticks(grace), polled_discovery);
-            let of = format!(
+            let case = format!(
                 "discovery_deadline {discovery_deadline}, drain_grace {grace}, {polled_discovery}: {schedule:?}"
             );
-            assert!((0..40).all(|failed| schedule.max_notification_delay(failed, 1) <= bound), "{of}");
-            assert!(schedule.max_notification_delay(0, 3) <= bound, "{of}");
-            // After SIGHUP, as if one poll had failed before.
+            assert!((0..40).all(|failures| schedule.max_notification_delay(failures, 1) <= bound), "{case}");
+            assert!(schedule.max_notification_delay(0, 3) <= bound, "{case}");
+            // After SIGHUP a poll is timed as if one had failed before.
             assert!(
                 schedule.max_notification_delay(1, 2) <= Duration::from_secs(4) - SCHEDULING_MARGIN,
-                "{of}"
+                "{case}"
             );
-            // Each order of three polls that hang or are rejected: never over the bound.
+            // Three polls that hang or are rejected, in every order: bit n of `order` is set if poll n is rejected.
             for order in 0..8 {
-                let mut all = Duration::ZERO;
+                let mut delay = Duration::ZERO;
                 let mut rejections = 0;
-                for failed in 0..3 {
-                    let rejected = order >> failed & 1 == 1;
+                for failures in 0..3 {
+                    let rejected = order >> failures & 1 == 1;
                     rejections += u32::from(rejected);
-                    let longest =
+                    let max_backoff =
                         if rejected { schedule.max_rejection_backoff } else { schedule.max_backoff };
-                    let call = if rejected {
-                        schedule.response_timeout_after(failed)
+                    let poll = if rejected {
+                        schedule.response_timeout_after(failures)
                     } else {
-                        schedule.total_timeout(failed, failed)
+                        schedule.total_timeout(failures, failures)
                     };
-                    all += call + backoff(rejections.max(1), longest, &mut rng);
+                    delay += poll + backoff(rejections.max(1), max_backoff, &mut rng);
                 }
                 assert!(
-                    all + schedule.response_timeout_after(3) <= schedule.max_notification_delay(0, 3),
-                    "{of}, order {order:03b}"
+                    delay + schedule.response_timeout_after(3) <= schedule.max_notification_delay(0, 3),
+                    "{case}, order {order:03b}"
                 );
             }
-            // While no connection comes up, however long, an agent's return is noticed within three quarters of a grace.
+            // However long an agent was unreachable, its return is noticed within three quarters of the drain
+            // grace.
             assert!(
                 polled_discovery
                     || grace < 2_000
                     || schedule.response_timeout + schedule.max_backoff <= to_duration(ticks(grace)) * 3 / 4,
-                "{of}"
+                "{case}"
             );
-            // Never in a tight loop, and never so short that no response could be read.
+            // Polls are not repeated in a tight loop, and the timeout leaves enough time to read a response.
             assert!(
                 schedule.response_timeout >= Duration::from_millis(100)
                     && schedule.max_backoff >= Duration::from_millis(10),
-                "{of}"
+                "{case}"
             );
-            // Pushed lists are polled again within the grace, but for graces under 40 ms.
+            // An agent is polled again within a quarter of the drain grace, or of 40 ms if the grace is shorter.
             let quarter = to_duration(ticks(grace)).max(Duration::from_millis(40)) / 4;
-            assert!(polled_discovery || grace == 0 || schedule.max_rejection_backoff <= quarter, "{of}");
+            assert!(polled_discovery || grace == 0 || schedule.max_rejection_backoff <= quarter, "{case}");
         }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Failure {
-    /// Accepted, and nothing more.
+    /// The request is received and never answered.
     Hangs,
     Rejects,
-    /// A response that begins and never ends, a byte now and then.
-    Drips,
+    /// The response begins and never ends; a byte is sent from time to time.
+    Trickles,
     Resets,
 }
 
-const FAILURES: [Failure; 4] = [Failure::Hangs, Failure::Rejects, Failure::Drips, Failure::Resets];
+const FAILURES: [Failure; 4] = [Failure::Hangs, Failure::Rejects, Failure::Trickles, Failure::Resets];
 
-/// Fails the next poll, and returns when it arrived. Its connection stays open as long as `held` lives.
-fn fail(agent: &TcpListener, how: Failure, call: Option<Peer>, held: &mut Vec<Peer>) -> Instant {
-    let mut call = call.unwrap_or_else(|| {
-        let mut call = Peer::accept(agent);
-        receive_request(&mut call);
-        call
+/// Fails the next poll, and returns when it arrived. Its connection is kept open in `open_connections`.
+fn fail_poll(
+    agent: &TcpListener,
+    failure: Failure,
+    poll: Option<Peer>,
+    open_connections: &mut Vec<Peer>,
+) -> Instant {
+    let mut poll = poll.unwrap_or_else(|| {
+        let mut poll = Peer::accept(agent);
+        receive_request(&mut poll);
+        poll
     });
-    let came = Instant::now();
-    match how {
-        Failure::Hangs => held.push(call),
+    let arrived_at = Instant::now();
+    match failure {
+        Failure::Hangs => open_connections.push(poll),
         Failure::Rejects => {
-            call.send("HTTP/1.1 503 Overbooked\r\ncontent-length: 0\r\n\r\n");
-            held.push(call);
+            poll.send("HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n");
+            open_connections.push(poll);
         }
-        Failure::Drips => {
-            call.send("HTTP/1.1 200 OK\r\ncontent-length: 99999\r\n\r\n{");
-            let stream = call.0.get_ref().try_clone().unwrap();
+        Failure::Trickles => {
+            poll.send("HTTP/1.1 200 OK\r\ncontent-length: 99999\r\n\r\n{");
+            let stream = poll.0.get_ref().try_clone().unwrap();
             thread::spawn(move || {
                 while std::io::Write::write_all(&mut &stream, b" ").is_ok() {
                     thread::sleep(Duration::from_millis(20));
                 }
             });
-            held.push(call);
+            open_connections.push(poll);
         }
-        Failure::Resets => call.reset(),
+        Failure::Resets => poll.reset(),
     }
-    came
+    arrived_at
 }
 
-/// Every order of three failures, then a drain that the next poll brings, all in parallel: it arrives within the bound
-/// from the first failure and from the last, in both modes. A long poll waits for half a second here; a few orders are
-/// run with the longest waits that there are.
+/// Every combination of three failures, followed by the removal of an endpoint in the next poll, all run in parallel
+/// and in both discovery modes. The removal arrives within the bound from the first failure and from the last. Long
+/// polls wait for half a second; two combinations also run with the longest wait.
 #[test]
-fn a_drain_arrives_in_time_after_three_failures_in_every_order() {
+fn a_removal_arrives_in_time_after_three_failures_in_every_order() {
     let orders = (0..64).map(|n| [n, n / 4, n / 16].map(|at| FAILURES[at % 4]));
-    let longest = [Failure::Hangs, Failure::Rejects].map(|how| [Failure::Hangs, how, how]);
-    let all = orders.map(|order| (order, 20_000, 5_000)).chain(longest.map(|order| (order, 600_000, 50_000)));
-    let runs = all.flat_map(|(order, discovery_deadline, grace)| {
-        [false, true]
-            .map(|polled| thread::spawn(move || arrives_in_time(order, discovery_deadline, grace, polled)))
+    let longest = [Failure::Hangs, Failure::Rejects].map(|failure| [Failure::Hangs, failure, failure]);
+    let cases =
+        orders.map(|order| (order, 20_000, 5_000)).chain(longest.map(|order| (order, 600_000, 50_000)));
+    let runs = cases.flat_map(|(order, discovery_deadline, grace)| {
+        [false, true].map(|polled| {
+            thread::spawn(move || assert_removal_arrives_in_time(order, discovery_deadline, grace, polled))
+        })
     });
     for run in runs.collect::<Vec<_>>() {
         run.join().unwrap();
     }
 }
 
-fn arrives_in_time(order: [Failure; 3], discovery_deadline: u64, grace: u64, polled_discovery: bool) {
+fn assert_removal_arrives_in_time(
+    order: [Failure; 3],
+    discovery_deadline: u64,
+    grace: u64,
+    polled_discovery: bool,
+) {
     let schedule = PollSchedule::new(ticks(discovery_deadline), ticks(grace), polled_discovery);
     let ((_listener, at), (agent, discovery)) = (listen(), listen());
     let config = config(&[], discovery, "proxy", 1024)
@@ -158,27 +171,27 @@
     respond(&mut watch, &list(41, true, &[endpoint("s-0", at, "up"), endpoint("s-1", at, "up")]));
     receive_request(&mut watch);
     last_metrics_become(&proxy, [0, 0, 2]);
-    let (first, mut held, mut call) = (Instant::now(), Vec::new(), Some(watch));
-    let mut last = first;
-    for how in order {
-        last = fail(&agent, how, call.take(), &mut held);
+    let (first_failure, mut open_connections, mut poll) = (Instant::now(), Vec::new(), Some(watch));
+    let mut last_failure = first_failure;
+    for failure in order {
+        last_failure = fail_poll(&agent, failure, poll.take(), &mut open_connections);
     }
-    let mut call = Peer::accept(&agent);
-    receive_request(&mut call);
-    respond(&mut call, &list(42, false, &[endpoint("s-0", at, "removed")]));
+    let mut poll = Peer::accept(&agent);
+    receive_request(&mut poll);
+    respond(&mut poll, &list(42, false, &[endpoint("s-0", at, "removed")]));
     last_metrics_become(&proxy, [0, 0, 1]);
-    let (first, last) = (first.elapsed(), last.elapsed());
-    // The margin is for a machine on which all runs are in parallel.
-    let what = format!("{order:?} {schedule:?}: {first:?} from the first failure, {last:?} from the last");
+    let (since_first, since_last) = (first_failure.elapsed(), last_failure.elapsed());
+    // The margin allows for the load of all runs in parallel.
     assert!(
-        first <= schedule.max_notification_delay(0, 3) + SCHEDULING_MARGIN
-            && last <= schedule.max_notification_delay(2, 1) + SCHEDULING_MARGIN,
-        "{what}"
+        since_first <= schedule.max_notification_delay(0, 3) + SCHEDULING_MARGIN
+            && since_last <= schedule.max_notification_delay(2, 1) + SCHEDULING_MARGIN,
+        "{order:?} {schedule:?}: {since_first:?} from the first failure, {since_last:?} from the last"
     );
 }
 
-/// A proxy with a list of two endpoints, its discovery, and its long poll in flight, which waits for half a second.
-fn start_with_two(a: std::net::SocketAddr, b: std::net::SocketAddr) -> (Proxy, TcpListener, Peer) {
+/// Starts a proxy with a list of two endpoints. Returns it with its discovery agent and the connection of its long poll
+/// in flight, which has a wait of half a second.
+fn start_with_two_endpoints(a: std::net::SocketAddr, b: std::net::SocketAddr) -> (Proxy, TcpListener, Peer) {
     let (agent, discovery) = listen();
     let config = config(&[], discovery, "proxy", 1024);
     let proxy =
@@ -190,15 +203,16 @@
     (proxy, agent, watch)
 }
 
-/// Sessions with any key go to one endpoint, and none to the other.
-fn only_to(proxy: &Proxy, to: &TcpListener, other: &TcpListener) {
+/// Establishes sessions with several keys, and checks that all go to one endpoint and none to the other.
+fn assert_sessions_go_only_to(proxy: &Proxy, to: &TcpListener, other: &TcpListener) {
     for key in 0..8 {
         establish_with(&open_line(&format!("c=chat,t=acme,d=2000,g={key}")), proxy.address, to);
     }
     assert_eq!(open_lines(other), [""; 0]);
 }
 
-/// Endpoints that it lacks are removed, those that drain in it drain, and polls go on from its index.
+/// A complete list in response to a long poll replaces the known one: endpoints missing from it are removed, endpoints
+/// draining in it drain, and later polls continue from its index.
 #[test]
 fn a_complete_list_may_answer_a_long_poll() {
     let ((first, a), (second, b)) = (listen(), listen());
@@ -206,66 +220,66 @@
         list(43, true, &[endpoint("s-1", b, "up")]),
         list(43, true, &[endpoint("s-0", a, "draining"), endpoint("s-1", b, "up")]),
     ] {
-        let (proxy, _agent, mut watch) = start_with_two(a, b);
+        let (proxy, _agent, mut watch) = start_with_two_endpoints(a, b);
         respond(&mut watch, &body);
         assert!(receive_request(&mut watch).starts_with("/api/targets?after=43&wait_ms=500"));
-        only_to(&proxy, &second, &first);
-        // An equal list may arrive again, and changes to it.
+        assert_sessions_go_only_to(&proxy, &second, &first);
+        // The same list may arrive again, and then changes to it.
         respond(&mut watch, &body);
         assert!(receive_request(&mut watch).starts_with("/api/targets?after=43&"));
         respond(&mut watch, &list(44, false, &[endpoint("s-2", a, "up"), endpoint("s-1", b, "draining")]));
         assert!(receive_request(&mut watch).starts_with("/api/targets?after=44&"));
-        only_to(&proxy, &first, &second);
+        assert_sessions_go_only_to(&proxy, &first, &second);
     }
 }
 
-/// A long poll hangs, and a new one brings what it missed as a complete list; a late response on the old connection
-/// changes nothing.
+/// A long poll hangs, and the next poll returns the missed changes as a complete list. A late response on the
+/// connection of the first has no effect.
 #[test]
 fn a_complete_list_after_a_hung_poll_arrives_in_time() {
     let ((first, a), (second, b)) = (listen(), listen());
-    let (proxy, agent, mut hung) = start_with_two(a, b);
-    let begun = Instant::now();
+    let (proxy, agent, mut hung) = start_with_two_endpoints(a, b);
+    let started = Instant::now();
     let mut watch = Peer::accept(&agent);
-    // Its wait is short: whether discovery is there has to show early.
+    // The wait is short, so that the response soon shows whether discovery is available.
     assert_eq!(receive_request(&mut watch), "/api/targets?after=41&wait_ms=100");
     respond(&mut watch, &list(43, true, &[endpoint("s-1", b, "up")]));
     assert!(receive_request(&mut watch).starts_with("/api/targets?after=43&wait_ms=500"));
     assert!(
-        begun.elapsed()
+        started.elapsed()
             < PollSchedule::new(ticks(20_000), ticks(5_000), false).max_notification_delay(0, 1)
                 + SCHEDULING_MARGIN,
         "{:?}",
-        begun.elapsed()
+        started.elapsed()
     );
     let _ = std::io::Write::write_all(hung.0.get_mut(), b"HTTP/1.1 200 OK\r\n\r\n");
-    only_to(&proxy, &second, &first);
+    assert_sessions_go_only_to(&proxy, &second, &first);
 }
 
-/// A connection that does not come up is tried again before the kernel retransmits, and as often as ever however long
-/// that goes on: the proxy counts as notified at once of what an agent has at its return.
+/// A proxy counts as notified as soon as its agent is reachable again, so connection attempts must be repeated before
+/// the kernel retransmits the SYN, and no less often the longer the agent is unreachable.
 #[test]
-fn a_list_arrives_within_the_drain_grace_of_the_return_of_an_unreachable_agent() {
+fn a_list_arrives_within_the_drain_grace_after_an_unreachable_agent_returns() {
     let runs: Vec<_> = (0..20)
         .map(|n| {
             thread::spawn(move || {
-                let (deaf, discovery) = FullBacklog::new();
+                let (unreachable, discovery) = FullBacklog::new();
                 let proxy = start(&[], discovery, "proxy", 1024);
-                deaf.wait_for_connection_attempt();
-                // Ten polls that hang, and up to one more.
+                unreachable.wait_for_connection_attempt();
+                // Long enough for ten polls that time out, and up to one more.
                 thread::sleep(Duration::from_millis(3_500 + 20 * n));
-                let (agent, begun) = (deaf.listen(), Instant::now());
-                // The kernel may bring up a connection that was given up meanwhile.
-                let calls = std::iter::repeat_with(|| Peer::accept(&agent));
-                let mut call =
-                    calls.map(|mut c| (c.receive_line(), c)).find(|(line, _)| !line.is_empty()).unwrap().1;
-                while call.receive_line() != "\r\n" {}
-                respond(&mut call, &list(41, true, &[endpoint("s-0", discovery, "up")]));
+                let (agent, returned) = (unreachable.listen(), Instant::now());
+                // The kernel may establish a connection that the proxy has given up meanwhile; it sends nothing.
+                let polls = std::iter::repeat_with(|| Peer::accept(&agent));
+                let mut poll =
+                    polls.map(|mut p| (p.receive_line(), p)).find(|(line, _)| !line.is_empty()).unwrap().1;
+                while poll.receive_line() != "\r\n" {}
+                respond(&mut poll, &list(41, true, &[endpoint("s-0", discovery, "up")]));
                 last_metrics_become(&proxy, [0, 0, 1]);
-                begun.elapsed()
+                returned.elapsed()
             })
         })
         .collect();
-    let took: Vec<_> = runs.into_iter().map(|run| run.join().unwrap()).collect();
-    assert!(took.iter().all(|took| *took < Duration::from_millis(500)), "{took:?}");
+    let delays: Vec<_> = runs.into_iter().map(|run| run.join().unwrap()).collect();
+    assert!(delays.iter().all(|delay| *delay < Duration::from_millis(500)), "{delays:?}");
 }
--- a/crates/larklink-proxy/tests/discovery_responses.rs
+++ b/crates/larklink-proxy/tests/discovery_responses.rs
@@ -1,4 +1,4 @@
-//! What discovery sends: its responses, its entries, and the backoff after its failures.
+//! Parsing of discovery's responses and of their entries, and the backoff after failures.
 #![allow(clippy::unwrap_used, reason = "a test stops where its setup fails")]
 use std::time::Duration;
 
@@ -9,21 +9,21 @@
 use rand::SeedableRng;
 
 #[test]
-fn an_endpoint_id_is_made_from_the_name_alone() {
-    let one = Endpoint {
+fn an_endpoint_id_depends_on_the_name_only() {
+    let endpoint = Endpoint {
         name: "s-1".into(),
         address: "10.0.0.1:1".into(),
         status: "up".into(),
         ..Endpoint::default()
     };
-    let other = Endpoint { address: "10.9.9.9:9".into(), status: "elsewhere".into(), ..one.clone() };
-    assert_eq!(one.to_entry(&[]).id, other.to_entry(&[]).id);
+    let other = Endpoint { address: "10.9.9.9:9".into(), status: "elsewhere".into(), ..endpoint.clone() };
+    assert_eq!(endpoint.to_entry(&[]).id, other.to_entry(&[]).id);
     assert_ne!(endpoint_id("s-1"), endpoint_id("s-2"));
     assert_eq!(
-        (one.to_entry(&[]).state, other.to_entry(&[]).state),
+        (endpoint.to_entry(&[]).state, other.to_entry(&[]).state),
         (EndpointState::Ready, EndpointState::Draining)
     );
-    let started = Endpoint { started_at_ms: 1_796_122_544_461.0, ..one };
+    let started = Endpoint { started_at_ms: 1_796_122_544_461.0, ..endpoint };
     assert_eq!(started.to_entry(&[]).started_at.as_ticks(), 17_961_225_444_610);
 }
 
@@ -39,7 +39,7 @@
         a.len(),
         b.len()
     );
-    for (text, kept) in [(plain, true), (chunked, false)] {
+    for (text, keep_alive) in [(plain, true), (chunked, false)] {
         for n in 0..text.len() {
             assert!(
                 ResponseReader::default().read(&text.as_bytes()[..n]).unwrap().is_none(),
@@ -47,17 +47,17 @@
                 text.len()
             );
         }
-        let mut by_pieces = ResponseReader::default();
-        let cut = |n| by_pieces.read(&text.as_bytes()[..n]).unwrap();
+        let mut incremental = ResponseReader::default();
+        let read_prefix = |n| incremental.read(&text.as_bytes()[..n]).unwrap();
         assert_eq!(
-            (1..=text.len()).filter_map(cut).map(|r| (r.list.index, r.length)).last(),
+            (1..=text.len()).filter_map(read_prefix).map(|r| (r.list.index, r.length)).last(),
             Some((43, text.len()))
         );
         let response = ResponseReader::default().read(text.as_bytes()).unwrap().unwrap();
         let list = response.list;
         assert_eq!(
             (list.index, list.endpoints.len(), response.keep_alive, response.length),
-            (43, 1, kept, text.len())
+            (43, 1, keep_alive, text.len())
         );
     }
 }
@@ -77,18 +77,19 @@
     }
 }
 
-/// A hundred proxies that lose discovery together return spread out, and less often with each failure.
+/// The polls of a hundred proxies that lose discovery at the same time are spread out, and become rarer with each
+/// failure.
 #[test]
 fn backoffs_are_spread_and_grow_with_each_failure() {
-    let most = Duration::from_millis(1250);
-    let mean = |failed| {
-        let pauses: Vec<_> = (0..100)
-            .map(|seed| backoff(failed, most, &mut rand_chacha::ChaCha8Rng::seed_from_u64(seed)))
+    let max = Duration::from_millis(1250);
+    let mean = |failures| {
+        let backoffs: Vec<_> = (0..100)
+            .map(|seed| backoff(failures, max, &mut rand_chacha::ChaCha8Rng::seed_from_u64(seed)))
             .collect();
-        assert!(pauses.iter().all(|p| *p >= Duration::from_millis(50) && *p <= most));
-        let tenths: std::collections::BTreeSet<_> = pauses.iter().map(|p| p.as_millis() / 20).collect();
-        assert!(tenths.len() > 10, "in step: {pauses:?}");
-        pauses.iter().sum::<Duration>() / 100
+        assert!(backoffs.iter().all(|b| *b >= Duration::from_millis(50) && *b <= max));
+        let intervals: std::collections::BTreeSet<_> = backoffs.iter().map(|b| b.as_millis() / 20).collect();
+        assert!(intervals.len() > 10, "not spread out: {backoffs:?}");
+        backoffs.iter().sum::<Duration>() / 100
     };
-    assert!(mean(1) < Duration::from_millis(250) && mean(3) > mean(1) * 2 && mean(1000) < most * 2 / 3);
+    assert!(mean(1) < Duration::from_millis(250) && mean(3) > mean(1) * 2 && mean(1000) < max * 2 / 3);
 }
--- a/crates/larklink-proxy/tests/endpoint_list_updates.rs
+++ b/crates/larklink-proxy/tests/endpoint_list_updates.rs
@@ -1,4 +1,4 @@
-//! A whole proxy follows the endpoint list of a scripted discovery agent.
+//! A proxy polls the endpoint list of a scripted discovery agent and applies its updates.
 use std::io::Write;
 use std::time::{Duration, Instant};
 
@@ -10,12 +10,12 @@
 };
 
 #[test]
-fn the_list_is_watched_and_clients_of_a_draining_server_are_moved_between_two_lines() {
+fn sessions_of_a_draining_endpoint_are_migrated_at_a_line_boundary() {
     let ((listener, at), (agent, discovery)) = (listen(), listen());
     let proxy = start(&[], discovery, "proxy", 1024);
     let mut watch = Peer::accept(&agent);
     assert_eq!(receive_request(&mut watch), "/api/targets");
-    // A body that is none: asked again, on another connection.
+    // After an invalid body the list is polled again, on another connection.
     respond(&mut watch, "{]");
     let mut watch = Peer::accept(&agent);
     assert_eq!(receive_request(&mut watch), "/api/targets");
@@ -34,34 +34,34 @@
     server.expect_end();
 }
 
-/// Garbled, cut short, refused, endless, of an older index, told too early: asked again in good order, and sessions
-/// go by the list that stands.
+/// After a response that is rejected, truncated, oversized or outdated, or arrives without holding the long poll, the
+/// list is polled again without a tight loop, and sessions are sent by the known list meanwhile.
 #[test]
-fn a_discovery_that_lies_is_asked_again_and_costs_no_session() {
+fn invalid_discovery_responses_are_polled_again_and_affect_no_session() {
     let ((listener, at), (agent, discovery)) = (listen(), listen());
     let proxy = start(&[at], discovery, "proxy", 1024);
-    let whole = list(41, true, &[endpoint("s-0", at, "up")]);
-    for wrong in [
-        "HTTP/1.1 503 Overbooked\r\ncontent-length: 0\r\n\r\n".to_owned(),
-        format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{whole}", whole.len() - 9),
-        format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{whole}", whole.len() + 9),
+    let complete = list(41, true, &[endpoint("s-0", at, "up")]);
+    for invalid in [
+        "HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n".to_owned(),
+        format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{complete}", complete.len() - 9),
+        format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{complete}", complete.len() + 9),
         "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nfffffff0\r\n".to_owned(),
         format!("HTTP/1.1 200 OK\r\nx: {}", "y".repeat(20 << 10)),
     ] {
-        let mut call = Peer::accept(&agent);
-        assert_eq!(receive_request(&mut call), "/api/targets");
-        call.send(&wrong);
-        drop(call);
+        let mut poll = Peer::accept(&agent);
+        assert_eq!(receive_request(&mut poll), "/api/targets");
+        poll.send(&invalid);
+        drop(poll);
         establish(proxy.address, &listener);
     }
     let mut watch = Peer::accept(&agent);
     assert_eq!(receive_request(&mut watch), "/api/targets");
-    respond(&mut watch, &whole);
+    respond(&mut watch, &complete);
     assert!(receive_request(&mut watch).starts_with("/api/targets?after=41&"));
-    // Changes from before: nothing can be built on them.
+    // Changes with an older index cannot be applied: the complete list is polled.
     respond(&mut watch, &list(7, false, &[endpoint("s-0", at, "removed")]));
     assert_eq!(receive_request(&mut watch), "/api/targets");
-    respond(&mut watch, &whole);
+    respond(&mut watch, &complete);
     let started = Instant::now();
     for _ in 0..5 {
         assert!(receive_request(&mut watch).starts_with("/api/targets?after=41&"));
@@ -69,33 +69,35 @@
     }
     assert!(
         receive_request(&mut watch).contains("after=41") && started.elapsed() >= Duration::from_millis(400),
-        "a spin"
+        "polled in a tight loop"
     );
     establish(proxy.address, &listener);
 }
 
-/// Discovery was silent for seven seconds, and an agent that had it back counted as having told of drains: proxies
-/// that paused for up to 1.2 s then sent new sessions there past the grace.
+/// Guards against a long backoff after an outage: agents that had been down for seven seconds counted as having
+/// notified their proxies of drains as soon as they were back, while proxies that backed off for up to 1.2 s kept
+/// sending new sessions to draining endpoints past the drain grace.
 #[test]
-fn an_agent_that_was_silent_is_heard_within_the_grace_of_its_return() {
+fn an_agent_that_fails_repeatedly_is_polled_again_within_the_drain_grace() {
     let (agent, discovery) = listen();
     let _proxy = start(&[], discovery, "proxy", 1024);
     let mut gaps = Vec::new();
     for _ in 0..12 {
-        let mut call = Peer::accept(&agent);
-        receive_request(&mut call);
-        let lost = Instant::now();
-        drop(call);
+        let mut poll = Peer::accept(&agent);
+        receive_request(&mut poll);
+        let closed_at = Instant::now();
+        drop(poll);
         receive_request(&mut Peer::accept(&agent));
-        gaps.push(lost.elapsed());
+        gaps.push(closed_at.elapsed());
     }
-    let grace = Duration::from_millis(500);
-    assert!(gaps.iter().all(|gap| *gap < grace), "{gaps:?}");
+    let drain_grace = Duration::from_millis(500);
+    assert!(gaps.iter().all(|gap| *gap < drain_grace), "{gaps:?}");
 }
 
-/// Plain, indented, in chunks, in pieces: 1,024 servers, all but one of which go in one change.
+/// A list of 1,024 endpoints, of which one change removes all but one, as compact JSON, as indented JSON, and in
+/// chunked encoding sent in pieces.
 #[test]
-fn a_list_of_1024_servers_is_heard_however_it_is_written() {
+fn a_list_of_1024_endpoints_is_applied_in_every_encoding() {
     let all = |address, status: &str| -> Vec<_> {
         (0..1024).map(|n| endpoint(&format!("s-{n:08x}"), address, status)).collect()
     };
@@ -112,28 +114,28 @@
             chunks.collect::<String>()
         )
     };
-    for form in 0..3 {
+    for encoding in 0..3 {
         let ((listener, at), (agent, discovery)) = (listen(), listen());
         let proxy = start(&[], discovery, "proxy", 1024);
         let mut watch = Peer::accept(&agent);
-        let mut tell = |index, whole, endpoints: &[String]| {
+        let mut send_list = |index, complete, endpoints: &[String]| {
             receive_request(&mut watch);
-            let text = list(index, whole, endpoints);
-            match form {
+            let text = list(index, complete, endpoints);
+            match encoding {
                 0 => respond(&mut watch, &text),
                 1 => respond(&mut watch, &indented(&text)),
                 _ => chunked(&text)
                     .as_bytes()
                     .chunks(1000)
-                    .for_each(|p| watch.0.get_mut().write_all(p).unwrap()),
+                    .for_each(|piece| watch.0.get_mut().write_all(piece).unwrap()),
             }
         };
-        tell(41, true, &all(at, "up"));
-        tell(42, false, &[]);
+        send_list(41, true, &all(at, "up"));
+        send_list(42, false, &[]);
         establish(proxy.address, &listener);
-        tell(43, false, &all(refusing_address(), "removed")[1..]);
-        tell(44, false, &[]);
-        // Only the first is left, whatever a session's key.
+        send_list(43, false, &all(refusing_address(), "removed")[1..]);
+        send_list(44, false, &[]);
+        // Only the first endpoint is left, for sessions with any key.
         for key in 0..8 {
             establish_with(&open_line(&format!("c=chat,t=acme,d=2000,g={key}")), proxy.address, &listener);
         }
--- a/crates/larklink-proxy/tests/metrics.rs
+++ b/crates/larklink-proxy/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics: their names, and what counts as rejecting all sessions.
+//! The names of the metrics, and the detection of a process that rejects all sessions.
 #![allow(clippy::unwrap_used, reason = "a test stops where its setup fails")]
 use std::io::Write;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn the_metrics_have_the_names_of_the_operators_page() {
+fn the_metrics_have_the_documented_names() {
     let metrics = metrics();
     metrics.record_answer(0, FinalAnswer::Accepted);
     metrics.record_answer(1, FinalAnswer::Rejected);
@@ -20,8 +20,8 @@
     metrics.record_answer(7, FinalAnswer::Failed);
     metrics.record_attempt_sent();
     metrics.set_endpoints(5, 2);
-    let (one, two) = (metrics.session_started(), metrics.session_started());
-    drop(one);
+    let (ended, in_progress) = (metrics.session_started(), metrics.session_started());
+    drop(ended);
     assert_eq!(
         metrics.text(),
         "app.handled.chat.passed=1\napp.handled.chat.dropped=0\napp.handled.chat.bad_gateway=0\n\
@@ -29,10 +29,10 @@
          app.upstream_tries=1\napp.in_progress=1\napp.known_servers=5\napp.skipped_servers=2\n\
          larklink_sessions_refused_without_dial_total=0\nlarklink_refusing_all_periods_total=0\n"
     );
-    drop(two);
+    drop(in_progress);
 }
 
-/// Sessions rejected without an attempt, and periods in which all were.
+/// The counters of sessions rejected without an attempt and of periods in which all sessions were rejected.
 fn rejections(metrics: &Metrics) -> (usize, usize) {
     let count = |name| {
         let text = metrics.text();
@@ -41,18 +41,18 @@
     (count("larklink_sessions_refused_without_dial_total"), count("larklink_refusing_all_periods_total"))
 }
 
-/// The lines that are logged meanwhile.
+/// Runs `work` and returns the lines that it logs.
 fn logged(work: impl FnOnce()) -> Vec<String> {
     let (sender, lines) = std::sync::mpsc::channel();
-    let writer = move || Line(sender.clone());
+    let writer = move || LogWriter(sender.clone());
     let log = tracing_subscriber::fmt().with_ansi(false).without_time().with_writer(writer).finish();
     tracing::subscriber::with_default(log, work);
     lines.into_iter().collect()
 }
 
-struct Line(std::sync::mpsc::Sender<String>);
+struct LogWriter(std::sync::mpsc::Sender<String>);
 
-impl Write for Line {
+impl Write for LogWriter {
     fn write(&mut self, line: &[u8]) -> std::io::Result<usize> {
         self.0.send(String::from_utf8_lossy(line).trim().to_owned()).unwrap();
         Ok(line.len())
@@ -64,13 +64,13 @@
 }
 
 #[test]
-fn a_process_that_rejects_all_sessions_logs_it_once_and_when_it_is_over() {
+fn the_start_and_the_end_of_rejecting_all_sessions_are_logged_once() {
     let metrics = metrics();
-    let began = Instant::now();
+    let start = Instant::now();
     let reject =
-        |ms: u64, reason| metrics.record_rejection_without_attempt(reason, began + Duration::from_millis(ms));
-    let attempt = |ms: u64| metrics.record_attempt_started(began + Duration::from_millis(ms));
-    // An attempt in between, too few sessions, too short a time, or a pause: none of these counts.
+        |ms: u64, reason| metrics.record_rejection_without_attempt(reason, start + Duration::from_millis(ms));
+    let attempt = |ms: u64| metrics.record_attempt_started(start + Duration::from_millis(ms));
+    // None of these counts: an attempt in between, too few sessions, too short a time, a pause.
     let lines = logged(|| {
         (0..5).for_each(|n| reject(n * 900, EndReason::Rejected));
         attempt(4000);
@@ -80,7 +80,7 @@
         reject(18_000, EndReason::Rejected);
     });
     assert_eq!((rejections(&metrics), lines.len()), ((65, 0), 0), "{lines:?}");
-    // Nothing but rejections, and once they are logged also after a pause.
+    // Rejections only; once the process counts as rejecting all sessions, a pause does not end the period.
     metrics.set_endpoints(9, 4);
     let lines = logged(|| {
         (1..=20).for_each(|n| reject(18_000 + n * 400, EndReason::Rejected));
@@ -100,7 +100,7 @@
                 .to_owned(),
         ]
     );
-    // The cause is the one at the time.
+    // The logged cause depends on the endpoints and the reason at that time.
     for (listed, avoided, reason, cause) in [
         (0, 0, EndReason::Rejected, "the endpoint list is empty"),
         (9, 9, EndReason::Rejected, "every endpoint is draining, unresponsive or failing"),
--- a/crates/larklink-proxy/tests/reload.rs
+++ b/crates/larklink-proxy/tests/reload.rs
@@ -1,4 +1,4 @@
-//! The program on SIGHUP: it reads its configuration again and follows discovery at the new address.
+//! Reload on SIGHUP: the program reads its configuration again and polls discovery at the new address.
 #![allow(clippy::unwrap_used, reason = "a test stops where its setup fails")]
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -10,11 +10,11 @@
 use stage::peer::Peer;
 use stage::{config, endpoint, establish, list, listen, receive_request, respond};
 
-/// The program; it goes with the test.
+/// The running program, killed on drop.
 struct Program(Child);
 
 impl Program {
-    /// The started program, the rest of its log, and its address.
+    /// Starts the program. Returns it with the rest of its log and its address.
     fn start(config: &Path) -> (Self, impl Iterator<Item = String>, SocketAddr) {
         let child = Command::new(env!("CARGO_BIN_EXE_larklink")).arg(config).stderr(Stdio::piped()).spawn();
         let mut program = Self(child.unwrap());
@@ -23,7 +23,7 @@
         (program, log, address)
     }
 
-    fn hang_up(&self) {
+    fn send_sighup(&self) {
         let pid = rustix::process::Pid::from_child(&self.0);
         rustix::process::kill_process(pid, rustix::process::Signal::HUP).unwrap();
     }
@@ -35,9 +35,9 @@
     }
 }
 
-/// The program itself: it ended on SIGHUP, and each session with it.
+/// Guards against a program without a handler for SIGHUP, which the signal terminates along with all sessions.
 #[test]
-fn on_sighup_the_list_is_asked_for_at_the_new_address_and_sessions_go_on() {
+fn on_sighup_the_list_is_polled_at_the_new_address_and_sessions_continue() {
     let ((first, a), (second, b), (agent, old), (other, new)) = (listen(), listen(), listen(), listen());
     let path = std::env::temp_dir().join(format!("larklink-{}.json", std::process::id()));
     std::fs::write(&path, config(&[a], old, "proxy", 1024)).unwrap();
@@ -47,48 +47,52 @@
     respond(&mut watch, &list(41, true, &[endpoint("s-0", a, "up")]));
     assert!(receive_request(&mut watch).starts_with("/api/targets?after=41&"));
     let (mut client, mut server) = establish(address, &first);
-    // A file that cannot be read changes nothing, and is warned of with its place.
-    let zone = |at: &str| {
-        config(&[a], old, "proxy", 1024).replace(r#""settings":{"#, &format!(r#""settings":{{"zone":{at},"#))
+    // An invalid file changes nothing, and the warning says where the error is.
+    let with_zone = |zone: &str| {
+        config(&[a], old, "proxy", 1024)
+            .replace(r#""settings":{"#, &format!(r#""settings":{{"zone":{zone},"#))
     };
-    for (text, place) in
-        [("{".into(), "line 1"), (zone("1"), "settings: zone: 1 is no"), (zone("true"), "settings.zone: ")]
-    {
+    for (text, position) in [
+        ("{".into(), "line 1"),
+        (with_zone("1"), "settings: zone: 1 is no"),
+        (with_zone("true"), "settings.zone: "),
+    ] {
         std::fs::write(&path, text).unwrap();
-        program.hang_up();
-        let said = log.find(|l| l.contains("WARN configuration not reloaded")).unwrap();
-        assert!(said.contains(place), "{said}");
+        program.send_sighup();
+        let warning = log.find(|l| l.contains("WARN configuration not reloaded")).unwrap();
+        assert!(warning.contains(position), "{warning}");
     }
-    std::fs::write(&path, zone("1")).unwrap();
-    let refused = Command::new(env!("CARGO_BIN_EXE_larklink")).arg(&path).output().unwrap();
+    // The program does not start with such a file.
+    std::fs::write(&path, with_zone("1")).unwrap();
+    let output = Command::new(env!("CARGO_BIN_EXE_larklink")).arg(&path).output().unwrap();
     assert!(
-        !refused.status.success()
-            && String::from_utf8_lossy(&refused.stderr).contains("settings: zone: 1 is no")
+        !output.status.success()
+            && String::from_utf8_lossy(&output.stderr).contains("settings: zone: 1 is no")
     );
     respond(&mut watch, &list(42, false, &[]));
     assert!(receive_request(&mut watch).starts_with("/api/targets?after=42&"));
     for index in [7, 3] {
         std::fs::write(&path, config(&[a], new, "proxy", 1024)).unwrap();
-        program.hang_up();
+        program.send_sighup();
         watch.expect_end();
         watch = Peer::accept(&other);
-        assert_eq!(receive_request(&mut watch), "/api/targets", "the old index counts for nothing");
+        assert_eq!(receive_request(&mut watch), "/api/targets", "the index of the old address is discarded");
         respond(&mut watch, &list(index, true, &[endpoint("s-0", a, "up"), endpoint("s-1", b, "up")]));
         assert!(receive_request(&mut watch).starts_with(&format!("/api/targets?after={index}&")));
     }
     client.send("still here\r\n");
     assert_eq!(server.receive_line(), "still here\r\n");
-    // The new list counts.
+    // New sessions are sent by the new list.
     respond(&mut watch, &list(8, true, &[endpoint("s-1", b, "up")]));
     assert!(receive_request(&mut watch).contains("after=8"));
     establish(address, &second);
     std::fs::remove_file(&path).unwrap();
 }
 
-/// What the new address has counts as told four seconds after SIGHUP, also if it has not answered once: each call that
-/// hung there was waited for for three.
+/// A proxy counts as notified by the new address four seconds after SIGHUP, even if that address has not responded yet.
+/// Guards against long timeouts there: each poll that hung took three seconds.
 #[test]
-fn a_drain_at_the_new_address_before_its_first_answer_is_heard_in_time() {
+fn a_drain_at_the_new_address_arrives_in_time_although_the_first_polls_hang() {
     let ((first, a), (agent, old), (other, new)) = (listen(), listen(), listen());
     let path = std::env::temp_dir().join(format!("larklink-hup-{}.json", std::process::id()));
     std::fs::write(&path, config(&[a], old, "proxy", 1024)).unwrap();
@@ -99,16 +103,16 @@
     receive_request(&mut watch);
     let (mut client, _server) = establish(address, &first);
     std::fs::write(&path, config(&[a], new, "proxy", 1024)).unwrap();
-    let begun = Instant::now();
-    program.hang_up();
+    let reloaded_at = Instant::now();
+    program.send_sighup();
     watch.expect_end();
-    let silent: Vec<_> = (0..2).map(|_| Peer::accept(&other)).collect();
+    let hanging: Vec<_> = (0..2).map(|_| Peer::accept(&other)).collect();
     let mut watch = Peer::accept(&other);
     assert_eq!(receive_request(&mut watch), "/api/targets");
     respond(&mut watch, &list(3, true, &[endpoint("s-0", a, "draining")]));
     assert!(receive_request(&mut watch).starts_with("/api/targets?after=3&"));
-    assert!(begun.elapsed() < Duration::from_secs(4), "{:?}", begun.elapsed());
+    assert!(reloaded_at.elapsed() < Duration::from_secs(4), "{:?}", reloaded_at.elapsed());
     assert_eq!(client.receive_line(), "MOVE\r\n");
-    drop(silent);
+    drop(hanging);
     std::fs::remove_file(&path).unwrap();
 }
