--- a/crates/larklink-proxy/tests/endpoint_list_updates.rs
+++ b/crates/larklink-proxy/tests/endpoint_list_updates.rs
@@ -35,7 +35,7 @@
 }
 
 /// After a response that is rejected, truncated, oversized or outdated, or arrives without holding the long poll, the
-/// list is polled again without a tight loop, and sessions are sent by the known list meanwhile.
+/// list is polled again without a tight loop, and sessions are routed by the known list meanwhile.
 #[test]
 fn invalid_discovery_responses_are_polled_again_and_affect_no_session() {
     let ((listener, at), (agent, discovery)) = (listen(), listen());
--- a/crates/larklink-proxy/tests/reload.rs
+++ b/crates/larklink-proxy/tests/reload.rs
@@ -82,7 +82,7 @@
     }
     client.send("still here\r\n");
     assert_eq!(server.receive_line(), "still here\r\n");
-    // New sessions are sent by the new list.
+    // New sessions are routed by the new list.
     respond(&mut watch, &list(8, true, &[endpoint("s-1", b, "up")]));
     assert!(receive_request(&mut watch).contains("after=8"));
     establish(address, &second);
