--- a/crates/larklink-proxy/tests/session_metrics.rs
+++ b/crates/larklink-proxy/tests/session_metrics.rs
@@ -1,24 +1,24 @@
-//! The session metrics match what clients and endpoints observe.
+//! Sessions are counted as their peers saw them.
 
 mod stage;
 use stage::peer::{Peer, open_line};
 use stage::{establish, listen, metrics_become, start_with_servers};
 
-/// Sessions with each kind of end, and the metrics after each. The values are, for both listeners, the accepted,
-/// rejected and failed sessions; then attempts, sessions in progress, and listed endpoints.
+/// One of each kind of end, against what the servers and clients of this test saw: for each listener accepted,
+/// refused, failed; then tries, sessions in progress, servers.
 #[test]
-fn the_metrics_match_each_kind_of_session_end() {
+fn figures_are_what_peers_saw_whatever_the_end() {
     let (listener, at) = listen();
     let proxy = start_with_servers(&[at]);
     metrics_become(&proxy, [0, 0, 0, 0, 0, 0, 0, 0, 1]);
-    let mut health_check = Peer::connect(proxy.address, "PING\r\n");
-    assert_eq!(health_check.receive_line(), "PONG\r\n");
+    let mut mute = Peer::connect(proxy.address, "PING\r\n");
+    assert_eq!(mute.receive_line(), "PONG\r\n");
     let (client, mut server) = establish(proxy.address, &listener);
     metrics_become(&proxy, [1, 0, 0, 0, 0, 0, 1, 1, 1]);
     drop(client);
     server.expect_end();
     metrics_become(&proxy, [1, 0, 0, 0, 0, 0, 1, 0, 1]);
-    // The endpoint resets an established session; the endpoint ends one.
+    // A server that resets a session that stands, and one that ends it.
     let (mut client, server) = establish(proxy.address, &listener);
     server.reset();
     client.expect_reset();
@@ -27,7 +27,7 @@
     assert_eq!(client.receive_line(), "BYE\r\n");
     client.expect_end();
     metrics_become(&proxy, [3, 0, 0, 0, 0, 0, 3, 0, 1]);
-    // A session is rejected when no endpoint is left, and failed when it may have run.
+    // Turned away where it runs out of servers; failed where it may have run.
     let mut client = Peer::connect(proxy.address, &open_line("c=chat,d=2000"));
     for _ in 0..2 {
         let mut server = Peer::accept(&listener);
@@ -42,7 +42,7 @@
     drop(server);
     assert_eq!(client.receive_line(), "ERR\r\n");
     metrics_become(&proxy, [3, 1, 0, 0, 0, 1, 6, 0, 1]);
-    // A session whose client disconnects before the answer is counted as none of the three.
+    // One that leaves before its answer is none of the three.
     let client = Peer::connect(proxy.address, &open_line("c=chat,d=2000"));
     let mut server = Peer::accept(&listener);
     server.receive_line();
@@ -50,7 +50,7 @@
     drop(client);
     server.expect_end();
     metrics_become(&proxy, [3, 1, 0, 0, 0, 1, 7, 0, 1]);
-    // At shutdown the process is no longer ready, and migrated sessions are no longer in progress.
+    // At a stop it says no, and what it held is counted out as it is moved.
     let (mut client, _server) = establish(proxy.address, &listener);
     proxy.stop.close();
     assert_eq!(client.receive_line(), "MOVE\r\n");
