--- a/crates/larklink-simulation/src/scenario.rs
+++ b/crates/larklink-simulation/src/scenario.rs
@@ -1,10 +1,10 @@
-//! A scenario: fleet, listeners, traffic, faults by time, and what must hold. TOML; what is left out has a default,
-//! what is unknown is rejected, and everything wrong is reported at once with its line.
+//! The scenario file, in TOML: fleet, listeners, traffic, scheduled faults and requirements. Missing keys take defaults,
+//! unknown keys are rejected, and validation reports all problems at once, each with its line number.
 use serde::Deserialize;
 use toml::Spanned;
 
 use crate::duration::{ConfigDuration, SECOND};
-use crate::scenario::validation::{FaultTargets, Findings};
+use crate::scenario::validation::{FaultTargets, ProblemCollector};
 use crate::time::Timestamp;
 
 mod error;
@@ -22,38 +22,38 @@
 pub use listener::{ListenerSpec, RetryBehavior, SessionKind};
 pub use requirements::Requirements;
 
-/// A scenario.
+/// A test run described by a TOML file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Scenario {
-    /// Its name.
+    /// Shown in reports.
     pub name: String,
-    /// What it shows.
+    /// What the scenario demonstrates, as free text.
     pub about: String,
-    /// The seed of a run, if it is given no other.
+    /// The random seed of a run, unless the caller passes another one.
     pub seed: u64,
-    /// For how long new clients come and faults happen.
+    /// How long new clients arrive and faults are injected.
     pub length: ConfigDuration,
-    /// The proxies.
+    /// Number and resources of the proxies.
     pub proxies: ProxyFleet,
-    /// What the proxies have to keep.
+    /// The limits that the proxies must respect.
     pub rules: ProxyRules,
-    /// The servers, in groups of equal ones.
+    /// Groups of identical servers.
     pub servers: Vec<Spanned<ServerGroup>>,
-    /// The session store.
+    /// Rate and queue limit of the session store.
     #[serde(rename = "store")]
     pub session_store: SessionStoreSettings,
-    /// The endpoint list.
+    /// Propagation delay of the endpoint list.
     #[serde(rename = "list")]
     pub endpoint_list: EndpointListSettings,
-    /// The external load balancer.
+    /// Failure detection of the external load balancer.
     #[serde(rename = "front")]
     pub load_balancer: LoadBalancerSettings,
-    /// The listeners.
+    /// The listeners and their client traffic.
     pub listeners: Vec<Spanned<ListenerSpec>>,
-    /// The faults.
+    /// The scheduled faults.
     pub faults: Vec<Spanned<FaultSpec>>,
-    /// What must hold at the end, beside the rules.
+    /// Conditions checked at the end of the run, in addition to the rules.
     #[serde(rename = "must")]
     pub requirements: Requirements,
 }
@@ -79,76 +79,76 @@
 }
 
 impl Scenario {
-    /// Reads and checks a scenario.
+    /// Parses and validates a scenario.
     ///
     /// # Errors
-    /// All that is wrong with it; of its form only what comes first.
+    /// The first syntax or type error, or otherwise all validation problems.
     pub fn parse(text: &str) -> Result<Self, ScenarioError> {
         let scenario: Self = toml::from_str(text).map_err(|error| {
             let position = error.span().map_or(0, |span| span.start);
             let problem = ScenarioProblem::at(text, position, "", error.message().trim());
             ScenarioError { problems: vec![problem] }
         })?;
-        let problems = scenario.check(text);
+        let problems = scenario.validate(text);
         if problems.is_empty() { Ok(scenario) } else { Err(ScenarioError { problems }) }
     }
 
-    /// When a run ends: what is established may end for a second after the last clients have come.
+    /// When a run ends: one second after the last arrivals, so that established sessions can end.
     pub fn end(&self) -> Timestamp {
         self.length.0 + SECOND
     }
 
-    /// How many servers there are.
+    /// The number of servers in all groups.
     pub fn server_count(&self) -> usize {
         self.servers.iter().map(|group| group.get_ref().count).sum()
     }
 
-    /// Whether the proxy of that number is one of the moved shape.
+    /// Whether the proxy with this index runs in the moved shape ([`ProxyFleet::moved`]).
     pub fn moved(&self, proxy: usize) -> bool {
         proxy + self.proxies.moved >= self.proxies.count
     }
 
-    /// The name of the zone in which the proxy or server of that number lies.
-    pub fn zone(&self, number: usize) -> String {
-        char::from(b'a' + (number % self.proxies.zones) as u8).to_string()
+    /// The zone name of the proxy or server with this index.
+    pub fn zone(&self, index: usize) -> String {
+        char::from(b'a' + (index % self.proxies.zones) as u8).to_string()
     }
 
-    /// The group of each server, in their order.
+    /// The group of each server, in order of the server index.
     pub fn each_server(&self) -> impl Iterator<Item = &ServerGroup> {
         self.servers.iter().flat_map(|group| std::iter::repeat_n(group.get_ref(), group.get_ref().count))
     }
 
-    /// The mean number of sessions that are established at once, at most.
+    /// An upper bound for the mean number of sessions established at the same time.
     pub fn expected_sessions(&self) -> usize {
         let sessions = |listener: &ListenerSpec| {
             let stay = self.length.0.min(listener.mean_stay.0) as f64;
-            let coming = listener.arrivals_per_second * stay / SECOND as f64;
-            listener.initial_clients + coming.ceil() as usize
+            let arrivals = listener.arrivals_per_second * stay / SECOND as f64;
+            listener.initial_clients + arrivals.ceil() as usize
         };
         self.listeners.iter().map(|listener| sessions(listener.get_ref())).sum()
     }
 
-    fn check(&self, text: &str) -> Vec<ScenarioProblem> {
-        let mut found = Findings::new(text);
+    fn validate(&self, text: &str) -> Vec<ScenarioProblem> {
+        let mut collector = ProblemCollector::new(text);
         if self.length.0 == 0 {
-            found.add("length", "a run of no length shows nothing");
+            collector.add("length", "must be greater than 0");
         }
-        validation::check_proxies(&self.proxies, &self.requirements, &mut found);
-        validation::check_rules(&self.rules, &mut found);
-        validation::check_session_store(&self.session_store, &mut found);
-        validation::check_requirements(&self.requirements, &self.faults, &mut found);
+        validation::check_proxies(&self.proxies, &self.requirements, &mut collector);
+        validation::check_rules(&self.rules, &mut collector);
+        validation::check_session_store(&self.session_store, &mut collector);
+        validation::check_requirements(&self.requirements, &self.faults, &mut collector);
         let listed: Vec<_> = self.each_server().map(|server| server.listed).collect();
-        validation::check_server_count(listed.len(), listed.contains(&true), &mut found);
+        validation::check_server_count(listed.len(), listed.contains(&true), &mut collector);
         for group in &self.servers {
-            validation::check_server_group(group, &mut found);
+            validation::check_server_group(group, &mut collector);
         }
         for (index, listener) in self.listeners.iter().enumerate() {
-            validation::check_listener(listener, &self.listeners[..index], &mut found);
+            validation::check_listener(listener, &self.listeners[..index], &mut collector);
         }
         let targets = FaultTargets { proxies: &self.proxies, listed: &listed };
         for fault in &self.faults {
-            validation::check_fault(fault, self.length, &targets, &mut found);
+            validation::check_fault(fault, self.length, &targets, &mut collector);
         }
-        found.problems
+        collector.problems
     }
 }
--- a/crates/larklink-simulation/src/scenario/error.rs
+++ b/crates/larklink-simulation/src/scenario/error.rs
@@ -1,13 +1,13 @@
-//! What is wrong with a scenario, with its lines.
+//! Errors of a scenario file, with line numbers.
 use std::fmt;
 use std::ops::Range;
 
 use thiserror::Error;
 
-/// All that is wrong with a scenario; of its form only what comes first.
+/// The first syntax or type error of a scenario file, or otherwise all validation problems.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub struct ScenarioError {
-    /// The problems, at least one.
+    /// Never empty.
     pub problems: Vec<ScenarioProblem>,
 }
 
@@ -21,21 +21,21 @@
     }
 }
 
-/// Something wrong in a scenario, at a line of its file.
+/// One problem in a scenario file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScenarioProblem {
-    /// The line, from 1.
+    /// The line number, from 1.
     pub line: usize,
-    /// The key, with the name of its table; empty if there is none.
+    /// The key, prefixed with its table's name if it is in a top-level table; empty if the problem has no key.
     pub key: String,
-    /// What is wrong.
+    /// Why the value is rejected.
     pub reason: String,
 }
 
 impl ScenarioProblem {
-    /// A problem at a byte of the text. Without a key it is the one that stands in that line.
-    pub(super) fn at(text: &str, position: usize, key: &str, reason: &str) -> Self {
-        let before = text.get(..position).unwrap_or(text);
+    /// Creates a problem at a byte offset. If `key` is empty, the key is taken from the line at that offset.
+    pub(super) fn at(text: &str, offset: usize, key: &str, reason: &str) -> Self {
+        let before = text.get(..offset).unwrap_or(text);
         let line = before.matches('\n').count() + 1;
         let key = match key {
             "" => {
@@ -46,9 +46,9 @@
         Self { line, key: key.to_owned(), reason: reason.to_owned() }
     }
 
-    /// A problem with a key, in the table that begins within a part of the text.
-    pub(super) fn at_key(text: &str, within: &Range<usize>, key: &str, reason: &str) -> Self {
-        Self::at(text, key_position(text, within, key), key, reason)
+    /// Creates a problem at `key`, searched from the start of `span`.
+    pub(super) fn at_key(text: &str, span: &Range<usize>, key: &str, reason: &str) -> Self {
+        Self::at(text, key_offset(text, span, key), key, reason)
     }
 }
 
@@ -61,27 +61,27 @@
     }
 }
 
-/// Where a key stands in the table that begins within a part of the text, or in the table that it names before a dot;
-/// where the table begins if the key is not there.
-fn key_position(text: &str, within: &Range<usize>, key: &str) -> usize {
+/// Returns the byte offset of `key` in the table at `span`, or in the named table for a key of the form `table.key`. If
+/// the key is missing, returns the start of the table.
+fn key_offset(text: &str, span: &Range<usize>, key: &str) -> usize {
     let (table, key) = key.split_once('.').unwrap_or(("", key));
-    let mut position = within.start;
-    let mut table_start = position;
-    let mut inside = table.is_empty();
-    for line in text.get(position..).unwrap_or("").split_inclusive('\n') {
-        let head = line.trim();
-        if head.starts_with('[') && !table.is_empty() {
-            inside = head.trim_matches(['[', ']']) == table;
-            if inside {
-                table_start = position;
+    let mut offset = span.start;
+    let mut table_start = offset;
+    let mut in_table = table.is_empty();
+    for line in text.get(offset..).unwrap_or("").split_inclusive('\n') {
+        let trimmed = line.trim();
+        if trimmed.starts_with('[') && !table.is_empty() {
+            in_table = trimmed.trim_matches(['[', ']']) == table;
+            if in_table {
+                table_start = offset;
             }
-        } else if head.starts_with('[') && position > within.start && within.end < text.len() {
+        } else if trimmed.starts_with('[') && offset > span.start && span.end < text.len() {
             break;
         }
-        if inside && head.split(['=', ' ']).next() == Some(key) {
-            return position;
+        if in_table && trimmed.split(['=', ' ']).next() == Some(key) {
+            return offset;
         }
-        position += line.len();
+        offset += line.len();
     }
     table_start
 }
--- a/crates/larklink-simulation/src/scenario/fault.rs
+++ b/crates/larklink-simulation/src/scenario/fault.rs
@@ -1,74 +1,75 @@
-//! Faults by time.
+//! The scheduled faults of a scenario.
 use serde::Deserialize;
 
 use crate::duration::ConfigDuration;
 
-/// A kind of fault.
+/// What a fault does to its targets. The field names in backticks are those of the scenario file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// SIGKILL; the proxy starts again after `for`, if that is given.
+    /// The proxy gets SIGKILL and restarts after `for`, if set.
     ProxyKilled,
-    /// SIGTERM; the proxy starts again after `for`, once it has ended.
+    /// The proxy gets SIGTERM. It restarts `for` after it has exited, if set.
     ProxyStopped,
-    /// SIGHUP.
+    /// The proxy gets SIGHUP.
     ProxyReloaded,
-    /// Another process takes over from the proxy while it serves.
+    /// A successor process takes over from the running proxy.
     ProxyReplaced,
-    /// Connections stay, but the server neither reads nor writes.
+    /// The server neither reads nor writes; its connections stay open.
     ServerSilent,
-    /// The server stops for a time, then answers what waited.
+    /// The server stops processing for a time, then handles the requests that are queued.
     ServerPaused,
-    /// The server dies; it starts again after `for`, if that is given.
+    /// The server crashes and restarts after `for`, if set.
     ServerDied,
-    /// The server drains, stops after `for`, and starts again `back_after` later.
+    /// The server drains, stops after `for`, and restarts after its group's `back_after`.
     ServerDrains,
-    /// The server resets one in `factor` of the sessions that it has just accepted.
+    /// The server resets one in `factor` sessions right after it has accepted them.
     ServerDrops,
-    /// Servers that were not listed start.
+    /// Servers with `listed = false` start and join the endpoint list.
     ServersJoin,
-    /// The session store takes `factor` times as long.
+    /// Session store calls take `factor` times as long.
     StoreSlow,
     /// The endpoint list is unreachable.
     ListLost,
-    /// The endpoint list shows no changes.
+    /// The endpoint list is reachable but stale: it shows no changes.
     ListStill,
-    /// Clients lose their connections.
+    /// Client connections are reset.
     ClientsDropped,
 }
 
-/// A fault, maybe of several targets and repeated.
+/// A scheduled fault. It can have several targets and can be repeated.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultSpec {
-    /// What happens.
+    /// What the fault does.
     #[serde(rename = "what")]
     pub kind: FaultKind,
-    /// When it first happens.
+    /// When it is first injected.
     pub at: ConfigDuration,
     /// How long it lasts.
     #[serde(rename = "for")]
     pub duration: Option<ConfigDuration>,
-    /// Which proxies or servers, by number from 0; otherwise a share of them, drawn; otherwise the first.
+    /// The indexes of the affected proxies or servers, from 0. If missing, `share` selects them. Without
+    /// either, the fault affects the first one; `servers-join` affects all unlisted servers.
     #[serde(rename = "which")]
     pub targets: Option<Vec<usize>>,
-    /// The share of them that is drawn.
+    /// The fraction of all possible targets that is selected at random; for `clients-dropped`, the fraction of clients.
     pub share: Option<f64>,
-    /// How many times slower, or one in how many.
+    /// The slowdown of `store-slow`, or N in the one-in-N of `server-drops`.
     pub factor: Option<f64>,
-    /// How long after one target the next is struck.
+    /// The time between one batch of targets and the next.
     #[serde(rename = "apart")]
     pub interval: Option<ConfigDuration>,
-    /// How many targets are struck together.
+    /// How many targets are affected at the same time.
     #[serde(rename = "together")]
     pub batch_size: Option<usize>,
-    /// How long after one time it happens again.
+    /// The time between repetitions.
     #[serde(rename = "every")]
     pub repeat_interval: Option<ConfigDuration>,
-    /// How often it happens in all.
+    /// The total number of times that the fault is injected.
     #[serde(rename = "times")]
     pub repeats: Option<u32>,
-    /// Whether a proxy is killed at the moment at which it has accepted its next connection.
+    /// Whether a killed proxy gets SIGKILL only when it has accepted its next connection.
     #[serde(default)]
     pub at_accept: bool,
 }
--- a/crates/larklink-simulation/src/scenario/fleet.rs
+++ b/crates/larklink-simulation/src/scenario/fleet.rs
@@ -1,25 +1,26 @@
-//! What is served and serves: proxies, servers, session store, endpoint list and external load balancer.
+//! The simulated fleet: proxies, servers, session store, endpoint list and external load balancer.
 use serde::Deserialize;
 
 use crate::duration::ConfigDuration;
 
-/// The proxies.
+/// Number and resources of the proxies.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ProxyFleet {
-    /// How many there are.
+    /// The number of proxies.
     pub count: usize,
-    /// Proxies, servers and clients lie in so many zones by turns; the external load balancer stays within one.
+    /// The number of zones. Proxies, servers and clients are assigned to them round robin; the external load balancer
+    /// sends a client only to proxies of its own zone.
     pub zones: usize,
-    /// The memory that each may use.
+    /// The memory limit of each proxy, in megabytes.
     pub memory_mb: u64,
-    /// The file descriptors that each may use.
+    /// The file descriptor limit of each proxy.
     pub descriptors: usize,
-    /// Whether each has an admin endpoint, is asked for its metrics, and can be replaced.
+    /// Whether each proxy has an admin endpoint, has its metrics polled, and can be replaced by a successor.
     #[serde(rename = "doors")]
     pub admin_endpoints: bool,
-    /// How many, the last in number, run in another shape than the rest: they may not check health, and crossing zones
-    /// costs more than a migration.
+    /// How many proxies, counted from the last, run in the "moved" shape, which differs from that of the rest: health
+    /// checks are not allowed, and crossing zones costs more than a migration.
     pub moved: usize,
 }
 
@@ -29,27 +30,27 @@
     }
 }
 
-/// What proxies have to keep, and are judged by.
+/// The limits that proxies must respect and that the audit checks.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ProxyRules {
-    /// How long a connection to a server may take.
+    /// The longest time for a connection to a server to be established.
     pub connect_timeout: ConfigDuration,
-    /// The most attempts of one session.
+    /// The maximum number of attempts of one session.
     #[serde(rename = "dials")]
     pub max_attempts: u32,
-    /// The longest Retry-After of a rejection; none is given if it is 0.
+    /// The longest Retry-After of a rejection; 0 disables Retry-After.
     #[serde(rename = "retry_after")]
     pub max_retry_after: ConfigDuration,
-    /// How long after the notification of a drain new sessions may still be sent to the server.
+    /// How long new sessions may still be sent to a server after the proxy was notified that it drains.
     pub drain_grace: ConfigDuration,
-    /// Whether proxies may check the health of servers.
+    /// Whether proxies may send health checks to servers.
     #[serde(rename = "probes")]
     pub health_checks: bool,
-    /// How long after a failed poll a proxy counts as notified of what it could not read.
+    /// How long after a failed poll of the endpoint list a proxy counts as notified of the changes that it missed.
     #[serde(rename = "must_ask_in")]
     pub discovery_deadline: ConfigDuration,
-    /// Whether packets pass through: a proxy that stops migrates nothing, and its end breaks its sessions.
+    /// Whether the deployment is pass-through: a proxy that stops migrates no sessions, and its exit breaks them.
     #[serde(rename = "passes")]
     pub passthrough: bool,
 }
@@ -68,48 +69,48 @@
     }
 }
 
-/// Equal servers.
+/// A group of identical servers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ServerGroup {
-    /// How many there are.
+    /// The number of servers.
     pub count: usize,
-    /// The cores of each.
+    /// The number of cores of each server.
     pub cores: usize,
-    /// The speed of a core.
+    /// The speed of a core, relative to a core of speed 1.
     pub speed: f64,
-    /// The most sessions of each.
+    /// The maximum number of sessions per server.
     #[serde(rename = "holds")]
     pub max_sessions: usize,
-    /// The work of a set-up, on a core of speed 1.
+    /// The CPU time of one session setup on a core of speed 1.
     pub setup_work: ConfigDuration,
-    /// Set-ups are rejected while one would wait for longer than this.
+    /// Session setups that would wait longer than this in the queue are rejected.
     #[serde(rename = "queue")]
     pub max_queue_wait: ConfigDuration,
-    /// The share of its capacity that a server has when it starts.
+    /// The fraction of its capacity that a server has when it starts.
     #[serde(rename = "start_capacity")]
     pub initial_capacity: f64,
-    /// How long its slow start takes.
+    /// How long the slow start takes.
     #[serde(rename = "warm_up")]
     pub slow_start_duration: ConfigDuration,
-    /// How many times its capacity it may be sent in slow start before it is overloaded.
+    /// During slow start, the load as a multiple of current capacity above which the server is overloaded.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// The window over which that is counted.
+    /// The time window over which that load is measured.
     #[serde(rename = "fall_after")]
     pub overload_window: ConfigDuration,
-    /// Whether an overloaded server dies.
+    /// Whether an overloaded server crashes.
     #[serde(rename = "falls")]
     pub dies_when_overloaded: bool,
-    /// How long after that it starts again.
+    /// How long after a crash by overload, or after the stop that ends a drain, the server restarts.
     #[serde(rename = "back_after")]
     pub restart_after: ConfigDuration,
-    /// How often it makes a load report.
+    /// The interval between load reports.
     #[serde(rename = "report_every")]
     pub report_interval: ConfigDuration,
-    /// Whether it is listed from the start; otherwise it joins by a fault.
+    /// Whether the servers are in the endpoint list from the start; otherwise a `servers-join` fault adds them.
     pub listed: bool,
-    /// Its weight in the endpoint list.
+    /// The weight in the endpoint list.
     pub weight: f64,
 }
 
@@ -135,13 +136,13 @@
     }
 }
 
-/// The session store.
+/// Rate and queue limit of the session store.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SessionStoreSettings {
-    /// Calls a second.
+    /// Capacity in calls per second.
     pub rate: f64,
-    /// The longest wait of a call; one that would wait for longer fails.
+    /// The longest queueing time; calls that would wait longer fail.
     pub bound: ConfigDuration,
 }
 
@@ -151,11 +152,11 @@
     }
 }
 
-/// The endpoint list.
+/// Propagation delay of the endpoint list.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EndpointListSettings {
-    /// How long after a change it shows.
+    /// How long it takes until a change is visible.
     pub lag: ConfigDuration,
 }
 
@@ -165,11 +166,11 @@
     }
 }
 
-/// The external load balancer.
+/// Failure detection of the external load balancer.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LoadBalancerSettings {
-    /// How long a dead proxy still gets connections.
+    /// How long a dead proxy still receives new connections.
     pub notices_after: ConfigDuration,
 }
 
--- a/crates/larklink-simulation/src/scenario/listener.rs
+++ b/crates/larklink-simulation/src/scenario/listener.rs
@@ -1,4 +1,4 @@
-//! Listeners and the clients that come to them.
+//! Listeners and their client traffic.
 use serde::Deserialize;
 
 use crate::duration::ConfigDuration;
@@ -7,11 +7,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SessionKind {
-    /// Idempotent.
+    /// Sessions are idempotent and may be run again.
     Repeatable,
-    /// Deduplicated by an idempotency key for as long as `window`.
+    /// Repeated sessions are dropped by their idempotency key within the listener's `window`.
     Referenced,
-    /// Never more than once.
+    /// Sessions must not run more than once.
     OnceOnly,
 }
 
@@ -19,66 +19,67 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RetryBehavior {
-    /// As soon as it has failed.
+    /// Immediately.
     AtOnce,
-    /// After half to one and a half times `wait`, or the Retry-After if that is longer.
+    /// After a random 50 % to 150 % of the listener's `wait`, or of the Retry-After if that is longer; never before the
+    /// Retry-After.
     After,
-    /// Never.
+    /// The client does not retry.
     Never,
 }
 
-/// A listener and its clients.
+/// Settings of a listener and of the clients that connect to it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ListenerSpec {
-    /// Its name.
+    /// Unique within the scenario.
     pub name: String,
     /// Whether its sessions may run more than once.
     pub kind: SessionKind,
-    /// How long the idempotency key of a referenced session is known.
+    /// How long servers remember the idempotency key of a referenced session.
     pub window: ConfigDuration,
-    /// How soon a session should be accepted.
+    /// The latency objective for accepting a session.
     #[serde(rename = "handshake_target")]
     pub handshake_objective: ConfigDuration,
     /// How long a client waits for a response.
     pub dial_timeout: ConfigDuration,
-    /// The clients that are there from the start.
+    /// The number of clients that connect at the start of the run.
     #[serde(rename = "standing")]
     pub initial_clients: usize,
-    /// The time over which those come.
+    /// The time over which the arrivals of the initial clients are spread.
     #[serde(rename = "spread")]
     pub initial_spread: ConfigDuration,
-    /// Clients that come in a second.
+    /// The rate at which further clients arrive.
     #[serde(rename = "rate")]
     pub arrivals_per_second: f64,
-    /// The mean time for which one stays.
+    /// The mean time for which a client stays connected.
     #[serde(rename = "life")]
     pub mean_stay: ConfigDuration,
-    /// How often a client sends a message.
+    /// The interval between the messages of a client.
     #[serde(rename = "every")]
     pub message_interval: ConfigDuration,
-    /// How soon a message should come back.
+    /// The latency objective for the response to a message.
     #[serde(rename = "line_target")]
     pub message_objective: ConfigDuration,
-    /// The load of a session, in cores of speed 1.
+    /// The CPU load of a session, in cores of speed 1.
     pub load: f64,
-    /// The weight of a client's service.
+    /// The weight of this listener's clients in the service figure of the run.
     pub utility: f64,
-    /// When a client retries.
+    /// When a client retries a failed session.
     pub retry: RetryBehavior,
-    /// How long it waits before that.
+    /// How long a client waits before a retry; see [`RetryBehavior::After`].
     #[serde(rename = "wait")]
     pub retry_wait: ConfigDuration,
-    /// How often it tries before it leaves for good.
+    /// How often a client tries to open a session before it gives up.
     #[serde(rename = "tries")]
     pub max_tries: u32,
-    /// How long it waits after its connection broke or was migrated, half to one and a half times.
+    /// How long a client waits to reconnect after its connection broke or was migrated; randomized between 50 % and 150 %.
     #[serde(rename = "again_after")]
     pub reconnect_wait: ConfigDuration,
     /// The mean number of clients that share a group key.
     #[serde(rename = "group")]
     pub clients_per_group: usize,
-    /// The kilobytes that a client requests and never reads; 0 for one that reads.
+    /// The kilobytes of response data that a client requests and never reads; 0 for a client that reads normally.
     #[serde(rename = "deaf_kb")]
     pub unread_kb: usize,
 }
--- a/crates/larklink-simulation/src/scenario/requirements.rs
+++ b/crates/larklink-simulation/src/scenario/requirements.rs
@@ -1,21 +1,21 @@
-//! What must hold at the end of a run.
+//! Conditions that are checked at the end of a run.
 use serde::Deserialize;
 
 use crate::duration::ConfigDuration;
 
-/// What must hold at the end of a run, beside the rules.
+/// Conditions that are checked at the end of a run, in addition to the rules.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Requirements {
-    /// The least utility of well-served time over time asked for.
+    /// The minimum ratio of well-served time to requested time, weighted by utility.
     pub service: Option<f64>,
-    /// The least share of sessions that are accepted.
+    /// The minimum fraction of sessions that are accepted.
     pub accepted: Option<f64>,
-    /// The same of each shape of proxies, where `proxies.moved` makes two of them.
+    /// The same minimum, for each shape of proxies; needs `proxies.moved` to define two shapes.
     pub each_shape: Option<f64>,
-    /// The time to the response that 99 in 100 accepted sessions must not exceed.
+    /// The maximum 99th percentile of the response time of accepted sessions.
     pub answer_p99: Option<ConfigDuration>,
-    /// The time from the last restart of a proxy within which goodput must be at nine tenths of the session store's rate,
-    /// or of what is offered if that is less, and stay there.
+    /// The maximum time from the last restart of a proxy until goodput reaches 90 % of the session store's rate, or of
+    /// the offered load if that is less, and stays there.
     pub recovers: Option<ConfigDuration>,
 }
--- a/crates/larklink-simulation/src/scenario/validation.rs
+++ b/crates/larklink-simulation/src/scenario/validation.rs
@@ -1,4 +1,4 @@
-//! What is checked of a scenario beyond its form.
+//! Semantic checks of a scenario that has been parsed.
 use std::ops::Range;
 
 use toml::Spanned;
@@ -10,42 +10,42 @@
 use crate::scenario::listener::ListenerSpec;
 use crate::scenario::requirements::Requirements;
 
-/// The most proxies of a scenario.
+/// Maximum number of proxies in a scenario.
 const MAX_PROXIES: usize = 512;
-/// The most zones: each is named by a letter.
+/// Maximum number of zones: each is named by one letter.
 const MAX_ZONES: usize = 26;
-/// The most servers of a scenario.
+/// Maximum number of servers in a scenario.
 const MAX_SERVERS: usize = 500;
-/// The most cores of a server.
+/// Maximum number of cores of a server.
 const MAX_CORES: usize = 1024;
-/// The fewest file descriptors of a proxy.
+/// Minimum file descriptor limit of a proxy.
 const MIN_DESCRIPTORS: usize = 64;
-/// The most clients of a listener that come in a second.
+/// Maximum arrival rate of a listener's clients.
 const MAX_ARRIVALS_PER_SECOND: f64 = 1e5;
-/// The most kilobytes that a client asks for and does not read.
+/// Maximum number of kilobytes that a client requests and does not read.
 const MAX_UNREAD_KB: usize = 65_536;
-/// How often a fault may be repeated.
+/// Maximum number of times that a fault is injected.
 const MAX_REPEATS: u32 = 1000;
 
-/// The problems that were found in a part of the text.
-pub(super) struct Findings<'a> {
+/// Collects problems and resolves their keys to lines of the table that is being checked.
+pub(super) struct ProblemCollector<'a> {
     text: &'a str,
-    within: Range<usize>,
+    table: Range<usize>,
     pub(super) problems: Vec<ScenarioProblem>,
 }
 
-impl<'a> Findings<'a> {
+impl<'a> ProblemCollector<'a> {
     pub(super) fn new(text: &'a str) -> Self {
-        Self { text, within: 0..text.len(), problems: Vec::new() }
+        Self { text, table: 0..text.len(), problems: Vec::new() }
     }
 
-    /// From now on, problems are in this table.
-    fn enter(&mut self, table: Range<usize>) {
-        self.within = table;
+    /// Sets the table in which the keys of the following problems are searched.
+    fn enter_table(&mut self, table: Range<usize>) {
+        self.table = table;
     }
 
     pub(super) fn add(&mut self, key: &str, reason: impl AsRef<str>) {
-        let problem = ScenarioProblem::at_key(self.text, &self.within, key, reason.as_ref());
+        let problem = ScenarioProblem::at_key(self.text, &self.table, key, reason.as_ref());
         self.problems.push(problem);
     }
 }
@@ -54,56 +54,65 @@
     value > 0.0 && value.is_finite()
 }
 
-fn is_amount(value: f64) -> bool {
+fn is_non_negative(value: f64) -> bool {
     value >= 0.0 && value.is_finite()
 }
 
-fn is_share_above_zero(value: f64) -> bool {
+fn is_positive_fraction(value: f64) -> bool {
     value > 0.0 && value <= 1.0
 }
 
-pub(super) fn check_proxies(proxies: &ProxyFleet, requirements: &Requirements, found: &mut Findings) {
+pub(super) fn check_proxies(
+    proxies: &ProxyFleet,
+    requirements: &Requirements,
+    problems: &mut ProblemCollector,
+) {
     let count = proxies.count;
     if count == 0 || count > MAX_PROXIES {
-        found.add("proxies.count", format!("{count} proxies: from 1 to {MAX_PROXIES} can be modelled"));
+        problems.add("proxies.count", format!("{count} proxies, must be 1 to {MAX_PROXIES}"));
     }
     if !(1..=count.clamp(1, MAX_ZONES)).contains(&proxies.zones) {
         let zones = proxies.zones;
-        found
-            .add("proxies.zones", format!("{zones} zones: each needs a proxy, and {MAX_ZONES} can be named"));
+        let reason = format!("{zones} zones, must be 1 to {MAX_ZONES} and not more than the {count} proxies");
+        problems.add("proxies.zones", reason);
     }
     if proxies.moved > count {
         let moved = proxies.moved;
-        found
-            .add("proxies.moved", format!("{moved} of {count} proxies: no more can be moved than there are"));
+        problems.add("proxies.moved", format!("{moved} is more than the {count} proxies"));
     }
     if requirements.each_shape.is_some() && !(1..count).contains(&proxies.moved) {
-        found.add("must.each_shape", "all proxies are of one shape; proxies.moved makes two");
+        problems.add(
+            "must.each_shape",
+            "needs two shapes of proxies: set proxies.moved between 1 and proxies.count - 1",
+        );
     }
     if proxies.descriptors < MIN_DESCRIPTORS {
-        found.add("proxies.descriptors", format!("a proxy needs {MIN_DESCRIPTORS} at least"));
+        problems.add("proxies.descriptors", format!("must be at least {MIN_DESCRIPTORS}"));
     }
 }
 
-pub(super) fn check_rules(rules: &ProxyRules, found: &mut Findings) {
+pub(super) fn check_rules(rules: &ProxyRules, problems: &mut ProblemCollector) {
     if rules.max_attempts == 0 {
-        found.add("rules.dials", "a session needs one at least");
+        problems.add("rules.dials", "must be at least 1");
     }
     if rules.connect_timeout.0 == 0 {
-        found.add("rules.connect_timeout", "no connection is made in no time");
+        problems.add("rules.connect_timeout", "must be greater than 0");
     }
 }
 
-pub(super) fn check_session_store(store: &SessionStoreSettings, found: &mut Findings) {
+pub(super) fn check_session_store(store: &SessionStoreSettings, problems: &mut ProblemCollector) {
     if !is_positive(store.rate) {
-        found.add("store.rate", format!("a store of {} calls a second", store.rate));
+        problems.add(
+            "store.rate",
+            format!("a rate of {} calls per second, must be positive and finite", store.rate),
+        );
     }
 }
 
 pub(super) fn check_requirements(
     requirements: &Requirements,
     faults: &[Spanned<FaultSpec>],
-    found: &mut Findings,
+    problems: &mut ProblemCollector,
 ) {
     for (key, share) in [
         ("must.service", requirements.service),
@@ -111,7 +120,7 @@
         ("must.each_shape", requirements.each_shape),
     ] {
         if share.is_some_and(|share| !(0.0..=1.0).contains(&share)) {
-            found.add(key, "a share lies between 0 and 1");
+            problems.add(key, "must be between 0 and 1");
         }
     }
     let restarts_proxy = |fault: &Spanned<FaultSpec>| {
@@ -119,89 +128,100 @@
         matches!(fault.kind, FaultKind::ProxyKilled | FaultKind::ProxyStopped) && fault.duration.is_some()
     };
     if requirements.recovers.is_some() && !faults.iter().any(restarts_proxy) {
-        found.add("must.recovers", "no proxy is stopped or killed and started again");
+        problems.add("must.recovers", "needs a proxy-killed or proxy-stopped fault with `for`");
     }
 }
 
-pub(super) fn check_server_count(count: usize, any_listed: bool, found: &mut Findings) {
+pub(super) fn check_server_count(count: usize, any_listed: bool, problems: &mut ProblemCollector) {
     if count == 0 || count > MAX_SERVERS {
-        found.add("servers", format!("{count} servers: from 1 to {MAX_SERVERS} can be run"));
+        problems.add("servers", format!("{count} servers, must be 1 to {MAX_SERVERS}"));
     }
     if !any_listed {
-        found.add("listed", "no server is listed at the start");
+        problems.add("listed", "at least one server must have listed = true");
     }
 }
 
-pub(super) fn check_server_group(group: &Spanned<ServerGroup>, found: &mut Findings) {
-    found.enter(group.span());
+pub(super) fn check_server_group(group: &Spanned<ServerGroup>, problems: &mut ProblemCollector) {
+    problems.enter_table(group.span());
     let group = group.get_ref();
     if group.cores == 0 || group.cores > MAX_CORES {
-        found.add("cores", format!("{} cores", group.cores));
+        problems.add("cores", format!("{} cores, must be 1 to {MAX_CORES}", group.cores));
     }
     if !is_positive(group.speed) {
-        found.add("speed", format!("a speed of {}", group.speed));
+        problems.add("speed", format!("a speed of {}, must be positive and finite", group.speed));
     }
-    if !is_share_above_zero(group.initial_capacity) {
-        found.add("start_capacity", "a share over 0, up to 1");
+    if !is_positive_fraction(group.initial_capacity) {
+        problems.add("start_capacity", "must be greater than 0 and at most 1");
     }
     if !is_positive(group.overload_multiple) {
-        found.add("fall_multiple", format!("a multiple of {}", group.overload_multiple));
+        let reason = format!("a multiple of {}, must be positive and finite", group.overload_multiple);
+        problems.add("fall_multiple", reason);
     }
     if group.overload_window.0 == 0 || group.report_interval.0 == 0 {
-        found.add("fall_after", "fall_after and report_every are spans over 0");
+        problems.add("fall_after", "fall_after and report_every must be greater than 0");
     }
     if !is_positive(group.weight) {
-        found.add("weight", format!("a weight of {}", group.weight));
+        problems.add("weight", format!("a weight of {}, must be positive and finite", group.weight));
     }
 }
 
-/// Checks a listener; `earlier` are those before it.
+/// Checks a listener. `earlier` are the listeners before it in the file, whose names it must not repeat.
 pub(super) fn check_listener(
     listener: &Spanned<ListenerSpec>,
     earlier: &[Spanned<ListenerSpec>],
-    found: &mut Findings,
+    problems: &mut ProblemCollector,
 ) {
-    found.enter(listener.span());
+    problems.enter_table(listener.span());
     let listener = listener.get_ref();
     let name = &listener.name;
     if earlier.iter().any(|other| other.get_ref().name == *name) {
-        found.add("name", format!("a second listener {name:?}"));
+        problems.add("name", format!("duplicate listener name {name:?}"));
     }
-    let is_plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-    if name.is_empty() || !name.chars().all(is_plain) {
-        found.add("name", format!("{name:?}: letters, digits, - _ . only"));
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+    if name.is_empty() || !name.chars().all(is_allowed) {
+        problems.add("name", format!("{name:?} may contain only ASCII letters, digits, '-', '_' and '.'"));
     }
     if listener.dial_timeout < listener.handshake_objective || listener.dial_timeout.0 == 0 {
-        let target = listener.handshake_objective;
-        found.add("dial_timeout", format!("{} is under the target, {target}", listener.dial_timeout));
+        let objective = listener.handshake_objective;
+        let reason = format!(
+            "{} must be greater than 0 and not below handshake_target ({objective})",
+            listener.dial_timeout
+        );
+        problems.add("dial_timeout", reason);
     }
     if !(listener.arrivals_per_second >= 0.0 && listener.arrivals_per_second <= MAX_ARRIVALS_PER_SECOND) {
-        found.add("rate", format!("{} clients a second", listener.arrivals_per_second));
+        problems.add(
+            "rate",
+            format!(
+                "{} clients per second, must be 0 to {MAX_ARRIVALS_PER_SECOND}",
+                listener.arrivals_per_second
+            ),
+        );
     }
     if listener.message_interval.0 == 0
         || listener.mean_stay.0 == 0
         || listener.clients_per_group == 0
         || listener.max_tries == 0
     {
-        found.add("every", "every, life, group and tries are over 0");
+        problems.add("every", "every, life, group and tries must be greater than 0");
     }
     if listener.unread_kb > MAX_UNREAD_KB {
-        found.add("deaf_kb", "64 MB at most");
+        problems.add("deaf_kb", format!("must be at most {MAX_UNREAD_KB}"));
     }
-    if !is_amount(listener.load) || !is_amount(listener.utility) {
-        found.add("load", "load and utility are numbers from 0 up");
+    if !is_non_negative(listener.load) || !is_non_negative(listener.utility) {
+        problems.add("load", "load and utility must be finite and not negative");
     }
 }
 
-/// What a scenario has for its faults to strike.
+/// The proxies and servers that faults can target.
 pub(super) struct FaultTargets<'a> {
     pub(super) proxies: &'a ProxyFleet,
-    /// For each server, whether it is listed from the start.
+    /// For each server, whether it is in the endpoint list from the start.
     pub(super) listed: &'a [bool],
 }
 
 impl FaultTargets<'_> {
-    /// How many a fault may strike; none if there is only one of its kind.
+    /// The number of possible targets of a fault; `None` if it has only a single, implicit target.
     fn count(&self, kind: FaultKind) -> Option<usize> {
         match kind {
             FaultKind::ProxyKilled
@@ -216,50 +236,51 @@
     }
 }
 
-/// Checks a fault; `length` is that of the run.
+/// Checks a fault. `length` is the length of the run.
 pub(super) fn check_fault(
     fault: &Spanned<FaultSpec>,
     length: ConfigDuration,
     targets: &FaultTargets,
-    found: &mut Findings,
+    problems: &mut ProblemCollector,
 ) {
-    found.enter(fault.span());
+    problems.enter_table(fault.span());
     let fault = fault.get_ref();
     if fault.at >= length {
-        found.add("at", format!("{} is not before the end, {length}", fault.at));
+        problems.add("at", format!("{} is not before the end of the run at {length}", fault.at));
     }
     if fault.kind == FaultKind::ProxyReplaced && !targets.proxies.admin_endpoints {
-        found.add("what", "a process is replaced only where proxies.doors = true");
+        problems.add("what", "proxy-replaced needs proxies.doors = true");
     }
-    check_fault_targets(fault, targets.count(fault.kind), found);
-    check_fault_strength(fault, found);
-    check_fault_repeats(fault, found);
+    check_fault_targets(fault, targets.count(fault.kind), problems);
+    check_fault_parameters(fault, problems);
+    check_fault_repeats(fault, problems);
     if fault.kind == FaultKind::ServersJoin {
         let which = fault.targets.clone().unwrap_or_default();
-        let strikes_listed = which.iter().any(|&server| targets.listed.get(server) == Some(&true));
-        if strikes_listed || !targets.listed.contains(&false) {
-            found.add("what", "only servers with listed = false can join");
+        let targets_listed = which.iter().any(|&server| targets.listed.get(server) == Some(&true));
+        if targets_listed || !targets.listed.contains(&false) {
+            problems.add("what", "servers-join needs target servers with listed = false");
         }
     }
 }
 
-fn check_fault_targets(fault: &FaultSpec, count: Option<usize>, found: &mut Findings) {
+fn check_fault_targets(fault: &FaultSpec, count: Option<usize>, problems: &mut ProblemCollector) {
     match (&fault.targets, fault.share, count) {
-        (Some(_), _, None) => found.add("which", "there is only one of it"),
-        (Some(_), Some(_), _) => found.add("share", "either which or a share of them"),
+        (Some(_), _, None) => problems.add("which", "this kind of fault has no selectable targets"),
+        (Some(_), Some(_), _) => problems.add("share", "share and which exclude each other"),
         (Some(which), _, Some(count)) => {
-            if let Some(far) = which.iter().find(|&&index| index >= count) {
-                found.add("which", format!("{far}: there are {count}, counted from 0"));
+            if let Some(index) = which.iter().find(|&&index| index >= count) {
+                problems
+                    .add("which", format!("index {index} is out of range: {count} targets, numbered from 0"));
             }
         }
         _ => {}
     }
-    if fault.share.is_some_and(|share| !is_share_above_zero(share)) {
-        found.add("share", "a share over 0, up to 1");
+    if fault.share.is_some_and(|share| !is_positive_fraction(share)) {
+        problems.add("share", "must be greater than 0 and at most 1");
     }
 }
 
-fn check_fault_strength(fault: &FaultSpec, found: &mut Findings) {
+fn check_fault_parameters(fault: &FaultSpec, problems: &mut ProblemCollector) {
     let needs_duration = matches!(
         fault.kind,
         FaultKind::ServerSilent
@@ -270,30 +291,37 @@
             | FaultKind::ListLost
             | FaultKind::ListStill
     );
-    if needs_duration && fault.duration.is_none_or(|lasts| lasts.0 == 0) {
-        found.add("for", "missing: how long it lasts");
+    if needs_duration && fault.duration.is_none_or(|duration| duration.0 == 0) {
+        problems.add("for", "missing: this kind of fault needs a duration greater than 0");
     }
     let takes_factor = matches!(fault.kind, FaultKind::StoreSlow | FaultKind::ServerDrops);
     if takes_factor != fault.factor.is_some() {
-        found.add("factor", if takes_factor { "missing: how much" } else { "this trouble has none" });
+        problems.add(
+            "factor",
+            if takes_factor {
+                "missing for this kind of fault"
+            } else {
+                "not allowed for this kind of fault"
+            },
+        );
     }
     if fault.factor.is_some_and(|factor| !(factor >= 1.0 && factor.is_finite())) {
-        found.add("factor", "1 or more");
+        problems.add("factor", "must be at least 1 and finite");
     }
     if fault.at_accept && fault.kind != FaultKind::ProxyKilled {
-        found.add("at_accept", "only a proxy that is killed can be so");
+        problems.add("at_accept", "allowed only for proxy-killed");
     }
 }
 
-fn check_fault_repeats(fault: &FaultSpec, found: &mut Findings) {
+fn check_fault_repeats(fault: &FaultSpec, problems: &mut ProblemCollector) {
     if fault.batch_size == Some(0) {
-        found.add("together", "one at least");
+        problems.add("together", "must be at least 1");
     }
     if fault.repeats.is_some_and(|times| times == 0 || times > MAX_REPEATS) {
-        found.add("times", format!("from 1 to {MAX_REPEATS}"));
+        problems.add("times", format!("must be 1 to {MAX_REPEATS}"));
     }
     if fault.repeats.is_some_and(|times| times > 1) && fault.repeat_interval.is_none_or(|every| every.0 == 0)
     {
-        found.add("every", "missing: how often");
+        problems.add("every", "missing: needed when times is greater than 1");
     }
 }
--- a/crates/larklink-simulation/tests/world.rs
+++ b/crates/larklink-simulation/tests/world.rs
@@ -343,16 +343,25 @@
         ("length = '2h'", "1: length:"),
         ("length = '90m'", "1: length: \"90m\" is over an hour"),
         ("seed = 1\nseed = 2\n", "2: seed: duplicate key"),
-        ("[proxies]\ncount = 0\n", "2: proxies.count: 0 proxies"),
+        ("[proxies]\ncount = 0\n", "2: proxies.count: 0 proxies, must be 1 to 512"),
         ("[[listeners]]\nname = 'a b'\n", "2: name: \"a b\""),
-        ("[[listeners]]\nname = 'a'\n[[listeners]]\nname = 'a'\n", "4: name: a second listener"),
-        ("[[listeners]]\ndial_timeout = '100ms'\n", "2: dial_timeout: 100ms is under the target, 500ms"),
-        ("[[servers]]\nspeed = -1.0\n", "2: speed: a speed of -1"),
+        ("[[listeners]]\nname = 'a'\n[[listeners]]\nname = 'a'\n", "4: name: duplicate listener name \"a\""),
+        (
+            "[[listeners]]\ndial_timeout = '100ms'\n",
+            "2: dial_timeout: 100ms must be greater than 0 and not below handshake_target (500ms)",
+        ),
+        ("[[servers]]\nspeed = -1.0\n", "2: speed: a speed of -1, must be positive"),
         ("[[faults]]\nwhat = 'fire'\nat = '1s'\n", "2: what: unknown variant"),
         ("[[faults]]\nwhat = 'store-slow'\nat = '1s'\nfor = '1s'\n", "1: factor: missing"),
-        ("[[faults]]\nwhat = 'server-died'\nat = '1s'\nwhich = [9]\n", "4: which: 9: there are 6"),
-        ("[[faults]]\nwhat = 'list-lost'\nat = '30s'\nfor = '1s'\n", "3: at: 30s is not before the end"),
-        ("[store]\nrate = nan\n", "2: store.rate: a store of NaN"),
+        (
+            "[[faults]]\nwhat = 'server-died'\nat = '1s'\nwhich = [9]\n",
+            "4: which: index 9 is out of range: 6 targets",
+        ),
+        (
+            "[[faults]]\nwhat = 'list-lost'\nat = '30s'\nfor = '1s'\n",
+            "3: at: 30s is not before the end of the run at 20s",
+        ),
+        ("[store]\nrate = nan\n", "2: store.rate: a rate of NaN calls"),
     ] {
         let found = wrong(text);
         assert!(found.iter().any(|f| f.starts_with(at)), "{text:?}: {found:?}");
