--- a/crates/larklink-simulation/src/audit/findings.rs
+++ b/crates/larklink-simulation/src/audit/findings.rs
@@ -1,4 +1,4 @@
-//! What the audit finds: violations, and how the sessions came out.
+//! The result of the audit: violations and session outcomes.
 use std::collections::BTreeMap;
 use std::fmt;
 
@@ -6,66 +6,66 @@
 
 use crate::time::{TickDuration, Timestamp};
 
-/// What was violated; the names stand in reports and in `docs/testbed.md`.
+/// The kinds of violations. Their serialized names appear in reports and in `docs/testbed.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ViolationKind {
-    /// A session had no final response.
+    /// A session got no final response.
     #[serde(rename = "no_answer")]
     NoResponse,
-    /// Something came after the final response.
+    /// The client received a second response, or data after a response that ended the session.
     #[serde(rename = "two_answers")]
     ExtraResponse,
-    /// The response came after the client's patience.
+    /// The response came after the client's dial timeout.
     #[serde(rename = "late_answer")]
     LateResponse,
-    /// The client received what is no response.
+    /// The client received a line that is not a valid response.
     #[serde(rename = "not_an_answer")]
     MalformedResponse,
     /// Two attempts of a session were in flight at once.
     #[serde(rename = "two_dials_out")]
     ConcurrentAttempts,
-    /// A session was sent again that may have run, though it must run once only.
+    /// Another attempt followed one that may have run, though the session must not run twice.
     MayRunTwice,
-    /// A session was rejected that may have run.
+    /// A session was rejected, which invites a retry, although it may have run.
     #[serde(rename = "refused_though_it_may_have_run")]
     RejectedThoughMayHaveRun,
-    /// A session was accepted that no server had.
+    /// A session was accepted without an attempt at any server.
     #[serde(rename = "accepted_by_nobody")]
     AcceptedWithoutAttempt,
     /// A session had more attempts than allowed.
     #[serde(rename = "too_many_dials")]
     TooManyAttempts,
-    /// A server was given more time than the client had.
+    /// An attempt gave its server a timeout longer than its client was still going to wait.
     #[serde(rename = "told_too_long")]
     TimeoutTooLong,
-    /// An attempt was made after the drain grace of its endpoint.
+    /// An attempt started after the drain grace of its endpoint.
     #[serde(rename = "after_drain")]
     AttemptAfterDrainGrace,
-    /// A server in slow start was overloaded.
+    /// A server was overloaded during slow start.
     #[serde(rename = "cold_rushed")]
     SlowStartOverloaded,
     /// An established session was broken without a migration.
     #[serde(rename = "cut_without_move")]
     BrokenWithoutMigration,
-    /// A message was held for too long on its way.
+    /// A message took too long between client and server.
     #[serde(rename = "line_held")]
     MessageDelayed,
-    /// A message was altered on its way.
+    /// A message was altered in transit.
     #[serde(rename = "line_changed")]
     MessageAltered,
-    /// A client was notified too late that its server had ended the session.
+    /// A client's connection was ended too late after its server had ended the session.
     #[serde(rename = "ended_late")]
     EndNotifiedLate,
-    /// A connection was silent for too long.
+    /// An established connection delivered nothing for too long.
     SilentTooLong,
-    /// A server was removed while sessions were established there.
+    /// A server stopped with sessions still established.
     #[serde(rename = "left_behind")]
     SessionsLeftBehind,
 }
 
 impl ViolationKind {
-    /// The rule that it violates, from 1 to 4, or 0 for what is asked of sockets besides.
+    /// The number of the violated rule, from 1 to 4, or 0 for the additional checks on socket connections.
     pub fn rule(self) -> u8 {
         match self {
             Self::NoResponse
@@ -90,7 +90,7 @@
     }
 }
 
-/// As tables name it: in the words of the report.
+/// The name used in tables: the serialized name in camel case.
 impl fmt::Display for ViolationKind {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
@@ -116,101 +116,101 @@
     }
 }
 
-/// One violation: whose session, when, and what was observed.
+/// One violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Violation {
-    /// What was violated.
+    /// The kind of violation.
     #[serde(rename = "what")]
     pub kind: ViolationKind,
-    /// The rule of [`ViolationKind::rule`].
+    /// The rule number, as returned by [`ViolationKind::rule`].
     pub rule: u8,
-    /// The session's id in hex; empty where no session is meant.
+    /// The session id in hex; empty if the violation concerns no single session.
     pub session: String,
-    /// Tenths of a millisecond from the start.
+    /// When it happened, in tenths of a millisecond from the start.
     pub at: Timestamp,
-    /// What was observed.
+    /// A description of what was observed.
     #[serde(rename = "seen")]
     pub observed: String,
 }
 
 impl Violation {
-    /// A violation in a session; 0 where no session is meant.
+    /// Creates a violation. `session` is 0 if it concerns no single session.
     pub(super) fn new(kind: ViolationKind, session: u64, at: Timestamp, observed: String) -> Self {
         let session = if session == 0 { String::new() } else { format!("{session:x}") };
         Self { kind, rule: kind.rule(), session, at, observed }
     }
 }
 
-/// How the sessions of a listener came out.
+/// Counts of the session outcomes of a listener.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct SessionOutcomes {
     /// Sessions that clients opened.
     pub opened: u64,
-    /// Accepted.
+    /// Sessions that were accepted.
     pub accepted: u64,
-    /// Rejected.
+    /// Sessions that were rejected.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Failed.
+    /// Sessions that failed.
     #[serde(rename = "torn_down")]
     pub failed: u64,
-    /// At a proxy that was killed: the client's to retry.
+    /// Sessions without a response because their proxy was killed; the client has to retry them.
     #[serde(rename = "with_proxy")]
     pub lost_with_proxy: u64,
-    /// Sent by the external load balancer to a proxy that was dead.
+    /// Sessions that the external load balancer sent to a dead proxy.
     #[serde(rename = "nobody_there")]
     pub proxy_unreachable: u64,
-    /// Still waiting at the end of the run, or given up by the client for a reason of its own.
+    /// Sessions still waiting at the end of the run, or abandoned by the client itself.
     pub open: u64,
-    /// Attempts.
+    /// Attempts at servers.
     #[serde(rename = "dials")]
     pub attempts: u64,
-    /// Sessions that retry one without a response.
+    /// Sessions that are a client's retry of an earlier one.
     pub retries: u64,
-    /// Migrated.
+    /// Sessions that were migrated.
     #[serde(rename = "moved")]
     pub migrated: u64,
-    /// Set-ups that were done for an attempt that had been abandoned.
+    /// Session setups that a server completed after the attempt had been abandoned.
     #[serde(rename = "ran_late")]
     pub ran_after_abandoned: u64,
-    /// Time to the response of each accepted session, tenths of a millisecond.
+    /// The response time of each accepted session, in tenths of a millisecond.
     #[serde(skip)]
     pub took: Vec<TickDuration>,
 }
 
-/// What the clients of one shape of proxies got.
+/// Counts of session outcomes at the proxies of one shape.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct ShapeOutcomes {
     /// Sessions that clients opened.
     pub opened: u64,
-    /// Accepted.
+    /// Sessions that were accepted.
     pub accepted: u64,
 }
 
 impl ShapeOutcomes {
-    /// What the two are called, in the order of [`Findings::shapes`].
+    /// The names of the shapes, in the order of [`Findings::shapes`].
     pub const NAMES: [&str; 2] = ["old", "moved"];
 
-    /// The share of the sessions that were accepted; 0 where none came.
+    /// The fraction of sessions that were accepted; 0 if there were none.
     pub fn share(&self) -> f64 {
         self.accepted as f64 / self.opened.max(1) as f64
     }
 }
 
-/// All that the audit found.
+/// The complete result of an audit.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Findings {
-    /// For each listener, how its sessions came out.
+    /// The outcomes of each listener, in the order of the scenario.
     pub listeners: Vec<SessionOutcomes>,
-    /// Of the proxies as they were, and of those of the moved shape.
+    /// The outcomes at the proxies of the original shape and at those of the moved shape.
     pub shapes: [ShapeOutcomes; 2],
-    /// The violations, in the order of time.
+    /// All violations, ordered by time.
     #[serde(rename = "breaches")]
     pub violations: Vec<Violation>,
 }
 
 impl Findings {
-    /// How often each thing was violated.
+    /// The number of violations of each kind.
     pub fn counts(&self) -> BTreeMap<ViolationKind, usize> {
         let mut counts = BTreeMap::new();
         for violation in &self.violations {
--- a/crates/larklink-simulation/src/audit/tolerance.rs
+++ b/crates/larklink-simulation/src/audit/tolerance.rs
@@ -1,7 +1,7 @@
-//! The time that sockets get beyond each limit.
+//! The tolerance that the audit adds to time limits.
 
 use crate::duration::SECOND;
 use crate::time::TickDuration;
 
-/// Sockets get so much more than each time limit.
+/// Added to every time limit, because events on sockets are delayed: 50 ms.
 pub(super) const TOLERANCE: TickDuration = SECOND / 20;
