--- a/crates/larklink-simulation/src/lease_model.rs
+++ b/crates/larklink-simulation/src/lease_model.rs
@@ -1,5 +1,5 @@
-//! Candidates for one lease, on links that lose, delay and reorder messages to the lease store, with clocks that run fast
-//! and slow. A request may take effect at any time, also long after its candidate stopped to wait for the response.
+//! A model of candidates for one lease. Their links to the lease store lose, delay and reorder messages, and their
+//! clocks drift. A request may take effect at any time, even long after its candidate stopped waiting for the response.
 use larklink_coordination::lease::Lease;
 use larklink_coordination::record::{LeaseRecord, Member, StoredRecord};
 use larklink_coordination::request::{FencingToken, LeaseRequest, LeaseResponse};
@@ -10,65 +10,65 @@
 use crate::state_search::StateModel;
 use crate::time::{TickDuration, Timestamp};
 
-/// The rate of a clock that runs true.
-const MILLION: TickDuration = 1_000_000;
+/// The rate of a clock without drift. Clock rates are in millionths of true time.
+const NOMINAL_CLOCK_RATE: TickDuration = 1_000_000;
 
-/// What may happen next; candidates and messages are named by their index.
+/// A possible next step. Candidates and messages are given by index.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ModelStep {
-    /// Time goes on by one step.
+    /// Time advances by one step.
     AdvanceTime,
-    /// The request of a message takes effect; its response is in flight.
+    /// The request of a message takes effect at the lease store; the message then carries the response.
     TakeEffect(usize),
-    /// A response arrives, if its candidate still waits for it.
+    /// A response arrives. It is ignored if its candidate no longer waits for it.
     Deliver(usize),
-    /// A message is lost.
+    /// An abandoned message is lost.
     Lose(usize),
-    /// A candidate stops to wait for its response; the request is still in flight.
+    /// A candidate stops waiting for its response; the request stays in flight.
     TimeOut(usize),
-    /// A candidate is paused and receives nothing; later it goes on where it was.
+    /// A candidate is paused and receives nothing; it keeps its state.
     Pause(usize),
-    /// A candidate that was paused goes on.
+    /// A paused candidate continues.
     Resume(usize),
 }
 
-/// A request, then its response.
+/// A request on its way to the lease store, or its response on its way back.
 #[derive(Clone, Debug)]
 struct InFlightMessage {
     candidate: usize,
     request: LeaseRequest,
     response: Option<LeaseResponse>,
-    /// Whether the candidate does not wait for the response any more.
+    /// Whether the candidate no longer waits for the response.
     abandoned: bool,
 }
 
 #[derive(Clone)]
 struct Candidate<S> {
     lease: Lease<S>,
-    /// The rate of its clock, in millionths of true time.
+    /// The rate of the candidate's clock, in millionths of true time.
     clock_rate: u32,
     paused: bool,
 }
 
-/// A candidate that may act, by its own clock.
+/// A candidate that may act as lease holder, by its own clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ActingCandidate {
-    /// Its index.
+    /// The candidate's index.
     pub candidate: usize,
-    /// The fencing token by which it acts.
+    /// The fencing token that goes with its acts.
     pub token: FencingToken,
 }
 
 /// A change of holder in the history of the lease store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HolderTerm {
-    /// The incarnation of the holder; none if the lease was released.
+    /// The incarnation of the holder; `None` if the lease was released.
     pub incarnation: Option<u64>,
-    /// Its term.
+    /// The term number.
     pub term: u64,
 }
 
-/// A state of the model.
+/// The state of the model.
 #[derive(Clone)]
 pub struct LeaseModel<S> {
     lease_store: LeaseStore<LeaseRecord>,
@@ -76,18 +76,18 @@
     messages: Vec<InFlightMessage>,
     time: Timestamp,
     time_step: TickDuration,
-    /// How many abandoned messages may be in flight at once.
+    /// The maximum number of abandoned messages in flight; it bounds the search.
     max_abandoned: usize,
     pauses_allowed: bool,
-    /// Whether the lease store answers a write with its index; otherwise the index has to be read.
-    answers_with_index: bool,
-    /// The highest token by which a candidate acted.
+    /// Whether the response to a write contains its index; otherwise the candidate has to read it.
+    returns_write_index: bool,
+    /// The highest fencing token with which a candidate has acted.
     highest_token: u64,
     violation: Option<String>,
 }
 
 impl<S: SafetyCondition + Clone> LeaseModel<S> {
-    /// One candidate for each clock rate, in millionths of true time.
+    /// Creates one candidate for each clock rate, which is in millionths of true time.
     pub fn new(
         settings: &LeaseSettings,
         clock_rates: &[u32],
@@ -107,7 +107,7 @@
             time_step,
             max_abandoned,
             pauses_allowed: false,
-            answers_with_index: true,
+            returns_write_index: true,
             highest_token: 0,
             violation: None,
         };
@@ -115,41 +115,41 @@
         model
     }
 
-    /// Candidates may also be paused and go on.
+    /// Adds steps that pause and resume candidates.
     #[must_use]
     pub fn with_pauses(mut self) -> Self {
         self.pauses_allowed = true;
         self
     }
 
-    /// The lease store answers a write without its index.
+    /// Makes the lease store respond to writes without their index.
     #[must_use]
     pub fn without_write_index(mut self) -> Self {
-        self.answers_with_index = false;
+        self.returns_write_index = false;
         self
     }
 
-    /// A candidate's own time.
-    fn clock(&self, candidate: usize) -> Timestamp {
-        self.time * TickDuration::from(self.candidates[candidate].clock_rate) / MILLION
+    /// The time by a candidate's own clock.
+    fn local_time(&self, candidate: usize) -> Timestamp {
+        self.time * TickDuration::from(self.candidates[candidate].clock_rate) / NOMINAL_CLOCK_RATE
     }
 
-    /// The candidates that may act now.
+    /// The candidates that may act as lease holder now.
     pub fn acting(&self) -> Vec<ActingCandidate> {
         let running = (0..self.candidates.len()).filter(|index| !self.candidates[*index].paused);
         let acting = |candidate: usize| {
-            let token = self.candidates[candidate].lease.may_act(self.clock(candidate))?;
+            let token = self.candidates[candidate].lease.may_act(self.local_time(candidate))?;
             Some(ActingCandidate { candidate, token })
         };
         running.filter_map(acting).collect()
     }
 
-    /// True time.
+    /// The true time, without drift.
     pub fn time(&self) -> Timestamp {
         self.time
     }
 
-    /// The holders in the history of the lease store, in their order.
+    /// The successive holders in the history of the lease store.
     pub fn holder_terms(&self) -> Vec<HolderTerm> {
         let records = self.lease_store.history().iter().map(|write| &write.value);
         let mut terms: Vec<_> = records
@@ -162,16 +162,17 @@
         terms
     }
 
-    /// A candidate releases the lease, and is none any more.
+    /// A candidate releases the lease and stops being a candidate.
     pub fn resign(&mut self, candidate: usize) {
         self.candidates[candidate].lease.resign();
         self.run_candidates();
     }
 
-    /// Sends all requests that are due, and lets all candidates act that may.
+    /// Sends all due requests, and lets all candidates that may act do so. Records a violation if two may act at once
+    /// or if fencing tokens go backwards.
     fn run_candidates(&mut self) {
         for index in 0..self.candidates.len() {
-            let now = self.clock(index);
+            let now = self.local_time(index);
             if !self.candidates[index].paused
                 && let Some(request) = self.candidates[index].lease.next_request(now)
             {
@@ -182,13 +183,15 @@
         let acting = self.acting();
         if let [first, second, ..] = acting[..] {
             self.violation =
-                Some(format!("p{} and p{} act at {}", first.candidate, second.candidate, self.time));
+                Some(format!("p{} and p{} both act at {}", first.candidate, second.candidate, self.time));
         }
         for ActingCandidate { candidate, token: FencingToken(token) } in acting {
             if token < self.highest_token {
                 let highest = self.highest_token;
-                self.violation =
-                    Some(format!("p{candidate} acts by {token} after {highest} at {}", self.time));
+                self.violation = Some(format!(
+                    "p{candidate} acts with token {token} after token {highest} at {}",
+                    self.time
+                ));
             }
             self.highest_token = self.highest_token.max(token);
         }
@@ -205,7 +208,9 @@
             }
             LeaseRequest::Write { expected_index, record } => {
                 match self.lease_store.write(candidate, expected_index, record) {
-                    Some(index) => LeaseResponse::Written { index: self.answers_with_index.then_some(index) },
+                    Some(index) => {
+                        LeaseResponse::Written { index: self.returns_write_index.then_some(index) }
+                    }
                     None => LeaseResponse::Conflict,
                 }
             }
@@ -215,7 +220,7 @@
 
     fn deliver(&mut self, message: usize) {
         let message = self.messages.remove(message);
-        let now = self.clock(message.candidate);
+        let now = self.local_time(message.candidate);
         if !message.abandoned
             && let Some(response) = message.response
         {
@@ -227,13 +232,13 @@
         for message in self.messages.iter_mut().filter(|message| message.candidate == candidate) {
             message.abandoned = true;
         }
-        // An abandoned message without an effect to come changes nothing any more.
+        // An abandoned message that can no longer take effect changes nothing and is dropped.
         self.messages.retain(|message| {
             let may_take_effect =
                 message.response.is_none() && matches!(message.request, LeaseRequest::Write { .. });
             !message.abandoned || may_take_effect
         });
-        let now = self.clock(candidate);
+        let now = self.local_time(candidate);
         self.candidates[candidate].lease.request_timed_out(now);
     }
 
--- a/crates/larklink-simulation/src/lease_store.rs
+++ b/crates/larklink-simulation/src/lease_store.rs
@@ -1,14 +1,14 @@
-//! One key of a lease store, linearizable by construction: a read returns the latest write, and a write takes effect
-//! only on the index that it expects. It keeps the history of writes.
+//! A model of one key of a lease store. It is linearizable by construction: a read returns the latest write, and a
+//! write is a compare-and-swap on the index of the latest write. The history of writes is kept for checks.
 
 /// A write that took effect.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct CommittedWrite<V> {
-    /// The candidate that wrote.
+    /// The index of the candidate that wrote.
     pub writer: usize,
-    /// The index of the write, from 1.
+    /// The sequence number of the write, from 1.
     pub index: u64,
-    /// What was written.
+    /// The written value.
     pub value: V,
 }
 
@@ -25,12 +25,13 @@
 }
 
 impl<V> LeaseStore<V> {
-    /// The latest write.
+    /// Returns the latest write.
     pub fn read(&self) -> Option<&CommittedWrite<V>> {
         self.history.last()
     }
 
-    /// Writes if the index is still the expected one, 0 if nothing was written yet; returns the new index.
+    /// Writes if the latest index is `expected_index`, which is 0 before the first write. Returns the new index, or
+    /// `None` on a conflict.
     pub fn write(&mut self, writer: usize, expected_index: u64, value: V) -> Option<u64> {
         let latest = self.read().map_or(0, |write| write.index);
         if expected_index != latest {
--- a/crates/larklink-simulation/src/state_search.rs
+++ b/crates/larklink-simulation/src/state_search.rs
@@ -1,10 +1,11 @@
-//! Breadth-first search over the states of a model, up to a depth: a violation comes with a shortest way to it.
+//! Breadth-first search over the states of a model, up to a maximum depth. A violation is reported with a shortest path
+//! to it.
 use std::collections::HashSet;
 use std::fmt::Debug;
 
 use xxhash_rust::xxh3::xxh3_128;
 
-/// A model that goes from state to state by steps.
+/// A model whose state changes by discrete steps.
 pub trait StateModel: Clone {
     /// A step from one state to the next.
     type Step: Clone + Debug;
@@ -12,43 +13,43 @@
     /// The steps that are possible in this state.
     fn steps(&self) -> Vec<Self::Step>;
 
-    /// Takes a step.
+    /// Applies a step.
     fn apply(&mut self, step: &Self::Step);
 
-    /// What is violated in this state, if anything is.
+    /// Describes the violated condition, if this state violates one.
     fn violation(&self) -> Option<String>;
 
-    /// Tells states apart: the same for two states from which all goes on alike.
+    /// A key that identifies the state. Two states with the same key must have the same future behaviour.
     fn state_key(&self) -> String;
 }
 
-/// A violation and the steps that lead to it.
+/// A violation with the steps that lead to it.
 #[derive(Debug)]
 pub struct Counterexample<S> {
-    /// What is violated.
+    /// Describes the violated condition.
     pub violation: String,
-    /// The steps from the start.
+    /// The steps from the initial state.
     pub path: Vec<S>,
 }
 
 /// The result of a search.
 #[derive(Debug)]
 pub struct SearchResult<S> {
-    /// How many different states were reached.
+    /// The number of distinct states reached.
     pub states: usize,
-    /// The first violation that was found.
+    /// The first violation found, if any.
     pub counterexample: Option<Counterexample<S>>,
 }
 
 /// How a state was first reached.
 struct Visit<S> {
-    /// The step to it; none for the start.
+    /// The step that led to it; `None` for the initial state.
     step: Option<S>,
-    /// The index of the visit before it.
+    /// The index of the preceding visit.
     previous: usize,
 }
 
-/// Searches all states that are reached by up to `depth` steps.
+/// Searches all states that are reachable in up to `depth` steps, and stops at the first violation.
 pub fn search<M: StateModel>(start: M, depth: usize) -> SearchResult<M::Step> {
     let mut seen = HashSet::from([xxh3_128(start.state_key().as_bytes())]);
     let mut visits: Vec<Visit<M::Step>> = vec![Visit { step: None, previous: 0 }];
