--- a/crates/larklink-simulation/tests/format_fixtures.rs
+++ b/crates/larklink-simulation/tests/format_fixtures.rs
@@ -1,12 +1,12 @@
-//! The forms in which scenarios are read and findings written, held against files: every key, byte for byte.
+//! Compares the file formats with fixtures: every key of a scenario, and findings and event log byte for byte.
 use larklink_simulation::audit::{Findings, SessionOutcomes, ShapeOutcomes, Violation, ViolationKind};
 use larklink_simulation::event_log::{
     AttemptEnd, ClientRequest, ClientResponse, ConnectionEnd, Direction, EventKind, EventLog,
 };
 use larklink_simulation::scenario::{FaultKind, RetryBehavior, Scenario, SessionKind};
 
-/// What can be broken, in the order of its numbers, and the rule that it breaks.
-const BROKEN: [(ViolationKind, u8); 18] = [
+/// All kinds of violations in their sort order, each with the number of its rule.
+const VIOLATION_RULES: [(ViolationKind, u8); 18] = [
     (ViolationKind::NoResponse, 1),
     (ViolationKind::ExtraResponse, 1),
     (ViolationKind::LateResponse, 1),
@@ -27,7 +27,7 @@
     (ViolationKind::SessionsLeftBehind, 0),
 ];
 
-fn answers() -> SessionOutcomes {
+fn session_outcomes() -> SessionOutcomes {
     SessionOutcomes {
         opened: 1,
         accepted: 2,
@@ -40,83 +40,83 @@
         retries: 9,
         migrated: 10,
         ran_after_abandoned: 11,
-        // Not written.
+        // Not serialized.
         took: vec![12, 13],
     }
 }
 
-fn breach(at: u64, (what, _): (ViolationKind, u8)) -> Violation {
+fn violation(at: u64, (kind, _): (ViolationKind, u8)) -> Violation {
     let session = if at == 0 { String::new() } else { format!("{:x}", at * 0xabc) };
-    Violation { kind: what, rule: what.rule(), session, at, observed: format!("\u{e9} \"seen\" {at}") }
+    Violation { kind, rule: kind.rule(), session, at, observed: format!("\u{e9} \"seen\" {at}") }
 }
 
 fn findings() -> Findings {
     Findings {
-        listeners: vec![answers(), SessionOutcomes::default()],
+        listeners: vec![session_outcomes(), SessionOutcomes::default()],
         shapes: [ShapeOutcomes { opened: 14, accepted: 15 }, ShapeOutcomes { opened: 16, accepted: 17 }],
-        violations: (0..).zip(BROKEN).map(|(at, broken)| breach(at, broken)).collect(),
+        violations: (0..).zip(VIOLATION_RULES).map(|(at, expected)| violation(at, expected)).collect(),
     }
 }
 
 #[test]
-fn findings_are_written_as_in_the_file() {
+fn findings_serialize_as_in_the_fixture() {
     let text = serde_json::to_string_pretty(&findings()).unwrap() + "\n";
     assert_eq!(text, include_str!("fixtures/findings.json"));
-    for (what, rule) in BROKEN {
-        assert_eq!(what.rule(), rule, "{what:?}");
+    for (kind, rule) in VIOLATION_RULES {
+        assert_eq!(kind.rule(), rule, "{kind:?}");
     }
-    // In this order they are counted.
-    assert!(BROKEN.windows(2).all(|pair| pair[0].0 < pair[1].0));
+    // Counts are listed in this order.
+    assert!(VIOLATION_RULES.windows(2).all(|pair| pair[0].0 < pair[1].0));
     assert_eq!(ShapeOutcomes::NAMES, ["old", "moved"]);
 }
 
-/// The word of a report in the form of tables: `two_answers` is `TwoAnswers`.
-fn camel_case(word: &str) -> String {
-    let parts = word.split('_').map(|part| part[..1].to_uppercase() + &part[1..]);
+/// Converts a serialized name to the form used in tables: `two_answers` becomes `TwoAnswers`.
+fn camel_case(name: &str) -> String {
+    let parts = name.split('_').map(|part| part[..1].to_uppercase() + &part[1..]);
     parts.collect()
 }
 
 #[test]
-fn tables_name_violations_in_the_words_of_reports() {
-    for (kind, _) in BROKEN {
-        let word = serde_json::to_value(kind).unwrap();
-        assert_eq!(kind.to_string(), camel_case(word.as_str().unwrap()));
+fn displayed_violation_names_match_serialized_names() {
+    for (kind, _) in VIOLATION_RULES {
+        let name = serde_json::to_value(kind).unwrap();
+        assert_eq!(kind.to_string(), camel_case(name.as_str().unwrap()));
     }
 }
 
-/// One of each kind of event, with each value that it can have.
-fn events_of_sessions(id: u64) -> Vec<EventKind> {
-    let ask = |again, retry| ClientRequest {
+/// Session events of every kind, with every value of their enums.
+fn session_events(id: u64) -> Vec<EventKind> {
+    let request = |reconnecting, retry| ClientRequest {
         client: 1,
         id: 2,
         key: 3,
         group: 4,
         listener: 5,
         patience: 6,
-        reconnecting: again,
+        reconnecting,
         retry,
     };
     let mut all = vec![
-        EventKind::Opened { request: ask(true, false), proxy: 7 },
-        EventKind::Opened { request: ask(false, true), proxy: 0 },
+        EventKind::Opened { request: request(true, false), proxy: 7 },
+        EventKind::Opened { request: request(false, true), proxy: 0 },
         EventKind::ProxyUnreachable { id, proxy: 8 },
     ];
-    let answers = [
+    let responses = [
         ClientResponse::Accepted,
         ClientResponse::Rejected(0),
         ClientResponse::Rejected(1500),
         ClientResponse::Failed,
     ];
-    all.extend(answers.map(|answer| EventKind::Answered { id, response: answer }));
+    all.extend(responses.map(|response| EventKind::Answered { id, response }));
     all.extend([EventKind::ExtraMessage { id }, EventKind::MalformedResponse { id }]);
     all.extend(
         [ConnectionEnd::Migrated, ConnectionEnd::Closed, ConnectionEnd::Broken, ConnectionEnd::Left]
-            .map(|how| EventKind::ConnectionEnded { id, end: how }),
+            .map(|end| EventKind::ConnectionEnded { id, end }),
     );
     all.extend([EventKind::ClientTimedOut { id }, EventKind::MessageLate { id, took: 9 }]);
-    all.extend([Direction::ToServer, Direction::ToClient].map(|way| EventKind::MessageDelayed {
+    all.extend([Direction::ToServer, Direction::ToClient].map(|direction| EventKind::MessageDelayed {
         id,
-        direction: way,
+        direction,
         took: 10,
     }));
     all.extend([EventKind::MessageAltered { id }, EventKind::ConnectionSilent { id, duration: 11 }]);
@@ -129,11 +129,11 @@
         AttemptEnd::Migrated,
         AttemptEnd::Abandoned,
     ];
-    all.extend(ends.map(|how| EventKind::AttemptEnded { id, server: 15, connection: 16, end: how }));
+    all.extend(ends.map(|end| EventKind::AttemptEnded { id, server: 15, connection: 16, end }));
     all
 }
 
-fn events_of_servers_and_proxies(id: u64) -> Vec<EventKind> {
+fn fleet_events(id: u64) -> Vec<EventKind> {
     vec![
         EventKind::SessionRan { id, server: 17 },
         EventKind::RanAfterAbandoned { id, server: 18 },
@@ -151,20 +151,20 @@
 
 fn event_log() -> EventLog {
     let id = u64::MAX;
-    let mut kinds = events_of_sessions(id);
-    kinds.extend(events_of_servers_and_proxies(id));
+    let mut kinds = session_events(id);
+    kinds.extend(fleet_events(id));
     let mut event_log = EventLog::default();
     (0..).zip(kinds).for_each(|(at, kind)| event_log.record(at, kind));
     event_log
 }
 
 #[test]
-fn a_book_is_written_as_in_the_file() {
+fn event_log_serializes_as_in_the_fixture() {
     assert_eq!(event_log().to_json_lines(), include_str!("fixtures/book.jsonl"));
 }
 
 #[test]
-fn every_key_of_a_scenario_is_read_from_the_file() {
+fn every_scenario_key_is_read() {
     let scenario = Scenario::parse(include_str!("fixtures/scenario.toml")).unwrap();
     assert_eq!(
         (scenario.name.as_str(), scenario.about.as_str(), scenario.seed, scenario.length.0),
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn every_key_of_its_listeners_is_read_from_the_file() {
+fn every_listener_key_is_read() {
     let scenario = Scenario::parse(include_str!("fixtures/scenario.toml")).unwrap();
     let [one, other, last] = &scenario.listeners[..] else { panic!("{:?}", scenario.listeners) };
     let listener = one.get_ref();
@@ -278,13 +278,13 @@
 }
 
 #[test]
-fn every_key_of_its_faults_is_read_from_the_file() {
+fn every_fault_key_is_read() {
     let scenario = Scenario::parse(include_str!("fixtures/scenario.toml")).unwrap();
-    // What, when, for how long, and by what factor.
-    let seen: Vec<_> = scenario.faults.iter().map(|f| f.get_ref()).collect();
-    let seen: Vec<_> = seen.iter().map(|f| (f.kind, f.at.0, f.duration.map(|l| l.0), f.factor)).collect();
+    // Kind, time, duration and factor.
+    let faults: Vec<_> = scenario.faults.iter().map(|f| f.get_ref()).collect();
+    let faults: Vec<_> = faults.iter().map(|f| (f.kind, f.at.0, f.duration.map(|l| l.0), f.factor)).collect();
     assert_eq!(
-        seen,
+        faults,
         [
             (FaultKind::ProxyKilled, 10_000, Some(20_000), None),
             (FaultKind::ServerDrops, 20_000, Some(10_000), Some(3.0)),
--- a/crates/larklink-simulation/tests/lease.rs
+++ b/crates/larklink-simulation/tests/lease.rs
@@ -1,5 +1,5 @@
-//! No two members act by one lease at once: every interleaving up to a depth, long drawn ones beyond, and three
-//! mistaken safety conditions that both must find.
+//! No two members may act as holder of one lease at the same time. Checked by an exhaustive search of all interleavings
+//! up to a depth and by long random runs. Both must also detect three deliberately wrong safety conditions.
 use larklink_coordination::safety::{BoundedDrift, SafetyCondition};
 use larklink_coordination::settings::LeaseSettings;
 use larklink_simulation::lease_model::{LeaseModel, ModelStep};
@@ -13,33 +13,34 @@
 const FAST: u32 = 1_100_000;
 const TIME_STEP: TickDuration = 100;
 
-/// A step of true time is just under a TTL: a slow holder and a fast candidate differ by a step.
+/// One time step is slightly shorter than the TTL, so that a slow holder's and a fast candidate's expiry differ by one
+/// step.
 fn settings() -> LeaseSettings {
     LeaseSettings { ttl: 110, drift_ppm: DRIFT_PPM, max_act_duration: 0, request_timeout: 10 }
 }
 
-/// A holder counts from the response.
+/// Wrong: the holder's lease time starts with the response instead of the request.
 #[derive(Clone, Copy)]
-struct CountsFromResponse;
-impl SafetyCondition for CountsFromResponse {
+struct LeaseFromResponse;
+impl SafetyCondition for LeaseFromResponse {
     fn may_act_until(_: Timestamp, answered_at: Timestamp, settings: &LeaseSettings) -> Timestamp {
         BoundedDrift::may_act_until(answered_at, answered_at, settings)
     }
 }
 
-/// A candidate waits as if its clock ran true.
+/// Wrong: a candidate waits for the TTL without a margin for clock drift.
 #[derive(Clone, Copy)]
-struct NoDrift;
-impl SafetyCondition for NoDrift {
+struct IgnoresDrift;
+impl SafetyCondition for IgnoresDrift {
     fn may_overtake_at(observed_at: Timestamp, ttl: TickDuration, _: u32) -> Timestamp {
         observed_at + ttl
     }
 }
 
-/// A write without a response counts as not made.
+/// Wrong: a write without a response is treated as if it had not taken effect.
 #[derive(Clone, Copy)]
-struct SilenceIsNo;
-impl SafetyCondition for SilenceIsNo {
+struct TimeoutMeansNotWritten;
+impl SafetyCondition for TimeoutMeansNotWritten {
     fn repeated_write_counts_from(_: Timestamp, repeated_at: Timestamp) -> Timestamp {
         repeated_at
     }
@@ -53,16 +54,16 @@
     search(LeaseModel::<S>::new(&settings(), clock_rates, TIME_STEP, max_abandoned), depth)
 }
 
-/// A run of drawn steps.
-struct DrawnRun<S> {
+/// The result of a run of random steps.
+struct RandomRun<S> {
     violation: Option<String>,
-    /// The model at the end.
+    /// The final state of the model.
     model: LeaseModel<S>,
 }
 
-/// Draws so many steps from a seed. Messages are lost, abandoned and late, candidates paused for longer than a TTL; in
-/// the last third nothing fails.
-fn draw<S: SafetyCondition + Clone>(seed: u64, clock_rates: &[u32], steps: usize) -> DrawnRun<S> {
+/// Runs `steps` random steps from a seed. Messages are lost, abandoned and delayed, and candidates are paused for
+/// longer than a TTL. The last third is free of faults, so that a holder must emerge.
+fn random_run<S: SafetyCondition + Clone>(seed: u64, clock_rates: &[u32], steps: usize) -> RandomRun<S> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let settings = LeaseSettings { ttl: 1000, ..settings() };
     let mut model = LeaseModel::<S>::new(&settings, clock_rates, 10, 4).with_pauses();
@@ -70,78 +71,81 @@
         model = model.without_write_index();
     }
     for number in 0..steps {
-        let calm = number * 3 > steps * 2;
+        let fault_free = number * 3 > steps * 2;
         let possible: Vec<_> = model
             .steps()
             .into_iter()
             .filter(|step| match step {
-                ModelStep::Lose(_) | ModelStep::TimeOut(_) => !calm && rng.random_bool(0.1),
-                ModelStep::Pause(_) => !calm && rng.random_bool(0.02),
-                ModelStep::Resume(_) => calm || rng.random_bool(0.02),
-                ModelStep::TakeEffect(_) | ModelStep::Deliver(_) => calm || rng.random_bool(0.3),
+                ModelStep::Lose(_) | ModelStep::TimeOut(_) => !fault_free && rng.random_bool(0.1),
+                ModelStep::Pause(_) => !fault_free && rng.random_bool(0.02),
+                ModelStep::Resume(_) => fault_free || rng.random_bool(0.02),
+                ModelStep::TakeEffect(_) | ModelStep::Deliver(_) => fault_free || rng.random_bool(0.3),
                 ModelStep::AdvanceTime => true,
             })
             .collect();
         model.apply(&possible[rng.random_range(0..possible.len())]);
         if let Some(violation) = model.violation() {
-            return DrawnRun { violation: Some(violation), model };
+            return RandomRun { violation: Some(violation), model };
         }
     }
-    DrawnRun { violation: None, model }
+    RandomRun { violation: None, model }
 }
 
 #[test]
-fn no_interleaving_has_two_that_act() {
+fn no_interleaving_has_two_acting_holders() {
     for (clock_rates, depth) in [(&[SLOW, FAST][..], 12), (&[FAST, SLOW], 12), (&[SLOW, FAST, FAST], 9)] {
         let found = search_all::<BoundedDrift>(clock_rates, depth, 2);
         println!("{} members, {depth} steps: {} states", clock_rates.len(), found.states);
         assert!(found.counterexample.is_none(), "{:?}", found.counterexample);
-        assert!(found.states > 50_000, "{} states are few", found.states);
+        assert!(found.states > 50_000, "only {} states were reached", found.states);
     }
 }
 
-/// The same, deeper: some minutes. The third mistake needs two responses lost.
+/// The same search, deeper. The search needs this depth to find `TimeoutMeansNotWritten`, which takes two lost
+/// responses.
 #[test]
 #[ignore = "takes some minutes"]
-fn no_deeper_interleaving_has_two_that_act() {
+fn no_deeper_interleaving_has_two_acting_holders() {
     let found = search_all::<BoundedDrift>(&[SLOW, FAST], 16, 2);
     println!("{} states", found.states);
     assert!(found.counterexample.is_none(), "{:?}", found.counterexample);
-    assert_found("silence is no", search_all::<SilenceIsNo>(&[SLOW, FAST], 16, 2));
+    assert_found("timeout means not written", search_all::<TimeoutMeansNotWritten>(&[SLOW, FAST], 16, 2));
 }
 
-fn assert_found(mistake: &str, found: SearchResult<ModelStep>) {
-    let counterexample =
-        found.counterexample.unwrap_or_else(|| panic!("{mistake}: not found in {} states", found.states));
+fn assert_found(condition: &str, found: SearchResult<ModelStep>) {
+    let counterexample = found
+        .counterexample
+        .unwrap_or_else(|| panic!("{condition}: no violation found in {} states", found.states));
     let path = counterexample.path;
     let steps = path.len();
-    println!("{mistake}: {} states, {steps} steps: {}: {path:?}", found.states, counterexample.violation);
+    println!("{condition}: {} states, {steps} steps: {}: {path:?}", found.states, counterexample.violation);
 }
 
 #[test]
-fn mistaken_laws_are_found_with_a_way_there() {
-    assert_found("counts from the response", search_all::<CountsFromResponse>(&[SLOW, FAST], 12, 2));
-    assert_found("no drift", search_all::<NoDrift>(&[SLOW, FAST], 12, 2));
+fn search_finds_wrong_safety_conditions() {
+    assert_found("lease from response", search_all::<LeaseFromResponse>(&[SLOW, FAST], 12, 2));
+    assert_found("ignores drift", search_all::<IgnoresDrift>(&[SLOW, FAST], 12, 2));
 }
 
 #[test]
-fn long_drawn_ways_have_one_holder_who_comes_back() {
+fn long_random_runs_have_one_holder_and_recover() {
     let clock_rates =
         |members: usize| (0..members).map(|index| [SLOW, 1_000_000, FAST][index % 3]).collect::<Vec<_>>();
     for (members, seeds) in [(3, 60), (5, 40), (25, 8)] {
         for seed in 0..seeds {
-            let DrawnRun { violation, model } = draw::<BoundedDrift>(seed, &clock_rates(members), 6000);
+            let RandomRun { violation, model } =
+                random_run::<BoundedDrift>(seed, &clock_rates(members), 6000);
             assert_eq!(violation, None, "seed {seed}, {members} members");
-            assert!(!model.acting().is_empty(), "nobody holds it, seed {seed}, {members} members");
+            assert!(!model.acting().is_empty(), "no lease holder, seed {seed}, {members} members");
             let terms: Vec<_> = model.holder_terms().iter().map(|holder| holder.term).collect();
-            assert!(terms.is_sorted_by(|a, b| a < b), "a holder changed without a new term: {terms:?}");
+            assert!(terms.is_sorted_by(|a, b| a < b), "the holder changed without a new term: {terms:?}");
         }
     }
 }
 
-/// A lease that was released is acquired at once: no TTL passes.
+/// A released lease is acquired immediately, without waiting for the TTL.
 #[test]
-fn who_resigns_is_followed_without_a_wait() {
+fn released_lease_is_acquired_without_a_wait() {
     let mut model = LeaseModel::<BoundedDrift>::new(&settings(), &[SLOW, FAST], TIME_STEP, 0);
     let run_until_acting = |model: &mut LeaseModel<BoundedDrift>| {
         while model.acting().is_empty() {
@@ -153,7 +157,10 @@
     run_until_acting(&mut model);
     let first = model.acting()[0];
     model.resign(first.candidate);
-    assert!(model.acting().is_empty(), "it acts no more, whatever the lease store knows");
+    assert!(
+        model.acting().is_empty(),
+        "a holder that resigned must not act, even before the lease store has the release"
+    );
     run_until_acting(&mut model);
     let next = model.acting()[0];
     assert!(
@@ -163,7 +170,7 @@
 }
 
 #[test]
-fn terms_that_cannot_work_are_refused_by_name() {
+fn invalid_settings_are_rejected_by_name() {
     assert_eq!(LeaseSettings { ttl: 100, ..settings() }.check(), Ok(()));
     for (wrong, name) in [
         (LeaseSettings { drift_ppm: 0, ..settings() }, "drift"),
@@ -178,11 +185,11 @@
 }
 
 #[test]
-fn drawn_ways_find_each_mistaken_law() {
+fn random_runs_find_each_wrong_safety_condition() {
     fn is_found<S: SafetyCondition + Clone>() -> bool {
-        (0..200).any(|seed| draw::<S>(seed, &[SLOW, FAST, FAST], 6000).violation.is_some())
+        (0..200).any(|seed| random_run::<S>(seed, &[SLOW, FAST, FAST], 6000).violation.is_some())
     }
-    assert!(is_found::<CountsFromResponse>(), "counts from the response");
-    assert!(is_found::<NoDrift>(), "no drift");
-    assert!(is_found::<SilenceIsNo>(), "silence is no");
+    assert!(is_found::<LeaseFromResponse>(), "lease from response");
+    assert!(is_found::<IgnoresDrift>(), "ignores drift");
+    assert!(is_found::<TimeoutMeansNotWritten>(), "timeout means not written");
 }
