--- a/crates/larklink-simulation/tests/rolling.rs
+++ b/crates/larklink-simulation/tests/rolling.rs
@@ -11,7 +11,7 @@
 const REQUIRED_RECOVERY_TIME: u64 = 5 * SECOND;
 
 fn scenario(text: &str) -> Scenario {
-    Scenario::parse(text).unwrap_or_else(|wrong| panic!("{wrong:?}"))
+    Scenario::parse(text).unwrap_or_else(|error| panic!("{error:?}"))
 }
 
 /// The shipped scenario with another number of proxies and another dial timeout. A tenth of the proxies restarts at a
