--- a/crates/larklink-proxy/tests/descriptors.rs
+++ b/crates/larklink-proxy/tests/descriptors.rs
@@ -9,9 +9,9 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-mod stage;
-use stage::peer::{Peer, WAIT_TIMEOUT, open_line};
-use stage::{config, endpoint, list, listen, receive_request, respond, wait_until};
+mod harness;
+use harness::peer::{Peer, WAIT_TIMEOUT, open_line};
+use harness::{config, endpoint, list, listen, receive_request, respond, wait_until};
 
 /// The program with a low descriptor limit, and a thread that continuously counts its open descriptors.
 struct Program {
--- a/crates/larklink-proxy/tests/discovery.rs
+++ b/crates/larklink-proxy/tests/discovery.rs
@@ -11,11 +11,11 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-mod stage;
-use stage::peer::{Peer, open_line};
-use stage::{
-    FullBacklog, Proxy, config, endpoint, establish_with, last_metrics_become, list, listen, open_lines,
-    receive_request, respond, start, start_with_config,
+mod harness;
+use harness::peer::{Peer, open_line};
+use harness::{
+    FullBacklog, Proxy, config, endpoint, establish_with, list, listen, open_lines, receive_request, respond,
+    start, start_with_config, wait_for_shared_metrics,
 };
 
 fn ticks(count: u64) -> TickDuration {
@@ -170,7 +170,7 @@
     receive_request(&mut watch);
     respond(&mut watch, &list(41, true, &[endpoint("s-0", at, "up"), endpoint("s-1", at, "up")]));
     receive_request(&mut watch);
-    last_metrics_become(&proxy, [0, 0, 2]);
+    wait_for_shared_metrics(&proxy, [0, 0, 2]);
     let (first_failure, mut open_connections, mut poll) = (Instant::now(), Vec::new(), Some(watch));
     let mut last_failure = first_failure;
     for failure in order {
@@ -179,7 +179,7 @@
     let mut poll = Peer::accept(&agent);
     receive_request(&mut poll);
     respond(&mut poll, &list(42, false, &[endpoint("s-0", at, "removed")]));
-    last_metrics_become(&proxy, [0, 0, 1]);
+    wait_for_shared_metrics(&proxy, [0, 0, 1]);
     let (since_first, since_last) = (first_failure.elapsed(), last_failure.elapsed());
     // The margin allows for the load of all runs in parallel.
     assert!(
@@ -275,7 +275,7 @@
                     polls.map(|mut p| (p.receive_line(), p)).find(|(line, _)| !line.is_empty()).unwrap().1;
                 while poll.receive_line() != "\r\n" {}
                 respond(&mut poll, &list(41, true, &[endpoint("s-0", discovery, "up")]));
-                last_metrics_become(&proxy, [0, 0, 1]);
+                wait_for_shared_metrics(&proxy, [0, 0, 1]);
                 returned.elapsed()
             })
         })
--- a/crates/larklink-proxy/tests/endings.rs
+++ b/crates/larklink-proxy/tests/endings.rs
@@ -17,12 +17,12 @@
 use larklink_proxy::metrics::Metrics;
 use larklink_proxy::upstream::health_check::HealthChecker;
 
-mod stage;
-use stage::peer::{Peer, WAIT_TIMEOUT, open_line};
-use stage::{
-    FullBacklog, config, endpoint, establish, establish_with, first_lines, last_metrics_become, list, listen,
-    metric, metrics_become, open_lines, receive_request, refusing_address, respond, start, start_on,
-    start_with_config, start_with_servers, wait_until,
+mod harness;
+use harness::peer::{Peer, WAIT_TIMEOUT, open_line};
+use harness::{
+    FullBacklog, config, endpoint, establish, establish_with, first_lines, list, listen, metric, open_lines,
+    receive_request, refusing_address, respond, start, start_on, start_with_config, start_with_servers,
+    wait_for_metrics, wait_for_shared_metrics, wait_until,
 };
 
 /// Allows connecting to take up to 4 s, which is longer than the drain grace and than the idempotency window of the
@@ -70,7 +70,7 @@
     server.receive_line();
     respond(&mut watch, &list(42, false, &[endpoint("s-1", b, "up")]));
     receive_request(&mut watch);
-    last_metrics_become(&proxy, [1, 1, 2]);
+    wait_for_shared_metrics(&proxy, [1, 1, 2]);
     drop(server);
     full_backlog.wait_for_connection_attempt();
     // The idempotency window. The kernel repeats the connection attempt only after it.
@@ -102,7 +102,7 @@
         server.send("UP 1\r\n");
         assert_eq!(client.receive_line(), "UP 1\r\n");
         // One attempt and one accepted session.
-        metrics_become(&proxy, [0, 0, 0, 1, 0, 0, 1, 1, 1]);
+        wait_for_metrics(&proxy, [0, 0, 0, 1, 0, 0, 1, 1, 1]);
         assert_eq!(first_lines(&listener), [""; 0], "{attributes}");
     }
 }
@@ -121,7 +121,7 @@
     proxy.hold.step();
     client.close_and_wait();
     proxy.hold.resume();
-    last_metrics_become(&proxy, [1, 0, 2]);
+    wait_for_shared_metrics(&proxy, [1, 0, 2]);
     assert_eq!(first_lines(&listener), [""; 0]);
 }
 
@@ -136,13 +136,13 @@
     let client = Peer::connect(proxy.address, &open_line("c=pay,d=5000"));
     let mut health_check = Peer::accept(&listener);
     assert_eq!(health_check.receive_line(), "PING\r\n");
-    last_metrics_become(&proxy, [0, 1, 1]);
+    wait_for_shared_metrics(&proxy, [0, 1, 1]);
     proxy.hold.pause();
     health_check.send("PONG\r\n");
     proxy.hold.step();
     client.close_and_wait();
     proxy.hold.resume();
-    last_metrics_become(&proxy, [0, 0, 1]);
+    wait_for_shared_metrics(&proxy, [0, 0, 1]);
     assert_eq!(first_lines(&listener), [""; 0]);
 }
 
@@ -208,7 +208,7 @@
     client.send(&"a line of its own\r\n".repeat(1000));
     drop(client);
     // It counts as none of accepted, rejected and failed.
-    metrics_become(&proxy, [0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1]);
+    wait_for_metrics(&proxy, [0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1]);
     assert_eq!(open_lines(&full_backlog.listen()), [""; 0]);
 }
 
@@ -359,7 +359,7 @@
     let mut client = Peer::connect(proxy.address, &open_line("c=chat,d=2000,at=s-0"));
     drop(Peer::connect(proxy.address, &open_line("c=pay,d=2000,at=s-0")));
     full_backlog.wait_for_connection_attempt();
-    metrics_become(&proxy, [0, 0, 0, 0, 0, 0, 0, 1]);
+    wait_for_metrics(&proxy, [0, 0, 0, 0, 0, 0, 0, 1]);
     drop(proxy.stop);
     assert_eq!(client.receive_line(), "ERR\r\n");
     proxy.thread.join().unwrap();
--- a/crates/larklink-proxy/tests/endpoint_list_updates.rs
+++ b/crates/larklink-proxy/tests/endpoint_list_updates.rs
@@ -2,11 +2,11 @@
 use std::io::Write;
 use std::time::{Duration, Instant};
 
-mod stage;
-use stage::peer::{Peer, open_line};
-use stage::{
-    endpoint, establish, establish_with, list, listen, metrics_become, receive_request, refusing_address,
-    respond, start, wait_until,
+mod harness;
+use harness::peer::{Peer, open_line};
+use harness::{
+    endpoint, establish, establish_with, list, listen, receive_request, refusing_address, respond, start,
+    wait_for_metrics, wait_until,
 };
 
 #[test]
@@ -22,7 +22,7 @@
     assert!(!proxy.metrics.is_ready());
     respond(&mut watch, &list(41, true, &[endpoint("s-1", at, "up")]));
     assert!(receive_request(&mut watch).starts_with("/api/targets?after=41&wait_ms="));
-    metrics_become(&proxy, [0, 0, 0, 0, 0, 0, 0, 0, 1]);
+    wait_for_metrics(&proxy, [0, 0, 0, 0, 0, 0, 0, 0, 1]);
     wait_until(|| proxy.metrics.is_ready());
     let (mut client, mut server) = establish(proxy.address, &listener);
     server.send("one\r\nhalf of two");
--- a/crates/larklink-proxy/tests/first_lines.rs
+++ b/crates/larklink-proxy/tests/first_lines.rs
@@ -2,9 +2,9 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-mod stage;
-use stage::peer::{Peer, open_line};
-use stage::{establish, establish_with, listen, refusing_address, start, start_with_servers};
+mod harness;
+use harness::peer::{Peer, open_line};
+use harness::{establish, establish_with, listen, refusing_address, start, start_with_servers};
 
 #[test]
 fn a_client_that_disconnects_while_it_waits_is_detected() {
--- a/crates/larklink-proxy/tests/forwarding.rs
+++ b/crates/larklink-proxy/tests/forwarding.rs
@@ -6,9 +6,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-mod stage;
-use stage::peer::{Peer, open_line};
-use stage::{establish, listen, refusing_address, start_with_servers};
+mod harness;
+use harness::peer::{Peer, open_line};
+use harness::{establish, listen, refusing_address, start_with_servers};
 
 #[test]
 fn a_session_is_relayed_and_only_its_dial_timeout_is_rewritten() {
--- a/crates/larklink-proxy/tests/health_check.rs
+++ b/crates/larklink-proxy/tests/health_check.rs
@@ -12,9 +12,9 @@
 use larklink_proxy::limiter::ConnectionLimiter;
 use larklink_proxy::upstream::health_check::HealthChecker;
 
-mod stage;
-use stage::peer::{Peer, WAIT_TIMEOUT};
-use stage::{config, listen, refusing_address};
+mod harness;
+use harness::peer::{Peer, WAIT_TIMEOUT};
+use harness::{config, listen, refusing_address};
 
 /// No connection is held open for the next check while another check waits for its descriptor.
 #[test]
--- a/crates/larklink-proxy/tests/readiness.rs
+++ b/crates/larklink-proxy/tests/readiness.rs
@@ -8,9 +8,9 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-mod stage;
-use stage::peer::Peer;
-use stage::{
+mod harness;
+use harness::peer::Peer;
+use harness::{
     FullBacklog, config, endpoint, establish, list, listen, receive_request, refusing_address, respond,
     start_on, wait_until,
 };
--- a/crates/larklink-proxy/tests/reload.rs
+++ b/crates/larklink-proxy/tests/reload.rs
@@ -6,9 +6,9 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-mod stage;
-use stage::peer::Peer;
-use stage::{config, endpoint, establish, list, listen, receive_request, respond};
+mod harness;
+use harness::peer::Peer;
+use harness::{config, endpoint, establish, list, listen, receive_request, respond};
 
 /// The error for a zone index without an entry in `zones`, with the path of the field.
 const ZONE_ERROR: &str = "settings: zone: index 1 is out of range for the 0 names in zones";
@@ -41,27 +41,28 @@
 /// Guards against a program without a handler for SIGHUP, which the signal terminates along with all sessions.
 #[test]
 fn on_sighup_the_list_is_polled_at_the_new_address_and_sessions_continue() {
-    let ((first, a), (second, b), (agent, old), (other, new)) = (listen(), listen(), listen(), listen());
+    let ((first, a), (second, b), (old_agent, old_discovery), (new_agent, new_discovery)) =
+        (listen(), listen(), listen(), listen());
     let path = std::env::temp_dir().join(format!("larklink-{}.json", std::process::id()));
-    std::fs::write(&path, config(&[a], old, "proxy", 1024)).unwrap();
+    std::fs::write(&path, config(&[a], old_discovery, "proxy", 1024)).unwrap();
     let (program, mut log, address) = Program::start(&path);
-    let mut watch = Peer::accept(&agent);
+    let mut watch = Peer::accept(&old_agent);
     receive_request(&mut watch);
     respond(&mut watch, &list(41, true, &[endpoint("s-0", a, "up")]));
     assert!(receive_request(&mut watch).starts_with("/api/targets?after=41&"));
     let (mut client, mut server) = establish(address, &first);
     // An invalid file changes nothing, and the warning says where the error is.
     let with_zone = |zone: &str| {
-        config(&[a], old, "proxy", 1024)
+        config(&[a], old_discovery, "proxy", 1024)
             .replace(r#""settings":{"#, &format!(r#""settings":{{"zone":{zone},"#))
     };
-    for (text, position) in
+    for (text, expected_error) in
         [("{".into(), "line 1"), (with_zone("1"), ZONE_ERROR), (with_zone("true"), "settings.zone: ")]
     {
         std::fs::write(&path, text).unwrap();
         program.send_sighup();
         let warning = log.find(|l| l.contains("WARN configuration not reloaded")).unwrap();
-        assert!(warning.contains(position), "{warning}");
+        assert!(warning.contains(expected_error), "{warning}");
     }
     // The program does not start with such a file.
     std::fs::write(&path, with_zone("1")).unwrap();
@@ -70,10 +71,10 @@
     respond(&mut watch, &list(42, false, &[]));
     assert!(receive_request(&mut watch).starts_with("/api/targets?after=42&"));
     for index in [7, 3] {
-        std::fs::write(&path, config(&[a], new, "proxy", 1024)).unwrap();
+        std::fs::write(&path, config(&[a], new_discovery, "proxy", 1024)).unwrap();
         program.send_sighup();
         watch.expect_end();
-        watch = Peer::accept(&other);
+        watch = Peer::accept(&new_agent);
         assert_eq!(receive_request(&mut watch), "/api/targets", "the index of the old address is discarded");
         respond(&mut watch, &list(index, true, &[endpoint("s-0", a, "up"), endpoint("s-1", b, "up")]));
         assert!(receive_request(&mut watch).starts_with(&format!("/api/targets?after={index}&")));
@@ -91,21 +92,21 @@
 /// Guards against long timeouts there: each poll that hung took three seconds.
 #[test]
 fn a_drain_at_the_new_address_arrives_in_time_although_the_first_polls_hang() {
-    let ((first, a), (agent, old), (other, new)) = (listen(), listen(), listen());
+    let ((first, a), (old_agent, old_discovery), (new_agent, new_discovery)) = (listen(), listen(), listen());
     let path = std::env::temp_dir().join(format!("larklink-hup-{}.json", std::process::id()));
-    std::fs::write(&path, config(&[a], old, "proxy", 1024)).unwrap();
+    std::fs::write(&path, config(&[a], old_discovery, "proxy", 1024)).unwrap();
     let (program, _log, address) = Program::start(&path);
-    let mut watch = Peer::accept(&agent);
+    let mut watch = Peer::accept(&old_agent);
     receive_request(&mut watch);
     respond(&mut watch, &list(41, true, &[endpoint("s-0", a, "up")]));
     receive_request(&mut watch);
     let (mut client, _server) = establish(address, &first);
-    std::fs::write(&path, config(&[a], new, "proxy", 1024)).unwrap();
+    std::fs::write(&path, config(&[a], new_discovery, "proxy", 1024)).unwrap();
     let reloaded_at = Instant::now();
     program.send_sighup();
     watch.expect_end();
-    let hanging: Vec<_> = (0..2).map(|_| Peer::accept(&other)).collect();
-    let mut watch = Peer::accept(&other);
+    let hanging: Vec<_> = (0..2).map(|_| Peer::accept(&new_agent)).collect();
+    let mut watch = Peer::accept(&new_agent);
     assert_eq!(receive_request(&mut watch), "/api/targets");
     respond(&mut watch, &list(3, true, &[endpoint("s-0", a, "draining")]));
     assert!(receive_request(&mut watch).starts_with("/api/targets?after=3&"));
--- a/crates/larklink-proxy/tests/shutdown.rs
+++ b/crates/larklink-proxy/tests/shutdown.rs
@@ -3,9 +3,9 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-mod stage;
-use stage::peer::{Peer, open_line};
-use stage::{establish, listen, refusing_address, start, start_with_servers};
+mod harness;
+use harness::peer::{Peer, open_line};
+use harness::{establish, listen, refusing_address, start, start_with_servers};
 
 #[test]
 fn a_stopping_proxy_answers_new_sessions_and_migrates_established_ones() {
