--- a/crates/larklink-proxy/tests/shapes.rs
+++ b/crates/larklink-proxy/tests/shapes.rs
@@ -1,45 +1,53 @@
-//! Proxies of two shapes before the same servers, as during a move. Alone in its file: it wants the machine for itself.
-mod kit;
-use kit::{TROUBLED, clean, rehearse};
+//! Proxies of two shapes in front of the same servers, as during a move to a deployment of another shape
+//! (`docs/migration.md`). This test is alone in its test binary, because it needs the whole machine.
+mod scenario_runner;
+use scenario_runner::{MULTIPLE_FAULTS, assert_passed, run_scenario};
 
-/// During a move proxies of two shapes stand before the same servers: two that probe and go by the table alone, two
-/// that may not probe and keep near. No rule breaks, and neither kind gets less than where all are of the old one.
+/// Two proxies of the old shape send health checks and place sessions by the bucket table alone; two of the moved shape
+/// send none and prefer their own zone. There are no violations, and each shape has about the same share of its
+/// sessions accepted as if all proxies had the old shape.
 #[test]
-fn neither_of_two_shapes_of_proxies_starves_the_other() {
-    let fleet = |moved, more: &str, seed| {
+fn proxies_of_neither_shape_starve_those_of_the_other() {
+    let run_fleet = |moved, extra: &str, seed| {
         let shape = format!("count = 4\nzones = 2\nmoved = {moved}\n[[servers]]");
-        let text =
-            TROUBLED.replace("count = 2\n[[servers]]", &shape).replace("which = [1, 2]", "which = [1]");
-        let report = rehearse(&(text + more), seed, None);
-        let share = report.shapes.map(|s| s.share());
-        (report, share)
+        let text = MULTIPLE_FAULTS
+            .replace("count = 2\n[[servers]]", &shape)
+            .replace("which = [1, 2]", "which = [1]");
+        let report = run_scenario(&(text + extra), seed, None);
+        let shares = report.shapes.map(|shape| shape.share());
+        (report, shares)
     };
-    // One run's share differs from the next one's by 0.04, once by 0.1: two of each are compared.
-    let mean = |moved, more| {
+    // The share differs between runs by 0.04, once by 0.1, so the mean of two runs is compared.
+    let mean_shares = |moved, extra| {
         let mut sum = [0.0, 0.0];
         for seed in 1..=2 {
-            let (report, share) = fleet(moved, more, seed);
-            clean(&report);
-            assert!(moved == 0 || report.shapes.iter().all(|s| s.opened > 100), "{:?}", report.shapes);
-            (0..2).for_each(|n| sum[n] += share[n] / 2.0);
+            let (report, shares) = run_fleet(moved, extra, seed);
+            assert_passed(&report);
+            assert!(
+                moved == 0 || report.shapes.iter().all(|shape| shape.opened > 100),
+                "{:?}",
+                report.shapes
+            );
+            (0..2).for_each(|n| sum[n] += shares[n] / 2.0);
         }
         sum
     };
-    let [alone, none] = mean(0, "");
+    let [all_old, none] = mean_shares(0, "");
     assert_eq!(none, 0.0);
-    let mixed = mean(2, "[must]\neach_shape = 0.75\n");
+    let mixed = mean_shares(2, "[must]\neach_shape = 0.75\n");
     assert!(
-        mixed.iter().all(|share| *share > alone - 0.1),
-        "{mixed:?}, {alone} where all are of the old shape"
+        mixed.iter().all(|share| *share > all_old - 0.1),
+        "{mixed:?}, but {all_old} if all proxies have the old shape"
     );
-    // With the moved ones dead for most of the run who comes to them gets nothing, and that is found.
-    let dead = "[[faults]]\nwhat = 'proxy-killed'\nat = '500ms'\nfor = '9s'\nwhich = [2, 3]\n\
+    // If the proxies of the moved shape are down for most of the run, their clients are not served, and the report says
+    // so.
+    let moved_down = "[[faults]]\nwhat = 'proxy-killed'\nat = '500ms'\nfor = '9s'\nwhich = [2, 3]\n\
                 [front]\nnotices_after = '9s'\n[must]\neach_shape = 0.75\n";
-    let (report, starved) = fleet(2, dead, 1);
+    let (report, shares) = run_fleet(2, moved_down, 1);
     assert!(
         report.unmet_requirements.iter().any(|u| u.contains("proxies of the moved shape")),
         "{:?}",
         report.unmet_requirements
     );
-    assert!(starved[1] < alone - 0.1, "{starved:?}");
+    assert!(shares[1] < all_old - 0.1, "{shares:?}");
 }
