--- a/crates/larklink-simulation/src/clients.rs
+++ b/crates/larklink-simulation/src/clients.rs
@@ -201,7 +201,7 @@
 
     /// When something happens next.
     pub fn next_event_at(&self) -> Timestamp {
-        self.timers.next_at()
+        self.timers.next_due_at()
     }
 
     fn draw_fraction(&mut self, of: TickDuration, from: f64, to: f64) -> TickDuration {
--- a/crates/larklink-simulation/src/duration.rs
+++ b/crates/larklink-simulation/src/duration.rs
@@ -1,4 +1,4 @@
-//! Durations as people write them in a scenario.
+//! Durations with a unit, as scenario files write them.
 use std::fmt;
 
 use serde::de::Error as _;
@@ -11,34 +11,34 @@
 pub const SECOND: TickDuration = 10_000;
 /// Ticks in a millisecond.
 pub const TICKS_PER_MS: TickDuration = 10;
-/// The longest duration, an hour.
+/// The longest valid duration, one hour.
 const MAX_TICKS: f64 = 36e6;
 
-/// A duration, written `250ms`, `1.5s` or `2m`.
+/// A duration in ticks. Scenario files write it as `250ms`, `1.5s` or `2m`; `us` is valid too.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConfigDuration(pub TickDuration);
 
-/// Why a text is no duration.
+/// Why a text could not be parsed as a duration.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DurationError {
-    /// It is no number, or has no known unit.
-    #[error("{0:?} is no span: write 250ms, 1.5s or 2m")]
+    /// The number is invalid, or the unit is missing or unknown.
+    #[error("{0:?} is not a duration: write 250ms, 1.5s or 2m")]
     Malformed(String),
-    /// It is longer than an hour.
+    /// The duration is longer than an hour.
     #[error("{0:?} is over an hour")]
     TooLong(String),
 }
 
 impl ConfigDuration {
-    /// So many milliseconds.
+    /// Creates a duration from milliseconds.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * TICKS_PER_MS)
     }
 
-    /// Reads a duration.
+    /// Parses a duration.
     ///
     /// # Errors
-    /// The text is no number with a unit, or over an hour.
+    /// The text is not a number with a known unit, or the duration is longer than an hour.
     pub fn parse(text: &str) -> Result<Self, DurationError> {
         let digits = text.find(|c: char| !c.is_ascii_digit() && c != '.').unwrap_or(text.len());
         let (number, unit) = text.split_at(digits);
--- a/crates/larklink-simulation/src/endpoint_list.rs
+++ b/crates/larklink-simulation/src/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! The endpoint list as discovery has it: changes show after a lag, and not at all while it is frozen.
+//! The endpoint list that discovery publishes. Updates become visible after a lag, and not at all while the list is
+//! frozen.
 
 use crate::event_queue::EventQueue;
 use crate::time::{TickDuration, Timestamp};
@@ -6,16 +7,16 @@
 /// The status of a server in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// It takes sessions.
+    /// The server accepts sessions.
     Up,
-    /// It takes no new sessions.
+    /// The server accepts no new sessions.
     Draining,
-    /// It is gone.
+    /// The server is no longer in the list.
     Removed,
 }
 
 impl EndpointStatus {
-    /// The name on the wire.
+    /// Returns the status as the endpoint list protocol spells it.
     pub fn name(self) -> &'static str {
         match self {
             Self::Up => "up",
@@ -25,30 +26,30 @@
     }
 }
 
-/// The entry of a server.
+/// The entry of one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointListEntry {
-    /// The server's number.
+    /// The index of the server.
     pub server: usize,
-    /// Its status.
+    /// The status of the server.
     pub status: EndpointStatus,
-    /// When it last started; 0 means long ago.
+    /// When the server last started; 0 means before the run.
     pub started: Timestamp,
 }
 
-/// An entry, and the version of the list that brought it.
+/// An entry with the list version in which it last changed.
 #[derive(Clone, Copy)]
 struct VersionedEntry {
     version: u64,
     entry: EndpointListEntry,
 }
 
-/// The endpoint list.
+/// A versioned endpoint list with pending updates.
 #[derive(Default)]
 pub struct EndpointList {
     lag: TickDuration,
     pending: EventQueue<EndpointListEntry>,
-    /// The latest entry of each server.
+    /// The current entry of each server, by server index.
     entries: Vec<VersionedEntry>,
     version: u64,
     frozen_until: Timestamp,
@@ -56,7 +57,7 @@
 }
 
 impl EndpointList {
-    /// A list in which all servers are up, and started long ago.
+    /// Creates a list in which all servers are up and started before the run.
     pub fn new(servers: usize, lag: TickDuration) -> Self {
         let entry = |server| VersionedEntry {
             version: 1,
@@ -65,37 +66,37 @@
         Self { lag, entries: (0..servers).map(entry).collect(), version: 1, ..Self::default() }
     }
 
-    /// Removes a server that is not there from the start.
-    pub fn leave_out(&mut self, server: usize) {
+    /// Marks a server as removed without a new version, for servers that are not listed at the start of a run.
+    pub fn mark_unlisted(&mut self, server: usize) {
         self.entries[server].entry.status = EndpointStatus::Removed;
     }
 
-    /// An entry has changed; it shows after the lag.
-    pub fn change(&mut self, now: Timestamp, entry: EndpointListEntry) {
+    /// Schedules an update of one entry, which becomes visible after the lag.
+    pub fn schedule_update(&mut self, now: Timestamp, entry: EndpointListEntry) {
         self.pending.push(now + self.lag, entry);
     }
 
-    /// No change shows until then.
+    /// Holds back all updates until the given time.
     pub fn freeze_until(&mut self, until: Timestamp) {
         self.frozen_until = until;
     }
 
-    /// Requests are not answered until then.
-    pub fn make_unreachable(&mut self, until: Timestamp) {
+    /// Leaves requests for the list unanswered until the given time.
+    pub fn set_unreachable_until(&mut self, until: Timestamp) {
         self.unreachable_until = until;
     }
 
-    /// Whether requests are answered.
+    /// Returns whether requests for the list are answered.
     pub fn is_reachable(&self, now: Timestamp) -> bool {
         now >= self.unreachable_until
     }
 
-    /// When the next change shows.
+    /// Returns when the next update becomes visible.
     pub fn next_event_at(&self) -> Timestamp {
-        self.pending.next_at().max(self.frozen_until)
+        self.pending.next_due_at().max(self.frozen_until)
     }
 
-    /// Shows what is due by now; whether there was anything.
+    /// Applies the updates that are due. Returns whether there were any.
     pub fn advance(&mut self, now: Timestamp) -> bool {
         let version_before = self.version;
         while now >= self.frozen_until
@@ -107,17 +108,18 @@
         self.version != version_before
     }
 
-    /// The version of the list.
+    /// Returns the current version of the list.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The entries that are newer than a version; without one the complete list, in which removed servers are not.
+    /// Returns the entries that changed after `version`. Without a version, returns the complete list, which omits
+    /// removed servers.
     pub fn entries_after(&self, version: Option<u64>) -> Vec<EndpointListEntry> {
-        let is_wanted = |versioned: &&VersionedEntry| match version {
+        let is_included = |versioned: &&VersionedEntry| match version {
             Some(known) => versioned.version > known,
             None => versioned.entry.status != EndpointStatus::Removed,
         };
-        self.entries.iter().filter(is_wanted).map(|versioned| versioned.entry).collect()
+        self.entries.iter().filter(is_included).map(|versioned| versioned.entry).collect()
     }
 }
--- a/crates/larklink-simulation/src/event_queue.rs
+++ b/crates/larklink-simulation/src/event_queue.rs
@@ -1,41 +1,41 @@
-//! What happens later, in the order of time.
+//! A queue of events ordered by due time.
 use std::collections::BTreeMap;
 
 use crate::time::Timestamp;
 
-/// When an entry is due; entries of the same time are in the order in which they were added.
+/// The position of an entry in the queue. Entries with the same due time keep the order in which they were added.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Due {
     at: Timestamp,
-    number: u64,
+    sequence: u64,
 }
 
-/// Entries by the time at which they are due.
+/// Entries ordered by due time, first in first out among entries with the same time.
 #[derive(Debug)]
 pub struct EventQueue<T> {
     entries: BTreeMap<Due, T>,
-    next_number: u64,
+    next_sequence: u64,
 }
 
 impl<T> Default for EventQueue<T> {
     fn default() -> Self {
-        Self { entries: BTreeMap::new(), next_number: 0 }
+        Self { entries: BTreeMap::new(), next_sequence: 0 }
     }
 }
 
 impl<T> EventQueue<T> {
-    /// Adds an entry that is due at a time.
+    /// Adds an entry that is due at the given time.
     pub fn push(&mut self, at: Timestamp, entry: T) {
-        self.entries.insert(Due { at, number: self.next_number }, entry);
-        self.next_number += 1;
+        self.entries.insert(Due { at, sequence: self.next_sequence }, entry);
+        self.next_sequence += 1;
     }
 
-    /// When the first is due; [`Timestamp::MAX`] if there is none.
-    pub fn next_at(&self) -> Timestamp {
+    /// Returns when the first entry is due, or [`Timestamp::MAX`] if the queue is empty.
+    pub fn next_due_at(&self) -> Timestamp {
         self.entries.first_key_value().map_or(Timestamp::MAX, |(due, _)| due.at)
     }
 
-    /// Takes the first entry that is due by now, with the time at which it was.
+    /// Removes and returns the first entry that is due by `now`, with its due time.
     pub fn pop_due(&mut self, now: Timestamp) -> Option<(Timestamp, T)> {
         let first = self.entries.first_entry().filter(|entry| entry.key().at <= now)?;
         let (due, entry) = first.remove_entry();
--- a/crates/larklink-simulation/src/external_load_balancer.rs
+++ b/crates/larklink-simulation/src/external_load_balancer.rs
@@ -1,62 +1,69 @@
-//! The external load balancer: distributes connections among the proxies of their zone, in turn. It uses a proxy once
-//! that has answered, and goes on sending to one that has died until it notices.
+//! The external load balancer, which distributes client connections round-robin among the proxies of the client's zone.
+//! A proxy is in rotation from its first answer on. A dead proxy stays in rotation until the failure is detected.
 use crate::time::{TickDuration, Timestamp};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProxyStatus {
-    /// It gets no connections.
-    Out,
-    /// It gets connections.
-    In,
-    /// It is dead, which is not noticed until then.
-    DeadUntil(Timestamp),
+    /// Gets no connections.
+    OutOfRotation,
+    /// Gets connections.
+    InRotation,
+    /// Is dead but still gets connections, until the failure is detected at this time.
+    FailedUndetectedUntil(Timestamp),
 }
 
-/// The external load balancer.
+/// A load balancer in front of all proxies of a run.
 pub struct ExternalLoadBalancer {
     proxies: Vec<ProxyStatus>,
-    notices_after: TickDuration,
-    /// For each zone, the proxy after the last that got a connection.
-    turns: Vec<usize>,
+    /// How long after the death of a proxy it is taken out of rotation.
+    detection_delay: TickDuration,
+    /// For each zone, the proxy index at which the search for the next proxy starts.
+    next_by_zone: Vec<usize>,
 }
 
 impl ExternalLoadBalancer {
-    /// The proxies lie in the zones by turns; a dead one is noticed after a time.
-    pub fn new(proxies: usize, zones: usize, notices_after: TickDuration) -> Self {
-        Self { proxies: vec![ProxyStatus::Out; proxies], notices_after, turns: vec![0; zones.max(1)] }
+    /// Creates a load balancer without proxies in rotation. Proxies are assigned to zones by index modulo `zones`; the
+    /// death of a proxy is detected after `detection_delay`.
+    pub fn new(proxies: usize, zones: usize, detection_delay: TickDuration) -> Self {
+        Self {
+            proxies: vec![ProxyStatus::OutOfRotation; proxies],
+            detection_delay,
+            next_by_zone: vec![0; zones.max(1)],
+        }
     }
 
-    /// A proxy answers: from now on it gets connections.
-    pub fn proxy_answered(&mut self, proxy: usize) {
-        self.proxies[proxy] = ProxyStatus::In;
+    /// Puts a proxy that has answered into rotation.
+    pub fn add_proxy(&mut self, proxy: usize) {
+        self.proxies[proxy] = ProxyStatus::InRotation;
     }
 
-    /// A proxy has died: nothing answers there from now on.
+    /// Handles the death of a proxy: connections to it fail, and it leaves the rotation after the detection delay.
     pub fn proxy_died(&mut self, now: Timestamp, proxy: usize) {
-        if self.proxies[proxy] == ProxyStatus::In {
-            self.proxies[proxy] = ProxyStatus::DeadUntil(now + self.notices_after);
+        if self.proxies[proxy] == ProxyStatus::InRotation {
+            self.proxies[proxy] = ProxyStatus::FailedUndetectedUntil(now + self.detection_delay);
         }
     }
 
-    /// A planned stop: the proxy gets no more connections.
+    /// Takes a proxy out of rotation at once, for a planned stop.
     pub fn remove_proxy(&mut self, proxy: usize) {
-        self.proxies[proxy] = ProxyStatus::Out;
+        self.proxies[proxy] = ProxyStatus::OutOfRotation;
     }
 
-    /// The proxy that gets the next connection of a client with that key: one of the client's zone, if there is any.
+    /// Returns the proxy for the next connection of the client with this key, or `None` if no proxy of the client's
+    /// zone is in rotation.
     pub fn next_proxy(&mut self, now: Timestamp, key: u64) -> Option<usize> {
         let count = self.proxies.len();
-        let zones = self.turns.len();
+        let zones = self.next_by_zone.len();
         let zone = (key % zones as u64) as usize;
-        let first = self.turns[zone];
+        let first = self.next_by_zone[zone];
         let mut candidates =
-            (first..first + count).map(|number| number % count).filter(|proxy| proxy % zones == zone);
+            (first..first + count).map(|index| index % count).filter(|proxy| proxy % zones == zone);
         let next = candidates.find(|&proxy| match self.proxies[proxy] {
-            ProxyStatus::In => true,
-            ProxyStatus::DeadUntil(until) => now < until,
-            ProxyStatus::Out => false,
+            ProxyStatus::InRotation => true,
+            ProxyStatus::FailedUndetectedUntil(until) => now < until,
+            ProxyStatus::OutOfRotation => false,
         })?;
-        self.turns[zone] = next + 1;
+        self.next_by_zone[zone] = next + 1;
         Some(next)
     }
 }
--- a/crates/larklink-simulation/src/server.rs
+++ b/crates/larklink-simulation/src/server.rs
@@ -1,6 +1,6 @@
-//! A server. It works at set-ups and messages with its cores, in the order in which they came; it is slow in slow start,
-//! and dies when it is sent more than a multiple of what it can do then; it may pause, go silent, die, drain, and reset
-//! what it has just accepted.
+//! The model of a server. It processes session setups and messages on its cores in order of arrival. In slow start its
+//! capacity is reduced, and it crashes if it receives more than a multiple of that. Faults can pause, silence, stop or
+//! drain it, or make it reset sessions that it has just accepted.
 use std::collections::BTreeMap;
 
 use crate::event_queue::EventQueue;
@@ -20,52 +20,52 @@
 /// Microseconds in one tick of a tenth of a millisecond.
 const MICROS_PER_TICK: f64 = 100.0;
 
-/// A connection to a server, numbered by whoever carries it.
+/// The id of a connection to a server, assigned by the caller: the simulation or the testbed.
 pub type ConnectionId = u64;
 
-/// What a server is made of. Work is in microseconds of a core of speed 1 after slow start.
+/// The properties of a server. Work is in microseconds on a core of speed 1 after slow start.
 #[derive(Clone, Debug)]
 pub struct ServerProfile {
-    /// The number of cores, at least one.
+    /// The number of cores, at least 1.
     pub cores: usize,
-    /// The speed of a core.
+    /// The speed of each core relative to 1.
     pub speed: f64,
-    /// The most sessions that it holds.
+    /// The maximum number of sessions.
     pub max_sessions: usize,
-    /// The work of a set-up.
+    /// The work of a session setup.
     pub setup_work: f64,
-    /// Set-ups are rejected while one would wait for longer than this.
+    /// Sessions are rejected while a setup would wait longer than this for a core.
     pub max_queue_wait: TickDuration,
-    /// The share of its capacity that it has when it starts.
+    /// The fraction of its capacity that it has at the beginning of slow start.
     pub initial_capacity: f64,
-    /// How long its slow start takes.
+    /// The duration of slow start.
     pub slow_start_duration: TickDuration,
-    /// How many times its capacity it may be sent in slow start.
+    /// How many times its current capacity it can receive in slow start without being overloaded.
     pub overload_multiple: f64,
-    /// The window over which that is counted.
+    /// The sliding window over which received work is counted.
     pub overload_window: TickDuration,
-    /// Whether it dies when it is sent more.
+    /// Whether it crashes when it is overloaded.
     pub dies_when_overloaded: bool,
-    /// How long after that it starts again.
+    /// How long after such a crash it restarts.
     pub restart_after: TickDuration,
-    /// How often it makes a load report.
+    /// The interval between load reports.
     pub report_interval: TickDuration,
 }
 
 /// The state of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
-    /// It accepts sessions.
+    /// Accepts sessions.
     Up,
-    /// It accepts no new sessions.
+    /// Accepts no new sessions.
     Draining,
-    /// Connections stay, but nothing is read or written.
+    /// Keeps its connections open, but reads and writes nothing.
     Silent,
-    /// It listens no more.
+    /// Does not listen.
     Dead,
 }
 
-/// What a server sends on a connection or does to it.
+/// What a server sends on a connection, or a reset of it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServerMessage {
     /// The session is accepted.
@@ -74,32 +74,32 @@
     AtCapacity,
     /// The session has failed.
     Failed,
-    /// The session's load, microseconds of work a second.
+    /// The session's load in microseconds of work per second.
     Load(f64),
-    /// A message of the session, sent back.
+    /// A message of the session, echoed.
     Message(Vec<u8>),
-    /// The session is to be migrated.
+    /// The session has to be migrated.
     Migrate,
-    /// The answer to a health check.
+    /// The response to a health check.
     HealthReport(LoadReport),
     /// The connection is reset.
     Reset,
 }
 
-/// What a server did.
+/// What a server does as a result of an event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServerOutput {
-    /// It sends a message on a connection.
+    /// Sends a message on a connection.
     Send(ConnectionId, ServerMessage),
-    /// It has set the session of that id up for a connection that was closed before.
+    /// The setup of the session with this id is done, but its connection was closed before.
     RanAfterAbandoned(u64),
-    /// It has set the session of that id up.
-    Ran(u64),
-    /// It was sent so many times its capacity in slow start.
+    /// The setup of the session with this id is done.
+    SessionRan(u64),
+    /// Became overloaded in slow start, with this ratio of received work to capacity.
     Overloaded(f64),
-    /// It has died.
+    /// Stopped or crashed.
     Died,
-    /// It accepts connections.
+    /// Started, or became reachable again.
     Started,
 }
 
@@ -108,51 +108,51 @@
     StoreServed(ConnectionId),
     /// The session store has failed a call.
     StoreFailed(ConnectionId),
-    /// A set-up is done.
-    SetUp(ConnectionId),
+    /// The work of a session setup is done.
+    SetupDone(ConnectionId),
     /// The work of a message is done.
     MessageDone(ConnectionId, Vec<u8>),
-    /// A health check is answered.
+    /// A health check is to be answered.
     HealthReport(ConnectionId),
-    /// The server starts again.
+    /// The server restarts.
     Restart,
-    /// A pause or a silence is over.
+    /// A pause or a silence ends.
     Resume,
 }
 
 struct ServerSession {
     id: u64,
-    /// Microseconds of work a second.
+    /// In microseconds of work per second.
     load: f64,
     established: bool,
 }
 
-/// A server.
+/// A server and its sessions.
 pub struct Server {
     profile: ServerProfile,
     state: ServerState,
-    /// When its slow start began; none if it started long ago.
+    /// When it last started; `None` if that was before the run.
     started_at: Option<Timestamp>,
-    /// When each core is free, in ticks.
+    /// When each core has finished its assigned work, in ticks.
     cores: Vec<f64>,
     sessions: BTreeMap<ConnectionId, ServerSession>,
-    /// The ids of sessions whose connections were closed during their set-up.
+    /// The ids of sessions whose connections were closed during setup.
     abandoned: BTreeMap<ConnectionId, u64>,
     timers: EventQueue<ServerTimer>,
     paused_until: Timestamp,
     silent_until: Timestamp,
-    /// One in so many sessions is reset when it was just accepted; 0 for none.
+    /// One in this many sessions is reset right after it was accepted; 0 for none.
     reset_one_in: u64,
-    /// The sessions accepted so far.
+    /// The number of sessions accepted so far.
     accepted: u64,
     overload: OverloadDetector,
     load_meter: LoadMeter,
-    /// All work done so far, microseconds of a core of speed 1 after slow start.
-    pub done: f64,
+    /// The total work assigned to its cores so far, in microseconds on a core of speed 1 after slow start.
+    pub work_done: f64,
 }
 
 impl Server {
-    /// A server that started long ago.
+    /// Creates a running server that is past its slow start.
     pub fn new(profile: ServerProfile) -> Self {
         Self {
             state: ServerState::Up,
@@ -167,27 +167,27 @@
             accepted: 0,
             overload: OverloadDetector::new(profile.overload_window, profile.overload_multiple),
             load_meter: LoadMeter::new(profile.report_interval),
-            done: 0.0,
+            work_done: 0.0,
             profile,
         }
     }
 
-    /// Its state.
+    /// Returns the state of the server.
     pub fn state(&self) -> ServerState {
         self.state
     }
 
-    /// The sessions that are established.
+    /// Returns the number of established sessions.
     pub fn sessions_held(&self) -> usize {
         self.sessions.values().filter(|session| session.established).count()
     }
 
-    /// When it last started; none if that was long ago.
+    /// Returns when it last started, or `None` if that was before the run.
     pub fn started(&self) -> Option<Timestamp> {
         self.started_at
     }
 
-    /// The share of its full capacity that it has now.
+    /// Returns the current fraction of its full capacity, which grows linearly in slow start.
     pub fn warmth(&self, now: Timestamp) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
         let elapsed =
@@ -195,7 +195,7 @@
         (self.profile.initial_capacity + (1.0 - self.profile.initial_capacity) * elapsed).min(1.0)
     }
 
-    /// Microseconds of work that it can do in a second now.
+    /// Returns its current capacity in microseconds of work per second.
     pub fn capacity(&self, now: Timestamp) -> f64 {
         self.profile.cores as f64 * self.profile.speed * self.warmth(now) * MICROS_PER_SECOND
     }
@@ -204,12 +204,12 @@
         self.started_at.is_some_and(|started_at| now < started_at + self.profile.slow_start_duration)
     }
 
-    /// Whether it answers those who connect.
-    pub fn listens(&self) -> bool {
+    /// Returns whether it answers new connections.
+    pub fn is_listening(&self) -> bool {
         matches!(self.state, ServerState::Up | ServerState::Draining)
     }
 
-    /// A request for a session of that load, in microseconds of work a second, has come.
+    /// Handles a session request. `load` is the load of the session in microseconds of work per second.
     pub fn receive_request(
         &mut self,
         now: Timestamp,
@@ -226,7 +226,7 @@
             ServerState::Draining => return send(ServerMessage::AtCapacity),
             ServerState::Up => {}
         }
-        self.receive_work(now, self.profile.setup_work, outputs);
+        self.record_received_work(now, self.profile.setup_work, outputs);
         let mut send = |message| outputs.push(ServerOutput::Send(connection, message));
         if self.state == ServerState::Dead {
             return send(ServerMessage::Reset);
@@ -246,33 +246,33 @@
         }
     }
 
-    /// A message of an established session has come, with its work in microseconds; it is sent back when that is done.
+    /// Handles a message of a session. It is echoed when its `work`, in microseconds, is done.
     pub fn receive_message(
         &mut self,
         now: Timestamp,
         connection: ConnectionId,
         work: f64,
-        text: Vec<u8>,
+        payload: Vec<u8>,
         outputs: &mut Vec<ServerOutput>,
     ) {
-        if !self.sessions.contains_key(&connection) || !self.listens() {
+        if !self.sessions.contains_key(&connection) || !self.is_listening() {
             return;
         }
-        self.receive_work(now, work, outputs);
+        self.record_received_work(now, work, outputs);
         if self.state != ServerState::Dead {
-            let done_at = self.work(now, work);
-            self.timers.push(done_at, ServerTimer::MessageDone(connection, text));
+            let done_at = self.schedule_work(now, work);
+            self.timers.push(done_at, ServerTimer::MessageDone(connection, payload));
         }
     }
 
-    /// A health check has come.
+    /// Handles a health check.
     pub fn check_health(&mut self, now: Timestamp, connection: ConnectionId) {
-        if self.listens() {
+        if self.is_listening() {
             self.timers.push(now, ServerTimer::HealthReport(connection));
         }
     }
 
-    /// A connection was closed by the other side.
+    /// Handles a connection that the other side has closed. A setup in progress goes on as abandoned.
     pub fn connection_closed(&mut self, connection: ConnectionId) {
         let closed = self.sessions.remove(&connection);
         if let Some(session) = closed.filter(|session| !session.established) {
@@ -280,26 +280,27 @@
         }
     }
 
-    /// The core that is free first works: returns when it is done.
-    fn work(&mut self, now: Timestamp, work: f64) -> Timestamp {
-        // The speed at the start of the work, which is the least: it only grows.
+    /// Assigns work to the core that is free first. Returns when the work is done.
+    fn schedule_work(&mut self, now: Timestamp, work: f64) -> Timestamp {
+        // The whole work runs at the speed of this moment, a lower bound: the speed only grows in slow start.
         let speed = self.profile.speed * self.warmth(now);
         let core = self.cores.iter_mut().min_by(|a, b| a.total_cmp(b));
-        // Unreachable by a checked scenario: each server has a core.
+        // A validated scenario has at least one core per server.
         let core = core.expect("a server has a core");
         *core = core.max(now as f64) + work / MICROS_PER_TICK / speed;
         let done_at = core.ceil() as Timestamp;
-        self.done += work;
-        self.load_meter.note_worked(work);
+        self.work_done += work;
+        self.load_meter.add_completed_work(work);
         done_at
     }
 
-    /// Work was sent here: if it is too much for too long, a server in slow start dies.
-    fn receive_work(&mut self, now: Timestamp, work: f64, outputs: &mut Vec<ServerOutput>) {
-        self.load_meter.note_asked(work);
+    /// Counts received work. A server in slow start becomes overloaded by too much work within the window, and crashes
+    /// if its profile says so.
+    fn record_received_work(&mut self, now: Timestamp, work: f64, outputs: &mut Vec<ServerOutput>) {
+        self.load_meter.add_requested_work(work);
         let capacity = self.capacity(now);
         let slow_start = self.is_in_slow_start(now);
-        if let Some(ratio) = self.overload.receive(now, work, capacity, slow_start) {
+        if let Some(ratio) = self.overload.record(now, work, capacity, slow_start) {
             outputs.push(ServerOutput::Overloaded(ratio));
             if self.profile.dies_when_overloaded {
                 self.stop(now, outputs);
@@ -308,14 +309,14 @@
         }
     }
 
-    /// Sends a message on each connection of a session, and forgets the sessions.
+    /// Removes all sessions and sends a message on the connection of each.
     fn end_sessions(&mut self, message: &ServerMessage, outputs: &mut Vec<ServerOutput>) {
         let sessions = std::mem::take(&mut self.sessions);
         let send = |connection| ServerOutput::Send(connection, message.clone());
         outputs.extend(sessions.into_keys().map(send));
     }
 
-    /// Dies: all its connections are reset.
+    /// Stops the server at once and resets all its connections.
     pub fn stop(&mut self, now: Timestamp, outputs: &mut Vec<ServerOutput>) {
         if self.state == ServerState::Dead {
             return;
@@ -329,7 +330,7 @@
         self.cores.fill(now as f64);
     }
 
-    /// Starts, with a slow start.
+    /// Starts the server, or restarts it if it is running. Slow start begins.
     pub fn start(&mut self, now: Timestamp, outputs: &mut Vec<ServerOutput>) {
         self.stop(now, outputs);
         self.state = ServerState::Up;
@@ -340,54 +341,54 @@
         outputs.push(ServerOutput::Started);
     }
 
-    /// Accepts no new sessions from now on.
+    /// Stops accepting new sessions.
     pub fn drain(&mut self) {
         if self.state == ServerState::Up {
             self.state = ServerState::Draining;
         }
     }
 
-    /// Asks for all its sessions to be migrated.
+    /// Requests the migration of all sessions and removes them.
     pub fn migrate_sessions(&mut self, outputs: &mut Vec<ServerOutput>) {
         self.end_sessions(&ServerMessage::Migrate, outputs);
     }
 
-    /// Does nothing until then, and then answers what waited.
+    /// Pauses processing until the given time. Queued requests are handled after that.
     pub fn pause(&mut self, until: Timestamp) {
         self.paused_until = self.paused_until.max(until);
         self.timers.push(until, ServerTimer::Resume);
         self.cores.iter_mut().for_each(|free_at| *free_at = free_at.max(until as f64));
     }
 
-    /// Is silent until then; its connections break when that is over.
+    /// Makes the server silent until the given time, when its connections are reset.
     pub fn silence(&mut self, until: Timestamp) {
-        if self.listens() {
+        if self.is_listening() {
             self.state = ServerState::Silent;
             self.silent_until = until;
             self.timers.push(until, ServerTimer::Resume);
         }
     }
 
-    /// Resets one in so many of the sessions that it has just accepted; 0 ends that.
-    pub fn drop_one_in(&mut self, one_in: u64) {
+    /// Makes the server reset one in this many sessions right after accepting them; 0 turns that off.
+    pub fn set_reset_one_in(&mut self, one_in: u64) {
         self.reset_one_in = one_in;
     }
 
-    /// When something happens next.
+    /// Returns when [`advance`](Self::advance) has to be called next.
     pub fn next_event_at(&self) -> Timestamp {
         match self.state {
             ServerState::Silent => self.silent_until,
-            _ => self.timers.next_at().max(self.paused_until),
+            _ => self.timers.next_due_at().max(self.paused_until),
         }
     }
 
-    /// All that happens by now.
+    /// Handles everything that is due by `now`.
     pub fn advance(&mut self, now: Timestamp, outputs: &mut Vec<ServerOutput>) {
         if self.state == ServerState::Silent {
             if now < self.silent_until {
                 return;
             }
-            // Its connections break now; it has been running all the time, so that there is no slow start.
+            // Its connections are reset now. The process kept running, so there is no slow start.
             self.stop(now, outputs);
             self.state = ServerState::Up;
             outputs.push(ServerOutput::Started);
@@ -416,12 +417,12 @@
         let mut send = |connection, message| outputs.push(ServerOutput::Send(connection, message));
         match timer {
             ServerTimer::StoreServed(connection) => {
-                // The work is done even if the connection was closed.
+                // The setup continues even if the connection was closed.
                 let is_known =
                     self.sessions.contains_key(&connection) || self.abandoned.contains_key(&connection);
                 if is_known {
-                    let done_at = self.work(due_at.max(self.paused_until), self.profile.setup_work);
-                    self.timers.push(done_at, ServerTimer::SetUp(connection));
+                    let done_at = self.schedule_work(due_at.max(self.paused_until), self.profile.setup_work);
+                    self.timers.push(done_at, ServerTimer::SetupDone(connection));
                 }
             }
             ServerTimer::StoreFailed(connection) => {
@@ -430,10 +431,10 @@
                     send(connection, ServerMessage::Failed);
                 }
             }
-            ServerTimer::SetUp(connection) => self.set_up(connection, outputs),
-            ServerTimer::MessageDone(connection, text) => {
+            ServerTimer::SetupDone(connection) => self.finish_setup(connection, outputs),
+            ServerTimer::MessageDone(connection, payload) => {
                 if self.sessions.contains_key(&connection) {
-                    send(connection, ServerMessage::Message(text));
+                    send(connection, ServerMessage::Message(payload));
                 }
             }
             ServerTimer::HealthReport(connection) => {
@@ -444,11 +445,11 @@
         }
     }
 
-    fn set_up(&mut self, connection: ConnectionId, outputs: &mut Vec<ServerOutput>) {
+    fn finish_setup(&mut self, connection: ConnectionId, outputs: &mut Vec<ServerOutput>) {
         let abandoned = self.abandoned.remove(&connection);
         if let Some(session) = self.sessions.get_mut(&connection) {
             session.established = true;
-            outputs.push(ServerOutput::Ran(session.id));
+            outputs.push(ServerOutput::SessionRan(session.id));
             outputs.push(ServerOutput::Send(connection, ServerMessage::Accepted));
             outputs.push(ServerOutput::Send(connection, ServerMessage::Load(session.load)));
         } else if let Some(id) = abandoned {
--- a/crates/larklink-simulation/src/server/load_meter.rs
+++ b/crates/larklink-simulation/src/server/load_meter.rs
@@ -1,65 +1,72 @@
-//! The load reports of a server.
+//! Periodic load reports of a server.
 
 use crate::duration::SECOND;
 use crate::server::load_report::LoadReport;
 use crate::time::{TickDuration, Timestamp};
 
-/// Measures the load of one server, and makes a report from time to time.
+/// Accumulates the work of one server and turns it into a load report at each interval.
 pub(super) struct LoadMeter {
     interval: TickDuration,
     report: LoadReport,
     reported_at: Timestamp,
-    /// Work done since the last report, microseconds.
-    worked: f64,
-    /// Work asked for since the last report, microseconds.
-    asked: f64,
+    /// Work completed since the last report, in microseconds.
+    completed_work: f64,
+    /// Work requested since the last report, in microseconds.
+    requested_work: f64,
 }
 
-/// The sessions of a server at one moment.
+/// The sessions of a server at one point in time.
 #[derive(Clone, Copy)]
 pub(super) struct SessionLoad {
-    /// Sessions that are held, established or being set up.
+    /// The number of sessions, established or being set up.
     pub(super) held: usize,
-    /// The load of those that are established, microseconds of work a second.
+    /// The load of the established ones, in microseconds of work per second.
     pub(super) load: f64,
 }
 
 impl LoadMeter {
     pub(super) fn new(interval: TickDuration) -> Self {
-        Self { interval, report: LoadReport::default(), reported_at: 0, worked: 0.0, asked: 0.0 }
+        Self {
+            interval,
+            report: LoadReport::default(),
+            reported_at: 0,
+            completed_work: 0.0,
+            requested_work: 0.0,
+        }
     }
 
-    pub(super) fn note_asked(&mut self, work: f64) {
-        self.asked += work;
+    pub(super) fn add_requested_work(&mut self, work: f64) {
+        self.requested_work += work;
     }
 
-    pub(super) fn note_worked(&mut self, work: f64) {
-        self.worked += work;
+    pub(super) fn add_completed_work(&mut self, work: f64) {
+        self.completed_work += work;
     }
 
-    /// The latest report.
+    /// Returns the latest report.
     pub(super) fn report(&self) -> LoadReport {
         self.report
     }
 
-    /// Whether a report is due.
+    /// Returns whether a report is due.
     pub(super) fn is_due(&self, now: Timestamp) -> bool {
         now.saturating_sub(self.reported_at) >= self.interval
     }
 
-    /// Makes a report; `capacity` is in microseconds of work a second.
+    /// Makes a report and starts a new interval. `capacity` is in microseconds of work per second.
     pub(super) fn make_report(&mut self, now: Timestamp, capacity: f64, sessions: SessionLoad) {
         let duration = now.saturating_sub(self.reported_at) as f64;
         let possible = capacity * duration / SECOND as f64;
-        // Sessions ask for their load, whatever has come of it yet; set-ups come on top.
-        let asked = (sessions.load * duration / SECOND as f64).max(self.asked);
+        // Established sessions count with their nominal load even if less of it has arrived. The work received counts
+        // where it is greater: it includes session setups.
+        let requested = (sessions.load * duration / SECOND as f64).max(self.requested_work);
         self.report = LoadReport {
             sessions: sessions.held,
-            utilization: (self.worked / possible).min(1.0),
-            load: asked / possible,
+            utilization: (self.completed_work / possible).min(1.0),
+            load: requested / possible,
         };
-        self.worked = 0.0;
-        self.asked = 0.0;
+        self.completed_work = 0.0;
+        self.requested_work = 0.0;
         self.reported_at = now;
     }
 }
--- a/crates/larklink-simulation/src/server/load_report.rs
+++ b/crates/larklink-simulation/src/server/load_report.rs
@@ -1,12 +1,12 @@
-//! What a server reports of its load when its health is checked.
+//! The load report in the response to a health check.
 
-/// A load report.
+/// The load of a server over its last report interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Sessions that are held, established or being set up.
+    /// The number of sessions, established or being set up.
     pub sessions: usize,
-    /// The share of the last interval in which its cores worked.
+    /// Work completed, as a fraction of the capacity, at most 1.
     pub utilization: f64,
-    /// Work asked for in it over what it could have done.
+    /// Work requested, as a fraction of the capacity; above 1 if the server is overloaded.
     pub load: f64,
 }
--- a/crates/larklink-simulation/src/server/overload.rs
+++ b/crates/larklink-simulation/src/server/overload.rs
@@ -1,22 +1,22 @@
-//! Detects that a server in slow start is sent more than it can bear.
+//! Detects overload of a server in slow start.
 use std::collections::VecDeque;
 
 use crate::duration::SECOND;
 use crate::time::{TickDuration, Timestamp};
 
-/// The least capacity by which work is divided, microseconds.
+/// A lower bound for the capacity in microseconds, to avoid a division by zero.
 const MIN_CAPACITY: f64 = 1e-9;
 
 struct ReceivedWork {
     at: Timestamp,
-    /// Microseconds.
+    /// In microseconds.
     work: f64,
 }
 
-/// The work that a server received within a window.
+/// Tracks the work that a server received within a sliding window.
 pub(super) struct OverloadDetector {
     window: TickDuration,
-    /// How many times its capacity a server in slow start may be sent.
+    /// The ratio of received work to capacity above which a server in slow start is overloaded.
     max_ratio: f64,
     received: VecDeque<ReceivedWork>,
     sum: f64,
@@ -28,9 +28,9 @@
         Self { window, max_ratio, received: VecDeque::new(), sum: 0.0, overloaded: false }
     }
 
-    /// Adds work that was received. Returns its ratio to the capacity, in microseconds of work a second, if the server is
-    /// overloaded by it and was not before.
-    pub(super) fn receive(
+    /// Records received work. `capacity` is in microseconds of work per second. Returns the ratio of the work in the
+    /// window to the capacity if the server becomes overloaded by it, and `None` if it is not or already was.
+    pub(super) fn record(
         &mut self,
         now: Timestamp,
         work: f64,
@@ -50,13 +50,13 @@
         (self.overloaded && !was_overloaded).then_some(ratio)
     }
 
-    /// The server has stopped: what it received is forgotten.
+    /// Discards the recorded work when the server stops.
     pub(super) fn clear(&mut self) {
         self.received.clear();
         self.sum = 0.0;
     }
 
-    /// The server has started.
+    /// Ends the overloaded state when the server starts.
     pub(super) fn restart(&mut self) {
         self.overloaded = false;
     }
--- a/crates/larklink-simulation/src/simulate/shutdown.rs
+++ b/crates/larklink-simulation/src/simulate/shutdown.rs
@@ -6,7 +6,8 @@
 use crate::simulate::state::SimulationState;
 use crate::time::{TickDuration, Timestamp};
 
-/// A proxy that shuts down takes at least this time, and as much longer as its longest dial timeout, as the daemon does.
+/// A proxy that shuts down takes at least this time, and as much longer as its longest dial timeout, as the daemon
+/// does.
 const MIN_SHUTDOWN: TickDuration = SECOND * 6 / 10;
 /// The most that a dial timeout adds to it.
 const MAX_DIAL_TIMEOUT_IN_SHUTDOWN: TickDuration = 3 * SECOND;
--- a/crates/larklink-simulation/src/simulate/simulation.rs
+++ b/crates/larklink-simulation/src/simulate/simulation.rs
@@ -56,7 +56,7 @@
     /// When something happens next.
     pub(super) fn next_event_at(&mut self) -> Timestamp {
         let proxies = self.state.proxies.iter().map(Proxy::next_wakeup).min().unwrap_or(Timestamp::MAX);
-        self.state.world.next_event_at().min(self.state.scheduled.next_at()).min(proxies)
+        self.state.world.next_event_at().min(self.state.scheduled.next_due_at()).min(proxies)
     }
 
     fn apply(&mut self, now: Timestamp, actions: Vec<WorldAction>) {
--- a/crates/larklink-simulation/src/world.rs
+++ b/crates/larklink-simulation/src/world.rs
@@ -111,7 +111,7 @@
         let mut endpoint_list = EndpointList::new(servers.len(), scenario.endpoint_list.lag.0);
         for (index, _) in scenario.each_server().enumerate().filter(|(_, group)| !group.listed) {
             servers[index].stop(0, &mut Vec::new());
-            endpoint_list.leave_out(index);
+            endpoint_list.mark_unlisted(index);
         }
         Self {
             servers,
@@ -180,7 +180,7 @@
                 actions.push(WorldAction::Proxy(proxy, fault));
             }
             FaultEvent::Silence { server, until } => {
-                if self.servers[server].listens() {
+                if self.servers[server].is_listening() {
                     self.servers[server].silence(until);
                     self.event_log.record(now, EventKind::ServerSilent { server, until });
                 }
@@ -207,9 +207,9 @@
                 self.servers[server].stop(now, &mut outputs);
                 self.apply_outputs(now, server, &mut outputs, actions);
             }
-            FaultEvent::Drops { server, one_in } => self.servers[server].drop_one_in(one_in),
+            FaultEvent::Drops { server, one_in } => self.servers[server].set_reset_one_in(one_in),
             FaultEvent::StoreSlow { factor } => self.session_store.set_slowdown(factor),
-            FaultEvent::ListLost { until } => self.endpoint_list.make_unreachable(until),
+            FaultEvent::ListLost { until } => self.endpoint_list.set_unreachable_until(until),
             FaultEvent::ListStill { until } => self.endpoint_list.freeze_until(until),
             FaultEvent::DropClients { share } => {
                 let ids = self.disconnect_clients(now, share);
@@ -229,7 +229,7 @@
 
     fn change_list(&mut self, now: Timestamp, server: usize, status: EndpointStatus) {
         let started = self.servers[server].started().unwrap_or(0);
-        self.endpoint_list.change(now, EndpointListEntry { server, status, started });
+        self.endpoint_list.schedule_update(now, EndpointListEntry { server, status, started });
     }
 
     /// Records what a server did, and adds what a carrier is to do.
@@ -245,7 +245,9 @@
                 ServerOutput::Send(connection, message) => {
                     actions.push(WorldAction::Send { server, connection, message });
                 }
-                ServerOutput::Ran(id) => self.event_log.record(now, EventKind::SessionRan { id, server }),
+                ServerOutput::SessionRan(id) => {
+                    self.event_log.record(now, EventKind::SessionRan { id, server })
+                }
                 ServerOutput::RanAfterAbandoned(id) => {
                     self.event_log.record(now, EventKind::RanAfterAbandoned { id, server });
                 }
@@ -340,8 +342,8 @@
         self.clients.response_received(now, id, response);
     }
 
-    /// The message of that number is back at its client; `sent` is when its server sent it back. Returns how long it took
-    /// in all, if the client waits for it.
+    /// The message of that number is back at its client; `sent` is when its server sent it back. Returns how long it
+    /// took in all, if the client waits for it.
     pub fn message_returned(
         &mut self,
         now: Timestamp,
@@ -388,7 +390,7 @@
 
     /// A proxy answers.
     pub fn proxy_up(&mut self, now: Timestamp, proxy: usize) {
-        self.load_balancer.proxy_answered(proxy);
+        self.load_balancer.add_proxy(proxy);
         self.event_log.record(now, EventKind::ProxyUp { proxy });
     }
 
@@ -398,7 +400,8 @@
         self.event_log.record(now, EventKind::ProxyExited { proxy, planned });
     }
 
-    /// A proxy reads the endpoint list: its version, and the entries that are newer than the version that the proxy has.
+    /// A proxy reads the endpoint list: its version, and the entries that are newer than the version that the proxy
+    /// has.
     pub fn notify_proxy(
         &mut self,
         now: Timestamp,
--- a/crates/larklink-simulation/tests/world.rs
+++ b/crates/larklink-simulation/tests/world.rs
@@ -45,11 +45,11 @@
     #[test]
     fn no_server_works_above_its_capacity(
         steps in prop::collection::vec((0u64..400, 0u8..6, 100f64..20_000.0), 1..300),
-        cold in any::<bool>(),
+        in_slow_start in any::<bool>(),
     ) {
         let mut server = Server::new(ServerProfile { dies_when_overloaded: false, ..profile() });
         let (mut now, mut connection, mut outputs) = (SECOND, 0, Vec::new());
-        if cold {
+        if in_slow_start {
             server.start(now, &mut outputs);
         }
         let mut store = SessionStore::new(500.0, SECOND);
@@ -82,7 +82,7 @@
             server.advance(end, &mut outputs);
         }
         let capacity = (end - started_at) as f64 / SECOND as f64 * 2e6;
-        prop_assert!(server.done <= capacity + 1.0, "{} done, capacity {capacity}", server.done);
+        prop_assert!(server.work_done <= capacity + 1.0, "{} done, capacity {capacity}", server.work_done);
     }
 
     #[test]
@@ -139,7 +139,7 @@
 fn load_balancer_stays_within_a_zone() {
     let mut load_balancer = ExternalLoadBalancer::new(3, 2, SECOND);
     assert_eq!(load_balancer.next_proxy(0, 0), None, "no proxy has answered yet");
-    (0..3).for_each(|proxy| load_balancer.proxy_answered(proxy));
+    (0..3).for_each(|proxy| load_balancer.add_proxy(proxy));
     let chosen: Vec<_> = (0..4).map(|_| load_balancer.next_proxy(0, 4)).collect();
     assert_eq!(chosen, [Some(0), Some(2), Some(0), Some(2)]);
     load_balancer.proxy_died(0, 1);
@@ -274,9 +274,9 @@
     assert_eq!(server.state(), ServerState::Up);
     assert!(server.warmth(now + SECOND) < 0.2);
     // The same load does not overload a server after its slow start.
-    let (mut warm, mut outputs) = (Server::new(profile()), Vec::new());
+    let (mut server, mut outputs) = (Server::new(profile()), Vec::new());
     (0..900).for_each(|connection| {
-        warm.receive_request(SECOND + connection * 5, connection, connection, 0.0, &mut store, &mut outputs)
+        server.receive_request(SECOND + connection * 5, connection, connection, 0.0, &mut store, &mut outputs)
     });
     assert!(!outputs.iter().any(|o| matches!(o, ServerOutput::Overloaded(_))));
 }
@@ -353,7 +353,7 @@
     };
     for (text, expected_prefix) in [
         ("seed = 1\nlenght = '3s'\n", "2: lenght: unknown field"),
-        ("length = '3 weeks'\n", "1: length: \"3 weeks\" is no span"),
+        ("length = '3 weeks'\n", "1: length: \"3 weeks\" is not a duration"),
         ("length = '2h'", "1: length:"),
         ("length = '90m'", "1: length: \"90m\" is over an hour"),
         ("seed = 1\nseed = 2\n", "2: seed: duplicate key"),
