--- a/crates/larklink-simulation/src/clients.rs
+++ b/crates/larklink-simulation/src/clients.rs
@@ -1,4 +1,5 @@
-//! Clients: when they come, how long they wait, what they send, when they retry, and how long they stay.
+//! The model of the clients: when they arrive and leave, what they send, how long they wait for a response, and when
+//! they retry or reconnect.
 use std::collections::HashMap;
 
 use rand::{Rng, RngExt};
@@ -11,51 +12,52 @@
 use crate::scenario::{ListenerSpec, RetryBehavior};
 use crate::time::{TickDuration, Timestamp};
 
-/// What a client does, for whoever carries it.
+/// An action of a client, to be performed by the caller: the simulation or the testbed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientAction {
-    /// It connects and sends a request.
+    /// Connects and sends a session request.
     Connect(ClientRequest),
-    /// It sends a message.
+    /// Sends a message on an established session.
     SendMessage {
-        /// The session.
+        /// The session id.
         id: u64,
-        /// The number of the message, from 1.
+        /// The sequence number of the message, from 1.
         number: u64,
     },
-    /// It has had no response in time, and leaves.
+    /// Closes a session that got no response in time.
     TimeOut {
-        /// The session.
+        /// The session id.
         id: u64,
     },
-    /// It has had what it came for, and leaves.
+    /// Closes an established session at the end of its stay.
     Leave {
-        /// The session.
+        /// The session id.
         id: u64,
     },
-    /// No message has come back for longer than any connection may be silent.
+    /// Reports a session on which no message has come back for too long. Nothing has to be performed.
     Silent {
-        /// The session.
+        /// The session id.
         id: u64,
-        /// For how long.
+        /// How long nothing has come back.
         duration: TickDuration,
     },
 }
 
-/// A response that comes so long after the dial timeout is still received, as a late one.
+/// How long after the dial timeout a client still waits, so that a late response is received and logged.
 const LATE_RESPONSE_GRACE: TickDuration = SECOND / 4;
-/// The most messages of a client in flight; it sends no more until one comes back.
+/// The maximum number of messages in flight on a session. The client sends no more until one comes back.
 const MAX_MESSAGES_IN_FLIGHT: usize = 8;
-/// A connection that brings nothing back from a running server must be ended within this.
-pub const SILENT: TickDuration = 7 * SECOND;
-/// The shortest time for which a client stays.
+/// A connection on which nothing comes back from a running server must be closed within this time.
+pub const MAX_SILENCE: TickDuration = 7 * SECOND;
+/// The minimum time for which a client stays.
 const MIN_STAY: TickDuration = SECOND / 2;
-/// How long after a failure a client retries that does so at once.
-const RETRY_AT_ONCE_AFTER: TickDuration = TICKS_PER_MS;
-/// A wait is drawn between these fractions of its mean.
+/// The retry delay of a client that retries at once.
+const IMMEDIATE_RETRY_DELAY: TickDuration = TICKS_PER_MS;
+/// A randomized wait is between these multiples of its mean.
 const MIN_WAIT_FRACTION: f64 = 0.5;
 const MAX_WAIT_FRACTION: f64 = 1.5;
-/// The distance between the group keys of a listener; listeners share no groups.
+/// The difference between consecutive group keys of a listener. The listener index is added to each key, so listeners
+/// share no groups.
 const GROUP_KEY_STEP: u64 = 0x9e37;
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
@@ -63,15 +65,15 @@
 const MICROS_PER_TICK: f64 = 100.0;
 
 enum ClientTimer {
-    /// A new client of a listener comes.
+    /// A new client of a listener arrives.
     Arrive { listener: usize },
-    /// A client sends a request.
+    /// A client sends a session request.
     Request { client: usize },
-    /// A session has had no response in time.
+    /// The time for the response to a session request is over.
     TimeOut { id: u64 },
-    /// A message is sent.
+    /// The next message of a session is due.
     Message { id: u64 },
-    /// A client leaves.
+    /// A client leaves at the end of its stay.
     Leave { id: u64 },
 }
 
@@ -85,11 +87,10 @@
     listener: usize,
     key: u64,
     group: u64,
-    /// When it comes and when it leaves.
-    from: Timestamp,
-    until: Timestamp,
-    /// Requests since it last had an established session.
-    tries: u32,
+    arrives_at: Timestamp,
+    leaves_at: Timestamp,
+    /// Requests sent since it last had an established session.
+    unaccepted_requests: u32,
     reconnecting: bool,
     retry: bool,
 }
@@ -103,59 +104,59 @@
 struct ClientSession {
     client: usize,
     state: ClientSessionState,
-    /// The number of its latest message.
+    /// The sequence number of its latest message.
     latest_message: u64,
     messages_in_flight: Vec<MessageInFlight>,
-    /// When it was established, or a message last came back.
+    /// When the session was established or a message last came back, whichever is later.
     last_received_at: Timestamp,
-    /// Since when it is well served; none after a message that was late.
-    well_served_from: Option<Timestamp>,
+    /// Since when the session has been well served; `None` after a late message.
+    well_served_since: Option<Timestamp>,
 }
 
 /// A message that has come back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReturnedMessage {
-    /// How long it took there and back.
+    /// The round-trip time.
     pub took: TickDuration,
-    /// Whether that is longer than the objective.
+    /// Whether that exceeds the latency objective.
     pub late: bool,
 }
 
-/// The service of a listener's clients.
+/// Service statistics of the clients of one listener.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ListenerTally {
-    /// The time for which clients wanted a session.
+    /// The total time for which clients wanted a session.
     pub wanted: TickDuration,
-    /// The time for which they were well served.
+    /// The total time for which they were well served: established, with messages that came back within the objective.
     pub well_served: TickDuration,
-    /// Messages that came back.
+    /// The number of messages that came back.
     pub messages: u64,
-    /// Those of them that were late.
+    /// How many of those were late.
     pub late_messages: u64,
-    /// Clients that left for good without a session.
+    /// The number of clients that gave up without an accepted session.
     pub gave_up: u64,
 }
 
-/// All clients of a run.
+/// The clients of a run and their sessions.
 pub struct Clients {
     listeners: Vec<ListenerSpec>,
     clients: Vec<Client>,
-    /// By id; what depends on their order sorts them first.
+    /// By session id. Anything that depends on the order has to sort them, to keep runs reproducible.
     sessions: HashMap<u64, ClientSession>,
     timers: EventQueue<ClientTimer>,
     rng: ChaCha8Rng,
-    /// No new sessions from then on.
+    /// The end of the run: no sessions are opened from then on.
     length: TickDuration,
-    /// For each listener, its clients' service.
+    /// Service statistics by listener.
     pub tallies: Vec<ListenerTally>,
-    /// Sessions without a response.
+    /// The number of sessions that wait for a response.
     pub waiting: usize,
-    /// Established sessions.
+    /// The number of established sessions.
     pub established: usize,
 }
 
 impl Clients {
-    /// The clients of a run of that length.
+    /// Creates the clients of a run of the given length.
     pub fn new(listeners: Vec<ListenerSpec>, length: TickDuration, rng: ChaCha8Rng) -> Self {
         let tallies = vec![ListenerTally::default(); listeners.len()];
         let mut clients = Self {
@@ -172,25 +173,25 @@
         for listener in 0..clients.listeners.len() {
             for _ in 0..clients.listeners[listener].initial_clients {
                 let at = clients.draw_fraction(clients.listeners[listener].initial_spread.0, 0.0, 1.0);
-                clients.arrive(at, listener);
+                clients.add_client(at, listener);
             }
             clients.schedule_arrival(0, listener);
         }
         clients
     }
 
-    /// The work of one message, microseconds of a core.
+    /// Returns the work of one message, in microseconds on a core of speed 1.
     pub fn message_work(&self, listener: usize) -> f64 {
         let listener = &self.listeners[listener];
         listener.load * listener.message_interval.0 as f64 * MICROS_PER_TICK
     }
 
-    /// The load of one session, microseconds of work a second.
+    /// Returns the load of one session, in microseconds of work per second.
     pub fn load(&self, listener: usize) -> f64 {
         self.listeners[listener].load * MICROS_PER_SECOND
     }
 
-    /// The listener of a session.
+    /// Returns the listener index of a session, or `None` if the session has ended.
     pub fn listener_of(&self, id: u64) -> Option<usize> {
         self.sessions.get(&id).map(|session| self.listener_index(session))
     }
@@ -199,13 +200,13 @@
         self.clients[session.client].listener
     }
 
-    /// When something happens next.
+    /// Returns when [`advance`](Self::advance) has to be called next.
     pub fn next_event_at(&self) -> Timestamp {
         self.timers.next_due_at()
     }
 
-    fn draw_fraction(&mut self, of: TickDuration, from: f64, to: f64) -> TickDuration {
-        (of as f64 * self.rng.random_range(from..to)) as TickDuration
+    fn draw_fraction(&mut self, duration: TickDuration, from: f64, to: f64) -> TickDuration {
+        (duration as f64 * self.rng.random_range(from..to)) as TickDuration
     }
 
     fn draw_wait(&mut self, mean: TickDuration) -> TickDuration {
@@ -227,14 +228,14 @@
         }
     }
 
-    fn arrive(&mut self, at: Timestamp, listener: usize) {
+    fn add_client(&mut self, at: Timestamp, listener: usize) {
         let spec = &self.listeners[listener];
-        // As many groups as have the mean number of clients each.
+        // The number of groups that gives each the configured mean number of clients.
         let mean_clients =
             spec.initial_clients as f64 + spec.arrivals_per_second * spec.mean_stay.0 as f64 / SECOND as f64;
         let groups = ((mean_clients / spec.clients_per_group as f64).ceil() as u64).max(1);
         let mean_stay = spec.mean_stay.0 as f64;
-        let until = at + self.draw_exponential(mean_stay).max(MIN_STAY);
+        let leaves_at = at + self.draw_exponential(mean_stay).max(MIN_STAY);
         let group_number = self.rng.random_range(0..groups);
         let group = (group_number + 1) * GROUP_KEY_STEP + listener as u64;
         let key = self.rng.next_u64();
@@ -243,22 +244,22 @@
             listener,
             key,
             group,
-            from: at,
-            until,
-            tries: 0,
+            arrives_at: at,
+            leaves_at,
+            unaccepted_requests: 0,
             reconnecting: false,
             retry: false,
         });
-        self.tallies[listener].wanted += until.min(self.length).saturating_sub(at);
+        self.tallies[listener].wanted += leaves_at.min(self.length).saturating_sub(at);
         self.timers.push(at, ClientTimer::Request { client });
     }
 
-    /// All that clients do by now.
+    /// Adds the actions that are due by `now`.
     pub fn advance(&mut self, now: Timestamp, actions: &mut Vec<ClientAction>) {
         while let Some((due_at, timer)) = self.timers.pop_due(now) {
             match timer {
                 ClientTimer::Arrive { listener } => {
-                    self.arrive(due_at, listener);
+                    self.add_client(due_at, listener);
                     self.schedule_arrival(due_at, listener);
                 }
                 ClientTimer::Request { client } => self.request(now, client, actions),
@@ -266,7 +267,7 @@
                     let session = self.sessions.get(&id);
                     if session.is_some_and(|session| session.state == ClientSessionState::Waiting) {
                         actions.push(ClientAction::TimeOut { id });
-                        self.failed(now, id, 0);
+                        self.handle_failure(now, id, 0);
                     }
                 }
                 ClientTimer::Message { id } => self.send_message(now, id, actions),
@@ -283,10 +284,10 @@
     fn request(&mut self, now: Timestamp, client: usize, actions: &mut Vec<ClientAction>) {
         let id = self.rng.next_u64();
         let sender = &mut self.clients[client];
-        if now >= self.length || now >= sender.until {
+        if now >= self.length || now >= sender.leaves_at {
             return;
         }
-        sender.tries += 1;
+        sender.unaccepted_requests += 1;
         let patience = self.listeners[sender.listener].dial_timeout.0;
         let request = ClientRequest {
             client,
@@ -304,7 +305,7 @@
             latest_message: 0,
             messages_in_flight: Vec::new(),
             last_received_at: now,
-            well_served_from: None,
+            well_served_since: None,
         };
         self.sessions.insert(id, session);
         self.waiting += 1;
@@ -319,15 +320,15 @@
         let listener_index = self.clients[session.client].listener;
         let listener = &self.listeners[listener_index];
         self.timers.push(now + listener.message_interval.0, ClientTimer::Message { id });
-        if let Some(&first) = session.messages_in_flight.first() {
-            // What is in flight for longer than the objective is no service, whether or not it comes back.
-            if now - first.sent_at > listener.message_objective.0
-                && let Some(from) = session.well_served_from.take()
+        if let Some(&oldest) = session.messages_in_flight.first() {
+            // A message in flight for longer than the objective ends the well-served time, even if it comes back later.
+            if now - oldest.sent_at > listener.message_objective.0
+                && let Some(since) = session.well_served_since.take()
             {
-                self.tallies[listener_index].well_served += first.sent_at.saturating_sub(from);
+                self.tallies[listener_index].well_served += oldest.sent_at.saturating_sub(since);
             }
             let silent_for = now - session.last_received_at;
-            if silent_for > SILENT && listener.unread_kb == 0 {
+            if silent_for > MAX_SILENCE && listener.unread_kb == 0 {
                 actions.push(ClientAction::Silent { id, duration: silent_for });
             }
         }
@@ -339,37 +340,37 @@
         }
     }
 
-    /// The final response to a session.
+    /// Handles the final response to a session request.
     pub fn response_received(&mut self, now: Timestamp, id: u64, response: ClientResponse) {
         match response {
-            ClientResponse::Accepted => self.established(now, id),
+            ClientResponse::Accepted => self.session_established(now, id),
             ClientResponse::Rejected(retry_after_ms) => {
-                self.failed(now, id, retry_after_ms * TICKS_PER_MS);
+                self.handle_failure(now, id, retry_after_ms * TICKS_PER_MS);
             }
-            ClientResponse::Failed => self.failed(now, id, 0),
+            ClientResponse::Failed => self.handle_failure(now, id, 0),
         }
     }
 
-    fn established(&mut self, now: Timestamp, id: u64) {
+    fn session_established(&mut self, now: Timestamp, id: u64) {
         let session = self.sessions.get_mut(&id);
         let waiting = session.filter(|session| session.state == ClientSessionState::Waiting);
         let Some(session) = waiting else { return };
         session.state = ClientSessionState::Established;
         session.last_received_at = now;
-        session.well_served_from = Some(now);
+        session.well_served_since = Some(now);
         self.waiting -= 1;
         self.established += 1;
         let client = &mut self.clients[session.client];
-        client.tries = 0;
+        client.unaccepted_requests = 0;
         client.retry = false;
         client.reconnecting = false;
         let listener = client.listener;
-        self.timers.push(client.until.max(now), ClientTimer::Leave { id });
+        self.timers.push(client.leaves_at.max(now), ClientTimer::Leave { id });
         let first = self.draw_fraction(self.listeners[listener].message_interval.0, 0.0, 1.0);
         self.timers.push(now + first, ClientTimer::Message { id });
     }
 
-    /// The message of that number is back; nothing if it was not in flight.
+    /// Handles a message that has come back. Returns `None` if it was not in flight.
     pub fn message_returned(&mut self, now: Timestamp, id: u64, number: u64) -> Option<ReturnedMessage> {
         let session = self.sessions.get_mut(&id)?;
         session.last_received_at = now;
@@ -382,21 +383,21 @@
         tally.messages += 1;
         if late {
             tally.late_messages += 1;
-            if let Some(from) = session.well_served_from.take() {
-                tally.well_served += sent_at.saturating_sub(from);
+            if let Some(since) = session.well_served_since.take() {
+                tally.well_served += sent_at.saturating_sub(since);
             }
-        } else if session.well_served_from.is_none() {
-            session.well_served_from = Some(now);
+        } else if session.well_served_since.is_none() {
+            session.well_served_since = Some(now);
         }
         Some(ReturnedMessage { took, late })
     }
 
-    /// A session had no response: its proxy could not be reached, or its connection ended.
+    /// Handles a session that got no response because its proxy was unreachable or its connection ended.
     pub fn ended_without_response(&mut self, now: Timestamp, id: u64) {
-        self.failed(now, id, 0);
+        self.handle_failure(now, id, 0);
     }
 
-    /// The connection of an established session has ended: its client reconnects.
+    /// Handles the end of the connection of an established session. The client reconnects unless it left itself.
     pub fn connection_ended(&mut self, now: Timestamp, id: u64, end: ConnectionEnd) {
         let ended = self.end_session(now, id);
         let Some(client) = ended.filter(|_| end != ConnectionEnd::Left) else { return };
@@ -406,42 +407,42 @@
         self.timers.push(at, ClientTimer::Request { client });
     }
 
-    /// A session was not accepted: its client retries, not before `retry_after`, or leaves for good.
-    fn failed(&mut self, now: Timestamp, id: u64, retry_after: TickDuration) {
+    /// Handles a session that was not accepted. Its client retries, but not before `retry_after`, or gives up.
+    fn handle_failure(&mut self, now: Timestamp, id: u64, retry_after: TickDuration) {
         let Some(client) = self.end_session(now, id) else { return };
         let sender = &mut self.clients[client];
         let listener = &self.listeners[sender.listener];
-        if sender.tries >= listener.max_tries || listener.retry == RetryBehavior::Never {
+        if sender.unaccepted_requests >= listener.max_tries || listener.retry == RetryBehavior::Never {
             self.tallies[sender.listener].gave_up += 1;
             return;
         }
         sender.retry = true;
         let mean_wait = listener.retry_wait.0.max(retry_after);
         let at = match listener.retry {
-            RetryBehavior::AtOnce => now + RETRY_AT_ONCE_AFTER,
+            RetryBehavior::AtOnce => now + IMMEDIATE_RETRY_DELAY,
             RetryBehavior::After | RetryBehavior::Never => now + self.draw_wait(mean_wait).max(retry_after),
         };
         self.timers.push(at, ClientTimer::Request { client });
     }
 
-    /// Ends a session, and returns its client.
+    /// Removes a session and returns its client.
     fn end_session(&mut self, now: Timestamp, id: u64) -> Option<usize> {
         let session = self.sessions.remove(&id)?;
         match session.state {
             ClientSessionState::Waiting => self.waiting -= 1,
             ClientSessionState::Established => self.established -= 1,
         }
-        if let Some(from) = session.well_served_from {
-            // A message in flight speaks against the time since it was sent.
-            let first = session.messages_in_flight.first();
-            let to = first.map_or(now, |message| message.sent_at).min(self.length);
+        if let Some(since) = session.well_served_since {
+            // The time since the oldest message in flight was sent does not count as well served.
+            let oldest = session.messages_in_flight.first();
+            let to = oldest.map_or(now, |message| message.sent_at).min(self.length);
             let listener = self.listener_index(&session);
-            self.tallies[listener].well_served += to.saturating_sub(from);
+            self.tallies[listener].well_served += to.saturating_sub(since);
         }
         Some(session.client)
     }
 
-    /// Draws a share of the established sessions, in the order of their clients.
+    /// Selects a random fraction of the established sessions, ordered by client.
     pub fn sample_established(&mut self, share: f64) -> Vec<u64> {
         let established = |(&id, session): (&u64, &ClientSession)| {
             (session.state == ClientSessionState::Established).then_some((session.client, id))
@@ -452,7 +453,7 @@
         sampled.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// Ends all sessions at the end of a run.
+    /// Removes all sessions at the end of a run and completes the statistics.
     pub fn finish(&mut self, now: Timestamp) {
         let ids: Vec<_> = self.sessions.keys().copied().collect();
         for id in ids {
@@ -460,22 +461,23 @@
         }
     }
 
-    /// The share of clients that want a session now, by utility, whose messages come back in time.
+    /// Returns the fraction of the clients that currently want a session whose messages come back in time, weighted by
+    /// utility.
     pub fn served_now(&self, now: Timestamp) -> f64 {
         let utility = |client: &Client| self.listeners[client.listener].utility;
-        let wants = |client: &&Client| (client.from..client.until.min(self.length)).contains(&now);
+        let wants = |client: &&Client| (client.arrives_at..client.leaves_at.min(self.length)).contains(&now);
         let wanted: f64 = self.clients.iter().filter(wants).map(utility).sum();
         let well_served = self.sessions.values().filter(|session| {
             let objective = self.listeners[self.listener_index(session)].message_objective.0;
-            let first = session.messages_in_flight.first();
-            session.well_served_from.is_some()
-                && first.is_none_or(|message| now - message.sent_at <= objective)
+            let oldest = session.messages_in_flight.first();
+            session.well_served_since.is_some()
+                && oldest.is_none_or(|message| now - message.sent_at <= objective)
         });
         let served: f64 = well_served.map(|session| utility(&self.clients[session.client])).sum();
         if wanted > 0.0 { (served / wanted).min(1.0) } else { 1.0 }
     }
 
-    /// Utility of well-served time over time asked for.
+    /// Returns the well-served time as a fraction of the wanted time, weighted by utility.
     pub fn service(&self) -> f64 {
         let sum = |time: fn(&ListenerTally) -> TickDuration| -> f64 {
             let by_listener = self.tallies.iter().zip(&self.listeners);
--- a/crates/larklink-simulation/src/faults.rs
+++ b/crates/larklink-simulation/src/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a scenario as single events in the order of time; their targets are drawn from the seed.
+//! Expands the faults of a scenario into single events ordered by time. Targets are selected at random from the seed.
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
@@ -6,102 +6,102 @@
 use crate::scenario::{FaultKind, FaultSpec, Scenario};
 use crate::time::{TickDuration, Timestamp};
 
-/// What happens to a proxy.
+/// A fault or an operation on a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProxyFault {
-    /// It is killed.
+    /// The proxy gets SIGKILL.
     Kill,
-    /// It is killed at the moment at which it has accepted its next connection.
+    /// The proxy gets SIGKILL when it has accepted its next connection.
     KillAtAccept {
-        /// How long after that it starts again; never, if there is none.
+        /// How long after that it restarts; `None` for never.
         back: Option<TickDuration>,
     },
-    /// It starts.
+    /// The proxy starts.
     Start,
-    /// It shuts down gracefully.
+    /// The proxy shuts down gracefully.
     Stop {
-        /// How long after its end it starts again; never, if there is none.
+        /// How long after its exit it restarts; `None` for never.
         back: Option<TickDuration>,
     },
-    /// It reads its settings again.
+    /// The proxy reloads its settings.
     Reload,
-    /// Another process takes over from it.
+    /// A successor process takes over.
     Replace,
 }
 
-/// A single fault. The event log has its `Debug` text.
+/// A single fault event. Its `Debug` text is written to the event log, so variant and field names must not change.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultEvent {
-    /// Something happens to the proxy of that number.
+    /// A fault of the proxy with this index.
     Proxy(usize, ProxyFault),
-    /// A server is silent.
+    /// A server becomes silent: it neither reads nor writes, and its connections stay open.
     Silence {
-        /// Its number.
+        /// The index of the server.
         server: usize,
-        /// Until when.
+        /// When that ends.
         until: Timestamp,
     },
-    /// A server is paused.
+    /// A server pauses processing.
     Pause {
-        /// Its number.
+        /// The index of the server.
         server: usize,
-        /// Until when.
+        /// When that ends.
         until: Timestamp,
     },
-    /// A server dies.
+    /// A server crashes.
     Die {
-        /// Its number.
+        /// The index of the server.
         server: usize,
     },
     /// A server starts.
     Back {
-        /// Its number.
+        /// The index of the server.
         server: usize,
     },
-    /// A server drains.
+    /// A server starts draining.
     Drain {
-        /// Its number.
+        /// The index of the server.
         server: usize,
     },
-    /// A server that drains stops.
+    /// A draining server migrates its remaining sessions and stops.
     Gone {
-        /// Its number.
+        /// The index of the server.
         server: usize,
     },
-    /// A server resets sessions that it has just accepted.
+    /// A server starts to reset some sessions right after it has accepted them, or stops doing so.
     Drops {
-        /// Its number.
+        /// The index of the server.
         server: usize,
-        /// One in so many; 0 for none.
+        /// One in this many sessions is reset; 0 for none.
         one_in: u64,
     },
-    /// The session store is slowed down.
+    /// The session store becomes slower, or recovers.
     StoreSlow {
-        /// How many times longer it takes.
+        /// The factor by which calls take longer; 1 for normal speed.
         factor: f64,
     },
-    /// The endpoint list is unreachable.
+    /// The endpoint list becomes unreachable.
     ListLost {
-        /// Until when.
+        /// When that ends.
         until: Timestamp,
     },
-    /// The endpoint list shows no changes.
+    /// The endpoint list becomes stale: it is reachable, but shows no changes.
     ListStill {
-        /// Until when.
+        /// When that ends.
         until: Timestamp,
     },
-    /// Clients lose their connections.
+    /// Client connections are reset.
     DropClients {
-        /// The share of those that are established.
+        /// The fraction of the established sessions that is affected.
         share: f64,
     },
 }
 
-/// A fault as a band, for plots. In a report it is an array of its fields.
+/// The time span of a fault, drawn as a band in plots. Serialized as an array of its fields.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(into = "(Timestamp, Timestamp, String)")]
 pub struct FaultBand {
-    /// When it begins.
+    /// When the fault begins.
     pub from: Timestamp,
     /// When it ends.
     pub to: Timestamp,
@@ -115,42 +115,42 @@
     }
 }
 
-/// A fault and its time.
+/// A fault event with its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TimedFault {
-    /// When it happens.
+    /// When it is injected.
     pub at: Timestamp,
-    /// What happens.
+    /// The fault event.
     pub event: FaultEvent,
 }
 
-/// All faults of a run.
+/// The faults of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FaultTimeline {
-    /// In the order of time.
+    /// The fault events, ordered by time.
     pub faults: Vec<TimedFault>,
-    /// For plots, in the order of the scenario.
+    /// The time spans for plots, in the order of the scenario.
     pub bands: Vec<FaultBand>,
 }
 
-/// Draws the faults of a scenario.
+/// Expands the faults of a scenario; `rng` selects their targets.
 pub fn timeline(scenario: &Scenario, rng: &mut ChaCha8Rng) -> FaultTimeline {
     let mut timeline = FaultTimeline::default();
     for fault in &scenario.faults {
         let fault = fault.get_ref();
         for repeat in 0..fault.repeats.unwrap_or(1) {
             let at = fault.at.0 + TickDuration::from(repeat) * fault.repeat_interval.unwrap_or_default().0;
-            let targets = draw_targets(scenario, fault, rng);
+            let targets = select_targets(scenario, fault, rng);
             let delay = |index: usize| {
-                let steps = (index / fault.batch_size.unwrap_or(1)) as TickDuration;
-                steps * fault.interval.unwrap_or_default().0
+                let batch = (index / fault.batch_size.unwrap_or(1)) as TickDuration;
+                batch * fault.interval.unwrap_or_default().0
             };
             let last_at = at + delay(targets.len().saturating_sub(1));
             let band_end = last_at + fault.duration.unwrap_or_default().0;
             let name = band_name(fault.kind).to_owned();
             timeline.bands.push(FaultBand { from: at, to: band_end, name });
             for (index, &target) in targets.iter().enumerate() {
-                add_fault(scenario, fault, at + delay(index), target, &mut timeline.faults);
+                add_fault_events(scenario, fault, at + delay(index), target, &mut timeline.faults);
             }
         }
     }
@@ -177,8 +177,8 @@
     }
 }
 
-/// The numbers of the proxies or servers that are struck.
-fn draw_targets(scenario: &Scenario, fault: &FaultSpec, rng: &mut ChaCha8Rng) -> Vec<usize> {
+/// Returns the indexes of the affected proxies or servers. Faults without a target get a single 0.
+fn select_targets(scenario: &Scenario, fault: &FaultSpec, rng: &mut ChaCha8Rng) -> Vec<usize> {
     let joins = fault.kind == FaultKind::ServersJoin;
     let mut candidates: Vec<usize> = match fault.kind {
         FaultKind::StoreSlow | FaultKind::ListLost | FaultKind::ListStill | FaultKind::ClientsDropped => {
@@ -193,8 +193,8 @@
             servers.filter(|(_, server)| server.listed != joins).map(|(index, _)| index).collect()
         }
     };
-    if let Some(which) = &fault.targets {
-        return which.clone();
+    if let Some(targets) = &fault.targets {
+        return targets.clone();
     }
     if let Some(share) = fault.share {
         candidates.shuffle(rng);
@@ -205,36 +205,36 @@
     candidates
 }
 
-/// Adds what happens to one target.
-fn add_fault(
+/// Adds the events of a fault for one target.
+fn add_fault_events(
     scenario: &Scenario,
     fault: &FaultSpec,
     at: Timestamp,
     target: usize,
     faults: &mut Vec<TimedFault>,
 ) {
-    let lasts = fault.duration.map(|lasts| lasts.0);
-    let until = at + lasts.unwrap_or(0);
+    let duration = fault.duration.map(|duration| duration.0);
+    let until = at + duration.unwrap_or(0);
     let mut add = |at, event| faults.push(TimedFault { at, event });
     let server = target;
     match fault.kind {
         FaultKind::ProxyKilled if fault.at_accept => {
-            add(at, FaultEvent::Proxy(target, ProxyFault::KillAtAccept { back: lasts }));
+            add(at, FaultEvent::Proxy(target, ProxyFault::KillAtAccept { back: duration }));
         }
         FaultKind::ProxyKilled => {
             add(at, FaultEvent::Proxy(target, ProxyFault::Kill));
-            if lasts.is_some() {
+            if duration.is_some() {
                 add(until, FaultEvent::Proxy(target, ProxyFault::Start));
             }
         }
-        FaultKind::ProxyStopped => add(at, FaultEvent::Proxy(target, ProxyFault::Stop { back: lasts })),
+        FaultKind::ProxyStopped => add(at, FaultEvent::Proxy(target, ProxyFault::Stop { back: duration })),
         FaultKind::ProxyReloaded => add(at, FaultEvent::Proxy(target, ProxyFault::Reload)),
         FaultKind::ProxyReplaced => add(at, FaultEvent::Proxy(target, ProxyFault::Replace)),
         FaultKind::ServerSilent => add(at, FaultEvent::Silence { server, until }),
         FaultKind::ServerPaused => add(at, FaultEvent::Pause { server, until }),
         FaultKind::ServerDied => {
             add(at, FaultEvent::Die { server });
-            if lasts.is_some() {
+            if duration.is_some() {
                 add(until, FaultEvent::Back { server });
             }
         }
--- a/crates/larklink-simulation/src/lib.rs
+++ b/crates/larklink-simulation/src/lib.rs
@@ -1,10 +1,10 @@
-//! What a proxy serves and is served by, as a model without I/O and clock: servers, a session store, clients, the
-//! external load balancer, the endpoint list, and the event log in which each of them records what it saw. Time is an
-//! argument and chance comes from a seed, so that the same model runs in simulated time ([`simulate`]) and, carried by
+//! A model of the environment of the proxies, without I/O and without a clock: servers, their session store, clients,
+//! the external load balancer and the endpoint list, with an event log of what each of them observed. Time is passed in
+//! and randomness comes from a seed, so the same model runs in simulated time ([`simulate`]) and, driven by
 //! `larklink-testbed`, on sockets.
 //!
-//! - [`scenario`] describes a run, [`faults`] makes its faults single events, and [`world`] joins all parts.
-//! - [`audit`] and [`goodput`] judge an event log.
+//! - [`scenario`] describes a run, [`faults`] expands its faults into timed events, and [`world`] combines all parts.
+//! - [`audit`] and [`goodput`] evaluate an event log.
 //! - [`lease_model`], [`lease_store`] and [`state_search`] check the leases of `larklink-coordination`.
 pub mod audit;
 pub mod clients;
--- a/crates/larklink-simulation/src/world.rs
+++ b/crates/larklink-simulation/src/world.rs
@@ -1,5 +1,5 @@
-//! The whole world of the proxies: time goes in, and what happens to clients, servers and proxies comes out as actions
-//! for a carrier.
+//! The complete model of the environment of the proxies. It is advanced in time and returns actions, which the caller
+//! performs: the simulation or the testbed.
 use std::iter::Peekable;
 use std::vec::IntoIter;
 
@@ -19,49 +19,50 @@
 use crate::session_store::SessionStore;
 use crate::time::{TickDuration, Timestamp};
 
-/// The longest that a message may be on its way, with what sockets may be late.
+/// A message that takes longer one way is logged as delayed: 1 s, plus 50 ms for delays of the sockets.
 const MAX_MESSAGE_DELAY: TickDuration = SECOND + SECOND / 20;
 /// Microseconds in one tick of a tenth of a millisecond.
 const MICROS_PER_TICK: f64 = 100.0;
-/// Streams of the random numbers, one for each use: another fault draws no other clients.
+/// Random number streams. Faults and clients have separate ones, so that a change of the faults does not change the
+/// clients.
 const FAULT_STREAM: u64 = 1;
 const CLIENT_STREAM: u64 = 2;
 
-/// What a carrier is to do.
+/// An action that the caller has to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorldAction {
     /// Send a server's message on one of its connections.
     Send {
-        /// The server's number.
+        /// The index of the server.
         server: usize,
         /// The connection.
         connection: ConnectionId,
         /// The message.
         message: ServerMessage,
     },
-    /// A server listens no more, and all its connections break.
+    /// Close a server's listening socket and reset all its connections.
     StopListening {
-        /// The server's number.
+        /// The index of the server.
         server: usize,
     },
-    /// A server listens.
+    /// Let a server listen.
     Listen {
-        /// The server's number.
+        /// The index of the server.
         server: usize,
     },
-    /// A client does something.
+    /// Perform an action of a client.
     Client(ClientAction),
-    /// The clients of these sessions lose their connections.
+    /// Reset the client connections of these sessions.
     DisconnectClients(Vec<u64>),
-    /// Something happens to the proxy of that number.
+    /// Apply a fault to the proxy with this index.
     Proxy(usize, ProxyFault),
-    /// The endpoint list has a newer version.
+    /// Notify the proxies of a new version of the endpoint list.
     EndpointListChanged,
 }
 
-/// The world of a scenario.
+/// The model of a scenario run, except for the proxies.
 pub struct World {
-    /// The servers, by their numbers.
+    /// The servers, by index.
     pub servers: Vec<Server>,
     /// The session store that they share.
     pub session_store: SessionStore,
@@ -71,9 +72,9 @@
     pub load_balancer: ExternalLoadBalancer,
     /// The endpoint list.
     pub endpoint_list: EndpointList,
-    /// What all of them saw.
+    /// What all parts observed.
     pub event_log: EventLog,
-    /// The faults as bands, for plots.
+    /// The time spans of the faults, for plots.
     pub fault_bands: Vec<FaultBand>,
     faults: Peekable<IntoIter<TimedFault>>,
 }
@@ -102,7 +103,7 @@
 }
 
 impl World {
-    /// The world of a scenario, from a seed.
+    /// Creates the model of a scenario. All random choices derive from `seed`.
     pub fn new(scenario: &Scenario, seed: u64) -> Self {
         let timeline = timeline(scenario, &mut random_stream(seed, FAULT_STREAM));
         let listeners = scenario.listeners.iter().map(|listener| listener.get_ref().clone()).collect();
@@ -129,14 +130,14 @@
         }
     }
 
-    /// When something happens next.
+    /// Returns when [`advance`](Self::advance) has to be called next.
     pub fn next_event_at(&mut self) -> Timestamp {
         let servers = self.servers.iter().map(Server::next_event_at).min().unwrap_or(Timestamp::MAX);
         let fault = self.faults.peek().map_or(Timestamp::MAX, |fault| fault.at);
         servers.min(fault).min(self.clients.next_event_at()).min(self.endpoint_list.next_event_at())
     }
 
-    /// All that happens by now.
+    /// Handles everything that is due by `now` and returns the resulting actions.
     pub fn advance(&mut self, now: Timestamp) -> Vec<WorldAction> {
         let mut actions = Vec::new();
         while let Some(fault) = self.faults.next_if(|fault| fault.at <= now) {
@@ -196,7 +197,7 @@
             }
             FaultEvent::Drain { server } => {
                 self.servers[server].drain();
-                self.change_list(now, server, EndpointStatus::Draining);
+                self.schedule_list_update(now, server, EndpointStatus::Draining);
             }
             FaultEvent::Gone { server } => {
                 let sessions = self.servers[server].sessions_held();
@@ -227,12 +228,12 @@
         ids
     }
 
-    fn change_list(&mut self, now: Timestamp, server: usize, status: EndpointStatus) {
+    fn schedule_list_update(&mut self, now: Timestamp, server: usize, status: EndpointStatus) {
         let started = self.servers[server].started().unwrap_or(0);
         self.endpoint_list.schedule_update(now, EndpointListEntry { server, status, started });
     }
 
-    /// Records what a server did, and adds what a carrier is to do.
+    /// Logs the outputs of a server and adds the actions that follow from them.
     fn apply_outputs(
         &mut self,
         now: Timestamp,
@@ -256,19 +257,19 @@
                 }
                 ServerOutput::Died => {
                     self.event_log.record(now, EventKind::ServerDied { server });
-                    self.change_list(now, server, EndpointStatus::Removed);
+                    self.schedule_list_update(now, server, EndpointStatus::Removed);
                     actions.push(WorldAction::StopListening { server });
                 }
                 ServerOutput::Started => {
                     self.event_log.record(now, EventKind::ServerStarted { server });
-                    self.change_list(now, server, EndpointStatus::Up);
+                    self.schedule_list_update(now, server, EndpointStatus::Up);
                     actions.push(WorldAction::Listen { server });
                 }
             }
         }
     }
 
-    /// The start of an attempt has reached a server, with how many milliseconds the proxy waits.
+    /// Handles the first line of an attempt at its server. `timeout_ms` is how long the proxy waits for the response.
     pub fn attempt_started(
         &mut self,
         now: Timestamp,
@@ -294,7 +295,7 @@
         actions
     }
 
-    /// An attempt, or the connection of an established session, ended at its server.
+    /// Handles the end of an attempt, or of the connection of an established session, at its server.
     pub fn attempt_ended(
         &mut self,
         now: Timestamp,
@@ -309,49 +310,55 @@
         self.event_log.record(now, EventKind::AttemptEnded { id, server, connection, end });
     }
 
-    /// A client's message has reached the server of its session; `sent` is when it was sent.
+    /// Handles a client's message at the server of its session. `sent_at` is when it was sent, if known.
     pub fn message_to_server(
         &mut self,
         now: Timestamp,
         server: usize,
         connection: ConnectionId,
         id: u64,
-        sent: Option<Timestamp>,
-        text: Vec<u8>,
+        sent_at: Option<Timestamp>,
+        payload: Vec<u8>,
     ) -> Vec<WorldAction> {
-        self.record_delay(now, id, Direction::ToServer, sent);
+        self.record_message_delay(now, id, Direction::ToServer, sent_at);
         let listener = self.clients.listener_of(id);
         let work = listener.map_or(0.0, |listener| self.clients.message_work(listener));
         let mut outputs = Vec::new();
         let mut actions = Vec::new();
-        self.servers[server].receive_message(now, connection, work, text, &mut outputs);
+        self.servers[server].receive_message(now, connection, work, payload, &mut outputs);
         self.apply_outputs(now, server, &mut outputs, &mut actions);
         actions
     }
 
-    fn record_delay(&mut self, now: Timestamp, id: u64, direction: Direction, sent: Option<Timestamp>) {
-        let took = sent.map_or(0, |at| now.saturating_sub(at));
+    fn record_message_delay(
+        &mut self,
+        now: Timestamp,
+        id: u64,
+        direction: Direction,
+        sent_at: Option<Timestamp>,
+    ) {
+        let took = sent_at.map_or(0, |at| now.saturating_sub(at));
         if took > MAX_MESSAGE_DELAY {
             self.event_log.record(now, EventKind::MessageDelayed { id, direction, took });
         }
     }
 
-    /// A client has received the final response.
+    /// Handles the final response at a client.
     pub fn response_received(&mut self, now: Timestamp, id: u64, response: ClientResponse) {
         self.event_log.record(now, EventKind::Answered { id, response });
         self.clients.response_received(now, id, response);
     }
 
-    /// The message of that number is back at its client; `sent` is when its server sent it back. Returns how long it
-    /// took in all, if the client waits for it.
+    /// Handles a message that has come back to its client. `sent_at` is when the server sent it, if known. Returns the
+    /// round-trip time if the message was in flight.
     pub fn message_returned(
         &mut self,
         now: Timestamp,
         id: u64,
         number: u64,
-        sent: Option<Timestamp>,
+        sent_at: Option<Timestamp>,
     ) -> Option<TickDuration> {
-        self.record_delay(now, id, Direction::ToClient, sent);
+        self.record_message_delay(now, id, Direction::ToClient, sent_at);
         let returned = self.clients.message_returned(now, id, number)?;
         let took = returned.took;
         if returned.late {
@@ -360,26 +367,26 @@
         Some(took)
     }
 
-    /// A connection ended before the final response.
+    /// Handles the end of a client connection before the final response.
     pub fn ended_without_response(&mut self, now: Timestamp, id: u64, end: ConnectionEnd) {
         self.event_log.record(now, EventKind::ConnectionEnded { id, end });
         self.clients.ended_without_response(now, id);
     }
 
-    /// The proxy of a request could not be reached.
+    /// Handles a request whose proxy was unreachable.
     pub fn proxy_unreachable(&mut self, now: Timestamp, id: u64, proxy: usize) {
         self.event_log.record(now, EventKind::ProxyUnreachable { id, proxy });
         self.clients.ended_without_response(now, id);
     }
 
-    /// The connection of an established session ended at its client.
+    /// Handles the end of the connection of an established session at its client.
     pub fn connection_ended(&mut self, now: Timestamp, id: u64, end: ConnectionEnd) {
         self.event_log.record(now, EventKind::ConnectionEnded { id, end });
         self.clients.connection_ended(now, id, end);
     }
 
-    /// The proxy to which the external load balancer sends a request. If there is none, the client retries as after a
-    /// connection without a response.
+    /// Returns the proxy to which the external load balancer sends a request. If there is none, the client retries as
+    /// after a connection that ended without a response.
     pub fn assign_proxy(&mut self, now: Timestamp, request: &ClientRequest) -> Option<usize> {
         let proxy = self.load_balancer.next_proxy(now, request.key);
         if proxy.is_none() {
@@ -388,27 +395,27 @@
         proxy
     }
 
-    /// A proxy answers.
+    /// Handles a proxy that has started and answers.
     pub fn proxy_up(&mut self, now: Timestamp, proxy: usize) {
         self.load_balancer.add_proxy(proxy);
         self.event_log.record(now, EventKind::ProxyUp { proxy });
     }
 
-    /// A proxy has exited.
+    /// Handles the exit of a proxy.
     pub fn proxy_exited(&mut self, now: Timestamp, proxy: usize, planned: bool) {
         self.load_balancer.proxy_died(now, proxy);
         self.event_log.record(now, EventKind::ProxyExited { proxy, planned });
     }
 
-    /// A proxy reads the endpoint list: its version, and the entries that are newer than the version that the proxy
-    /// has.
+    /// Returns the version of the endpoint list and the entries that changed after the version that the proxy knows,
+    /// and logs that the proxy was notified of them.
     pub fn notify_proxy(
         &mut self,
         now: Timestamp,
         proxy: usize,
-        after: Option<u64>,
+        known_version: Option<u64>,
     ) -> (u64, Vec<EndpointListEntry>) {
-        let entries = self.endpoint_list.entries_after(after);
+        let entries = self.endpoint_list.entries_after(known_version);
         for entry in &entries {
             let ready = entry.status == EndpointStatus::Up;
             self.event_log.record(now, EventKind::EndpointNotified { proxy, server: entry.server, ready });
