--- a/crates/larklink-simulation/src/simulate.rs
+++ b/crates/larklink-simulation/src/simulate.rs
@@ -1,5 +1,6 @@
-//! The world in simulated time, with the decisions of real proxies between clients and servers: no socket and no clock,
-//! and the same seed writes the same event log. Each message takes one hop.
+//! Runs the model in simulated time, with the real decision engine in each proxy between clients and servers. There are
+//! no sockets and no clock: the same seed produces the same event log. Each message takes a fixed time from one end of
+//! a connection to the other.
 
 use crate::audit::{Findings, audit};
 use crate::event_log::EventLog;
@@ -18,19 +19,19 @@
 
 pub use settings_object::settings;
 
-/// What came of a run.
+/// The result of a run.
 pub struct Run {
-    /// What clients, servers, load balancer and endpoint list logged.
+    /// What clients, servers, load balancer and endpoint list observed.
     pub event_log: EventLog,
-    /// What the audit found in the event log.
+    /// The findings of the audit of the event log.
     pub findings: Findings,
-    /// Utility of well-served time over time asked for, from 0 to 1.
+    /// The well-served time as a fraction of the wanted time, weighted by utility, from 0 to 1.
     pub service: f64,
-    /// Goodput after the last restart of a proxy; none if there was none.
+    /// The recovery of goodput after the last restart of a proxy; `None` without a restart.
     pub recovery: Option<Recovery>,
 }
 
-/// Runs a scenario from a seed.
+/// Runs a scenario. All random choices derive from `seed`.
 pub fn run(scenario: &Scenario, seed: u64) -> Run {
     let mut simulation = Simulation::new(scenario, seed);
     simulation.start_all_proxies();
--- a/crates/larklink-simulation/src/simulate/proxy.rs
+++ b/crates/larklink-simulation/src/simulate/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy of a simulation, and the sessions that it has.
+//! A simulated proxy and its sessions.
 use std::collections::BTreeMap;
 
 use larklink_engine::engine::{Engine, SessionId};
@@ -8,36 +8,36 @@
 use crate::server::ConnectionId;
 use crate::time::{TickDuration, Timestamp};
 
-/// The time of the decisions starts here, so that no server starts at 0, which means long ago.
-const ORIGIN: u64 = 100 * SECOND;
+/// The engine time at the start of a run. It is not 0, since a start time of 0 means that a server started long ago.
+const ENGINE_TIME_OFFSET: u64 = 100 * SECOND;
 
-/// The proxy's time at a time of the run.
+/// Converts simulated time to engine time.
 pub(super) fn engine_time(now: Timestamp) -> larklink_balancer::Timestamp {
-    larklink_balancer::Timestamp::from_ticks(ORIGIN + now)
+    larklink_balancer::Timestamp::from_ticks(ENGINE_TIME_OFFSET + now)
 }
 
-/// A duration in the engine's type.
+/// Converts a duration to the engine's type.
 pub(super) fn engine_duration(duration: TickDuration) -> larklink_balancer::TickDuration {
     larklink_balancer::TickDuration::from_ticks(duration)
 }
 
-/// A time of the engine as simulated time.
-fn simulated_time(time: larklink_balancer::Timestamp) -> Timestamp {
-    time.as_ticks().saturating_sub(ORIGIN)
+/// Converts engine time to simulated time.
+fn from_engine_time(time: larklink_balancer::Timestamp) -> Timestamp {
+    time.as_ticks().saturating_sub(ENGINE_TIME_OFFSET)
 }
 
-/// A session that a proxy has not answered for good.
+/// A session of a proxy that waits for its final response or is established.
 pub(super) struct ProxySession {
     pub(super) proxy: usize,
     pub(super) session: SessionId,
     pub(super) request: ClientRequest,
-    /// The connection to its server, for an attempt or established.
+    /// The current connection to a server, of an attempt in flight or of the established session.
     pub(super) connection: Option<ConnectionId>,
-    /// The connection on which it was accepted.
+    /// The connection on which it was accepted, if it was.
     pub(super) established_on: Option<ConnectionId>,
-    /// How long the latest attempt may take, as its server is notified, in milliseconds.
+    /// The timeout of the latest attempt in milliseconds, as sent to the server.
     pub(super) timeout_ms: u64,
-    /// Whether an attempt of it that has ended may have run.
+    /// Whether an attempt that has ended may have run.
     pub(super) may_have_run: bool,
 }
 
@@ -47,21 +47,21 @@
     }
 }
 
-/// One proxy.
+/// A proxy process with its engine.
 pub(super) struct Proxy {
     pub(super) engine: Engine,
     pub(super) alive: bool,
-    /// The number of its next session.
+    /// The engine id of its next session.
     pub(super) next_session: SessionId,
-    /// The client's ids of its sessions.
+    /// The session ids of the clients by engine session id.
     pub(super) sessions: BTreeMap<SessionId, u64>,
-    /// The version of the endpoint list that it has.
+    /// The version of the endpoint list that it knows.
     pub(super) list_version: Option<u64>,
-    /// When it exits at the latest; none unless it shuts down.
+    /// The latest time at which it exits; `None` unless it is shutting down.
     pub(super) exits_by: Option<Timestamp>,
-    /// How long after its end it starts again.
+    /// How long after its exit it restarts; `None` for never.
     pub(super) restart_after: Option<TickDuration>,
-    /// Whether it is killed with the next connection that it accepts.
+    /// Whether it is killed when it accepts its next connection.
     pub(super) killed_at_accept: bool,
 }
 
@@ -79,8 +79,9 @@
         }
     }
 
-    /// When its engine has to be polled next, in the time of the run; never, if it is dead.
+    /// Returns when its engine has to be polled next, in simulated time; [`Timestamp::MAX`] if the proxy is not
+    /// running.
     pub(super) fn next_wakeup(&self) -> Timestamp {
-        if self.alive { simulated_time(self.engine.next_wakeup()) } else { Timestamp::MAX }
+        if self.alive { from_engine_time(self.engine.next_wakeup()) } else { Timestamp::MAX }
     }
 }
--- a/crates/larklink-simulation/src/simulate/settings_object.rs
+++ b/crates/larklink-simulation/src/simulate/settings_object.rs
@@ -1,20 +1,20 @@
-//! The settings object of a scenario's proxies.
+//! Builds the settings object for the proxies of a scenario.
 use larklink_engine::units::NANOS_PER_TICK;
 use serde_json::{Value, json};
 
 use crate::scenario::{ListenerSpec, Scenario, SessionKind};
 use crate::time::TickDuration;
 
-/// What a placement in another zone costs at a proxy of the moved shape: more than a migration.
+/// The cost of a placement in another zone, for proxies of the moved shape. It is higher than that of a migration.
 const CROSS_ZONE_COST: f64 = 0.06;
-/// What a migration costs there.
+/// The cost of a migration, for proxies of the moved shape.
 const MIGRATION_COST: f64 = 0.02;
 
 fn nanos(ticks: TickDuration) -> u64 {
     ticks * NANOS_PER_TICK
 }
 
-/// The settings object that the proxy of that number is given.
+/// Returns the settings object of the proxy with this index.
 pub fn settings(scenario: &Scenario, proxy: usize) -> Value {
     let listeners: Vec<_> = scenario.listeners.iter().map(|listener| listener.get_ref()).collect();
     let message_objectives: Vec<_> =
--- a/crates/larklink-simulation/src/simulate/simulation.rs
+++ b/crates/larklink-simulation/src/simulate/simulation.rs
@@ -1,4 +1,4 @@
-//! The simulation: carries messages between the clients and servers of a world and the engines of its proxies.
+//! The simulation: delivers messages between the clients and servers of the model and the engines of the proxies.
 use larklink_balancer::{AttemptOutcome, Observation, SessionRequest};
 
 use crate::clients::ClientAction;
@@ -7,15 +7,15 @@
 use crate::faults::ProxyFault;
 use crate::scenario::Scenario;
 use crate::server::{ConnectionId, ServerMessage};
-use crate::simulate::connections::{Attempt, HealthCheck, OpenConnection, Purpose};
+use crate::simulate::connections::{Attempt, ConnectionPurpose, HealthCheck, OpenConnection};
 use crate::simulate::proxy::{Proxy, ProxySession, engine_duration, engine_time};
 use crate::simulate::scheduled_event::{ClientMessage, ScheduledEvent};
 use crate::simulate::shutdown;
-use crate::simulate::state::{HOP, SimulationState, endpoint_of};
+use crate::simulate::state::{ONE_WAY_DELAY, SimulationState, endpoint_of};
 use crate::time::{TickDuration, Timestamp};
 use crate::world::{World, WorldAction};
 
-/// How often an endpoint list that is out of reach is tried again.
+/// The interval at which proxies that are behind poll the endpoint list again.
 const LIST_RETRY_INTERVAL: TickDuration = SECOND / 10;
 
 /// A run in progress.
@@ -41,7 +41,7 @@
         }
     }
 
-    /// All that happens by now.
+    /// Handles everything that is due by `now`.
     pub(super) fn advance(&mut self, now: Timestamp) {
         while let Some((_, event)) = self.state.scheduled.pop_due(now) {
             self.handle(now, event);
@@ -53,7 +53,7 @@
         }
     }
 
-    /// When something happens next.
+    /// Returns when [`advance`](Self::advance) has to be called next.
     pub(super) fn next_event_at(&mut self) -> Timestamp {
         let proxies = self.state.proxies.iter().map(Proxy::next_wakeup).min().unwrap_or(Timestamp::MAX);
         self.state.world.next_event_at().min(self.state.scheduled.next_due_at()).min(proxies)
@@ -74,25 +74,28 @@
             WorldAction::Send { server, connection, message } => {
                 self.state
                     .scheduled
-                    .push(now + HOP, ScheduledEvent::ReachesProxy { server, connection, message });
+                    .push(now + ONE_WAY_DELAY, ScheduledEvent::ReachesProxy { server, connection, message });
             }
             WorldAction::StopListening { server } => {
                 for connection in self.state.connections.of_server(server) {
                     let message = ServerMessage::Reset;
-                    self.state
-                        .scheduled
-                        .push(now + HOP, ScheduledEvent::ReachesProxy { server, connection, message });
+                    self.state.scheduled.push(
+                        now + ONE_WAY_DELAY,
+                        ScheduledEvent::ReachesProxy { server, connection, message },
+                    );
                 }
             }
             WorldAction::Listen { .. } => {}
             WorldAction::Client(action) => self.apply_client_action(now, action),
             WorldAction::DisconnectClients(ids) => {
-                ids.into_iter().for_each(|id| self.state.client_gone(now, id));
+                ids.into_iter().for_each(|id| self.state.client_disconnected(now, id));
             }
             WorldAction::Proxy(proxy, fault) => self.apply_proxy_fault(now, proxy, fault),
             WorldAction::EndpointListChanged => {
                 for proxy in 0..self.state.proxies.len() {
-                    self.state.scheduled.push(now + HOP, ScheduledEvent::EndpointListChanged { proxy });
+                    self.state
+                        .scheduled
+                        .push(now + ONE_WAY_DELAY, ScheduledEvent::EndpointListChanged { proxy });
                 }
             }
         }
@@ -105,7 +108,7 @@
                 proxy.killed_at_accept = proxy.alive;
                 proxy.restart_after = back;
             }
-            ProxyFault::Kill => self.state.end_proxy(now, proxy, false),
+            ProxyFault::Kill => self.state.proxy_exited(now, proxy, false),
             ProxyFault::Stop { back } => shutdown::shut_down_proxy(&mut self.state, now, proxy, back),
             ProxyFault::Start => self.state.start_proxy(now, proxy),
             ProxyFault::Reload | ProxyFault::Replace => {}
@@ -118,13 +121,17 @@
                 if let Some(proxy) = self.state.world.assign_proxy(now, &request) {
                     let opened = EventKind::Opened { request: request.clone(), proxy };
                     self.state.world.event_log.record(now, opened);
-                    self.state.scheduled.push(now + HOP, ScheduledEvent::ClientConnects { proxy, request });
+                    self.state
+                        .scheduled
+                        .push(now + ONE_WAY_DELAY, ScheduledEvent::ClientConnects { proxy, request });
                 }
             }
             ClientAction::SendMessage { id, number } => {
-                self.state.scheduled.push(now + HOP, ScheduledEvent::ClientMessage { id, number });
+                self.state.scheduled.push(now + ONE_WAY_DELAY, ScheduledEvent::ClientMessage { id, number });
+            }
+            ClientAction::TimeOut { id } | ClientAction::Leave { id } => {
+                self.state.client_disconnected(now, id)
             }
-            ClientAction::TimeOut { id } | ClientAction::Leave { id } => self.state.client_gone(now, id),
             ClientAction::Silent { .. } => {}
         }
     }
@@ -147,7 +154,7 @@
                 self.server_message(now, server, connection, message);
             }
             ScheduledEvent::ReachesClient { id, message } => self.reaches_client(now, id, message),
-            ScheduledEvent::TimeLimit(connection) => {
+            ScheduledEvent::TimedOut(connection) => {
                 self.connection_ended(now, connection, AttemptOutcome::TimedOut);
             }
             ScheduledEvent::ConnectFailed(connection) => {
@@ -160,8 +167,8 @@
         let connection = self.state.sessions.get(&id).and_then(|session| session.connection);
         let Some(connection) = connection else { return };
         if let Some(open) = self.state.connections.get(connection) {
-            let text = number.to_le_bytes().to_vec();
-            let actions = self.state.world.message_to_server(now, open.server, connection, id, None, text);
+            let payload = number.to_le_bytes().to_vec();
+            let actions = self.state.world.message_to_server(now, open.server, connection, id, None, payload);
             self.apply(now, actions);
         }
     }
@@ -202,7 +209,7 @@
         };
         self.state.sessions.insert(proxy_session.request.id, proxy_session);
         if std::mem::take(&mut self.state.proxies[proxy].killed_at_accept) {
-            self.state.end_proxy(now, proxy, false);
+            self.state.proxy_exited(now, proxy, false);
             return self.state.schedule_restart(now, proxy);
         }
         let engine = &mut self.state.proxies[proxy].engine;
@@ -213,8 +220,10 @@
 
     fn reaches_server(&mut self, now: Timestamp, server: usize, connection: ConnectionId) {
         match self.state.connections.get(connection).map(|open| open.purpose) {
-            Some(Purpose::HealthCheck(_)) => self.state.world.servers[server].check_health(now, connection),
-            Some(Purpose::Attempt(Attempt { id, .. })) => {
+            Some(ConnectionPurpose::HealthCheck(_)) => {
+                self.state.world.servers[server].check_health(now, connection)
+            }
+            Some(ConnectionPurpose::Attempt(Attempt { id, .. })) => {
                 let Some(session) = self.state.sessions.get(&id) else { return };
                 let timeout_ms = session.timeout_ms;
                 let listener = session.request.listener;
@@ -234,10 +243,10 @@
         message: ServerMessage,
     ) {
         match self.state.connections.get(connection).map(|open| open.purpose) {
-            Some(Purpose::Attempt(attempt)) => {
+            Some(ConnectionPurpose::Attempt(attempt)) => {
                 self.attempt_message(now, server, connection, attempt, message);
             }
-            Some(Purpose::HealthCheck(check)) => {
+            Some(ConnectionPurpose::HealthCheck(check)) => {
                 self.state.connections.close(connection);
                 self.health_check_message(now, server, check, &message);
             }
@@ -258,7 +267,7 @@
             }
             _ => (AttemptOutcome::Reset, Vec::new()),
         };
-        let took = now + HOP - check.sent_at;
+        let took = now + ONE_WAY_DELAY - check.sent_at;
         let engine = &mut self.state.proxies[check.proxy].engine;
         engine.health_checked(
             engine_time(now),
@@ -288,8 +297,8 @@
                 let observation = Observation::Load(load);
                 engine.observe(engine_time(now), attempt.session, attempt.number, observation);
             }
-            ServerMessage::Message(text) => {
-                let number = u64::from_le_bytes(text.try_into().unwrap_or_default());
+            ServerMessage::Message(payload) => {
+                let number = u64::from_le_bytes(payload.try_into().unwrap_or_default());
                 self.state.send_to_client(now, attempt.id, ClientMessage::Message(number));
             }
             ServerMessage::AtCapacity => self.connection_ended(now, connection, AttemptOutcome::AtCapacity),
@@ -315,12 +324,14 @@
         self.state.send_to_client(now, id, ClientMessage::Response(ClientResponse::Accepted));
     }
 
-    /// An attempt, a health check or the connection of an established session has ended.
+    /// Handles the end of an attempt, a health check or the connection of an established session.
     fn connection_ended(&mut self, now: Timestamp, connection: ConnectionId, outcome: AttemptOutcome) {
         let Some(OpenConnection { server, purpose }) = self.state.connections.get(connection) else { return };
         match purpose {
-            Purpose::Attempt(attempt) => self.attempt_ended(now, server, connection, attempt, outcome),
-            Purpose::HealthCheck(check) => {
+            ConnectionPurpose::Attempt(attempt) => {
+                self.attempt_ended(now, server, connection, attempt, outcome)
+            }
+            ConnectionPurpose::HealthCheck(check) => {
                 self.state.connections.close(connection);
                 let took = now - check.sent_at;
                 let engine = &mut self.state.proxies[check.proxy].engine;
@@ -343,25 +354,26 @@
         attempt: Attempt,
         outcome: AttemptOutcome,
     ) {
-        let Attempt { proxy, session: number, id, .. } = attempt;
-        let session = self.state.sessions.get_mut(&id);
-        let established = session.as_ref().is_some_and(|session| session.established_on == Some(connection));
+        let Attempt { proxy, session, id, .. } = attempt;
+        let proxy_session = self.state.sessions.get_mut(&id);
+        let established =
+            proxy_session.as_ref().is_some_and(|session| session.established_on == Some(connection));
         if outcome == AttemptOutcome::TimedOut && established {
             return;
         }
-        if let Some(session) = session {
-            session.connection = None;
-            session.may_have_run |= !outcome.never_ran();
+        if let Some(proxy_session) = proxy_session {
+            proxy_session.connection = None;
+            proxy_session.may_have_run |= !outcome.never_ran();
         }
         self.state.connections.close(connection);
         if let Some(end) = attempt_end(outcome) {
             self.state.world.attempt_ended(now, server, connection, id, end);
         }
         let engine = &mut self.state.proxies[proxy].engine;
-        let action = engine.attempt_ended(engine_time(now), number, attempt.number, outcome, established);
+        let action = engine.attempt_ended(engine_time(now), session, attempt.number, outcome, established);
         if let Some(action) = action {
             self.state.apply_proxy_action(now, proxy, action);
-        } else if established && self.state.proxies[proxy].sessions.remove(&number).is_some() {
+        } else if established && self.state.proxies[proxy].sessions.remove(&session).is_some() {
             let migrated = outcome == AttemptOutcome::Cancelled;
             let message = if migrated { ClientMessage::Migrate } else { ClientMessage::ConnectionEnded };
             self.state.send_to_client(now, id, message);
@@ -381,7 +393,7 @@
     }
 }
 
-/// What the event log says of the end of an attempt; nothing if its server never saw it.
+/// Returns the end of an attempt as the event log has it, or `None` if the server never received the attempt.
 fn attempt_end(outcome: AttemptOutcome) -> Option<AttemptEnd> {
     match outcome {
         AttemptOutcome::AtCapacity => Some(AttemptEnd::Rejected),
--- a/crates/larklink-simulation/src/simulate/state.rs
+++ b/crates/larklink-simulation/src/simulate/state.rs
@@ -1,4 +1,4 @@
-//! The state of a simulation, and what its proxies do by themselves.
+//! The state of a simulation and the actions of its proxies.
 use std::collections::BTreeMap;
 
 use larklink_balancer::{EndpointEntry, EndpointIndex, EndpointState, ListScope};
@@ -11,22 +11,22 @@
 use crate::event_queue::EventQueue;
 use crate::scenario::Scenario;
 use crate::server::{ConnectionId, ServerState};
-use crate::simulate::connections::{Attempt, Connections, HealthCheck, Purpose};
+use crate::simulate::connections::{Attempt, ConnectionPurpose, Connections, HealthCheck};
 use crate::simulate::proxy::{Proxy, ProxySession, engine_time};
 use crate::simulate::scheduled_event::{ClientMessage, ScheduledEvent};
 use crate::simulate::settings_object::settings;
 use crate::time::{TickDuration, Timestamp};
 use crate::world::World;
 
-/// From one end of a connection to the other.
-pub(super) const HOP: TickDuration = 2;
+/// The time that a message takes from one end of a connection to the other.
+pub(super) const ONE_WAY_DELAY: TickDuration = 2;
 
-/// The world, the proxies and what is in flight between them.
+/// The model, the proxies and the events scheduled between them.
 pub(super) struct SimulationState<'a> {
     pub(super) scenario: &'a Scenario,
     pub(super) world: World,
     pub(super) proxies: Vec<Proxy>,
-    /// By the client's id of each session.
+    /// By the session id of the client.
     pub(super) sessions: BTreeMap<u64, ProxySession>,
     pub(super) connections: Connections,
     pub(super) scheduled: EventQueue<ScheduledEvent>,
@@ -47,25 +47,25 @@
     }
 
     pub(super) fn send_to_client(&mut self, now: Timestamp, id: u64, message: ClientMessage) {
-        self.scheduled.push(now + HOP, ScheduledEvent::ReachesClient { id, message });
+        self.scheduled.push(now + ONE_WAY_DELAY, ScheduledEvent::ReachesClient { id, message });
     }
 
     pub(super) fn new_engine(&self, now: Timestamp, proxy: usize) -> Engine {
-        let text = settings(self.scenario, proxy).to_string();
-        // Valid by construction: the settings object is of our own make.
-        let settings = ProxySettings::from_json(text.as_bytes()).expect("a valid settings object");
+        let json = settings(self.scenario, proxy).to_string();
+        // The settings object is built from a validated scenario, so it is always valid.
+        let settings = ProxySettings::from_json(json.as_bytes()).expect("a valid settings object");
         let seed = self.seed.wrapping_mul(1000).wrapping_add(proxy as u64 + now);
         Engine::new(&settings, seed, engine_time(now))
     }
 
-    /// A proxy reads what it lacks of the endpoint list, if that can be reached.
+    /// Passes the entries of the endpoint list that a proxy does not know to its engine, if the list is reachable.
     pub(super) fn update_endpoints(&mut self, now: Timestamp, proxy: usize) {
         if !self.proxies[proxy].alive || !self.world.endpoint_list.is_reachable(now) {
             return;
         }
-        let known = self.proxies[proxy].list_version;
-        let (version, entries) = self.world.notify_proxy(now, proxy, known);
-        let scope = if known.is_some() { ListScope::Changes } else { ListScope::Complete };
+        let known_version = self.proxies[proxy].list_version;
+        let (version, entries) = self.world.notify_proxy(now, proxy, known_version);
+        let scope = if known_version.is_some() { ListScope::Changes } else { ListScope::Complete };
         let weights: Vec<f64> = self.scenario.each_server().map(|server| server.weight).collect();
         let zones = self.scenario.proxies.zones;
         let entries = entries.iter().map(|entry| endpoint_entry(entry, weights[entry.server], zones));
@@ -84,7 +84,8 @@
         }
     }
 
-    pub(super) fn end_proxy(&mut self, now: Timestamp, proxy: usize, planned: bool) {
+    /// Handles the exit of a proxy. Its remaining sessions are migrated if the exit was planned and lost otherwise.
+    pub(super) fn proxy_exited(&mut self, now: Timestamp, proxy: usize, planned: bool) {
         self.proxies[proxy].alive = false;
         let sessions = std::mem::take(&mut self.proxies[proxy].sessions);
         self.world.proxy_exited(now, proxy, planned);
@@ -102,7 +103,7 @@
         }
     }
 
-    /// The proxy closes the connection of a session to its server.
+    /// Closes the server connection of a session from the side of the proxy.
     pub(super) fn close_connection(&mut self, now: Timestamp, id: u64) {
         let connection = self.sessions.get_mut(&id).and_then(|session| session.connection.take());
         let Some(connection) = connection else { return };
@@ -111,7 +112,7 @@
         }
     }
 
-    pub(super) fn client_gone(&mut self, now: Timestamp, id: u64) {
+    pub(super) fn client_disconnected(&mut self, now: Timestamp, id: u64) {
         self.close_connection(now, id);
         if let Some(session) = self.sessions.remove(&id) {
             let proxy = &mut self.proxies[session.proxy];
@@ -121,7 +122,8 @@
         }
     }
 
-    pub(super) fn answer(
+    /// Sends the final response to a session that was not accepted, and removes the session.
+    pub(super) fn respond(
         &mut self,
         now: Timestamp,
         proxy: usize,
@@ -151,9 +153,9 @@
             }
             ProxyAction::Reject { session, retry_after } => {
                 let retry_after_ms = retry_after.as_millis_rounded_up();
-                self.answer(now, proxy, session, ClientResponse::Rejected(retry_after_ms));
+                self.respond(now, proxy, session, ClientResponse::Rejected(retry_after_ms));
             }
-            ProxyAction::Fail { session } => self.answer(now, proxy, session, ClientResponse::Failed),
+            ProxyAction::Fail { session } => self.respond(now, proxy, session, ClientResponse::Failed),
             ProxyAction::Migrate { session } => {
                 if let Some(id) = self.proxies[proxy].sessions.remove(&session) {
                     self.close_connection(now, id);
@@ -163,10 +165,10 @@
             ProxyAction::CheckHealth { endpoint } => {
                 let server = server_of(endpoint);
                 let check = HealthCheck { proxy, sent_at: now };
-                let connection = self.connections.open(server, Purpose::HealthCheck(check));
+                let connection = self.connections.open(server, ConnectionPurpose::HealthCheck(check));
                 let timeout = self.scenario.rules.connect_timeout.0;
                 self.connect(now, server, connection, timeout);
-                self.scheduled.push(now + timeout, ScheduledEvent::TimeLimit(connection));
+                self.scheduled.push(now + timeout, ScheduledEvent::TimedOut(connection));
             }
             ProxyAction::LimitSendDeadline { .. } | ProxyAction::PollEndpointList | ProxyAction::Log(_) => {}
         }
@@ -179,16 +181,16 @@
         server: usize,
         timeout: TickDuration,
     ) {
-        let connection = self.connections.open(server, Purpose::Attempt(attempt));
+        let connection = self.connections.open(server, ConnectionPurpose::Attempt(attempt));
         if let Some(session) = self.sessions.get_mut(&attempt.id) {
             session.connection = Some(connection);
             session.timeout_ms = timeout / TICKS_PER_MS;
         }
         self.connect(now, server, connection, timeout.min(self.scenario.rules.connect_timeout.0));
-        self.scheduled.push(now + timeout, ScheduledEvent::TimeLimit(connection));
+        self.scheduled.push(now + timeout, ScheduledEvent::TimedOut(connection));
     }
 
-    /// A dead server refuses at once; a silent one never answers.
+    /// Opens a connection to a server. A dead server refuses it at once; with a silent one it times out.
     pub(super) fn connect(
         &mut self,
         now: Timestamp,
@@ -198,13 +200,14 @@
     ) {
         match self.world.servers[server].state() {
             ServerState::Dead => {
-                self.scheduled.push(now + 2 * HOP, ScheduledEvent::ConnectFailed(connection));
+                self.scheduled.push(now + 2 * ONE_WAY_DELAY, ScheduledEvent::ConnectFailed(connection));
             }
             ServerState::Silent => {
                 self.scheduled.push(now + timeout, ScheduledEvent::ConnectFailed(connection));
             }
             ServerState::Up | ServerState::Draining => {
-                self.scheduled.push(now + HOP, ScheduledEvent::ReachesServer { server, connection });
+                self.scheduled
+                    .push(now + ONE_WAY_DELAY, ScheduledEvent::ReachesServer { server, connection });
             }
         }
     }
@@ -214,7 +217,7 @@
     endpoint as usize - 1
 }
 
-/// Endpoints are numbered from 1, servers from 0.
+/// Endpoint ids start at 1, server indexes at 0.
 pub(super) fn endpoint_of(server: usize) -> u32 {
     server as u32 + 1
 }
