--- a/crates/larklink-simulation/src/server.rs
+++ b/crates/larklink-simulation/src/server.rs
@@ -272,7 +272,7 @@
         }
     }
 
-    /// Handles a connection that the other side has closed. A setup in progress goes on as abandoned.
+    /// Handles a connection that the other side has closed. A setup in progress continues, but counts as abandoned.
     pub fn connection_closed(&mut self, connection: ConnectionId) {
         let closed = self.sessions.remove(&connection);
         if let Some(session) = closed.filter(|session| !session.established) {
@@ -399,7 +399,7 @@
         if self.load_meter.is_due(now) {
             let established = self.sessions.values().filter(|session| session.established);
             let load = established.map(|session| session.load).sum();
-            let sessions = SessionLoad { held: self.sessions.len(), load };
+            let sessions = SessionLoad { count: self.sessions.len(), load };
             self.load_meter.make_report(now, self.capacity(now), sessions);
         }
         while let Some((due_at, timer)) = self.timers.pop_due(now) {
--- a/crates/larklink-simulation/src/server/load_meter.rs
+++ b/crates/larklink-simulation/src/server/load_meter.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct SessionLoad {
     /// The number of sessions, established or being set up.
-    pub(super) held: usize,
+    pub(super) count: usize,
     /// The load of the established ones, in microseconds of work per second.
     pub(super) load: f64,
 }
@@ -61,7 +61,7 @@
         // where it is greater: it includes session setups.
         let requested = (sessions.load * duration / SECOND as f64).max(self.requested_work);
         self.report = LoadReport {
-            sessions: sessions.held,
+            sessions: sessions.count,
             utilization: (self.completed_work / possible).min(1.0),
             load: requested / possible,
         };
