--- a/crates/larklink-adapter/src/event.rs
+++ b/crates/larklink-adapter/src/event.rs
@@ -243,7 +243,7 @@
 fn endpoint_entry(entry: Fields) -> EndpointEntry {
     let started_at = entry.nanos(offset::ENTRY_STARTED_AT);
     EndpointEntry {
-        endpoint: EndpointIndex(0),
+        index: EndpointIndex(0),
         id: entry.u32(offset::ENTRY_ID),
         zone: entry.u16(offset::ENTRY_ZONE),
         cell: entry.u16(offset::ENTRY_CELL),
@@ -295,7 +295,9 @@
     let amount = f64::from(event.f32(offset::OBSERVED_AMOUNT));
     match event.u8(offset::OBSERVED_KIND) {
         OBSERVED_LOAD => Some(Observation::Load(amount)),
-        OBSERVED_LATENCY => Some(Observation::MessageLatency(TickDuration::from_f64(amount * TICKS_PER_MS))),
+        OBSERVED_LATENCY => {
+            Some(Observation::MessageLatency(TickDuration::from_ticks_f64(amount * TICKS_PER_MS)))
+        }
         _ => None,
     }
 }
--- a/crates/larklink-balancer/src/balancer.rs
+++ b/crates/larklink-balancer/src/balancer.rs
@@ -111,8 +111,8 @@
 
     /// Reports that another process of this proxy received the sessions until now. It may still send retries
     /// for them, which count towards the retry budget.
-    pub fn take_over(&mut self, now: Timestamp) {
-        self.retry_budget.take_over(now, self.settings.max_dial_timeout);
+    pub fn take_over_from_predecessor(&mut self, now: Timestamp) {
+        self.retry_budget.take_over_from_predecessor(now, self.settings.max_dial_timeout);
     }
 
     /// Accepts a session that has reached this proxy and decides on it.
--- a/crates/larklink-balancer/src/bucket_table.rs
+++ b/crates/larklink-balancer/src/bucket_table.rs
@@ -50,7 +50,7 @@
     let score = |endpoint: &Endpoint| {
         let entry = endpoint.entry();
         let score = rendezvous_score(bucket, entry.id, endpoints.weight(endpoint));
-        Scored { score, id: entry.id, endpoint: entry.endpoint }
+        Scored { score, id: entry.id, endpoint: entry.index }
     };
     let mut scored: Vec<_> = endpoints.iter().filter(|endpoint| filter(endpoint)).map(score).collect();
     scored.sort_by(|a, b| b.score.total_cmp(&a.score).then(a.id.cmp(&b.id)));
--- a/crates/larklink-balancer/src/concurrency_limit.rs
+++ b/crates/larklink-balancer/src/concurrency_limit.rs
@@ -84,7 +84,7 @@
     /// proxies do not attempt in lockstep. An open circuit admits a half-open attempt all the same: otherwise
     /// it would reject all sessions long after the store has recovered.
     pub(crate) fn admits(&self, now: Timestamp, rng: &mut ChaCha8Rng) -> bool {
-        let since_last = now.saturating_since(self.pacing.last_attempt_ended_at).as_f64();
+        let since_last = now.saturating_since(self.pacing.last_attempt_ended_at).as_ticks_f64();
         let probability = (since_last / self.pacing.min_interval).min(1.0);
         f64::from(self.in_flight) < self.limit
             && (stochastic_round(probability, rng) > 0.0 || self.circuit.half_open(now))
@@ -128,7 +128,7 @@
         took: TickDuration,
         dial_timeout: TickDuration,
     ) -> bool {
-        let promptness = 1.0 - SLOW_ATTEMPT_DIVISOR * took.as_f64() / dial_timeout.as_f64();
+        let promptness = 1.0 - SLOW_ATTEMPT_DIVISOR * took.as_ticks_f64() / dial_timeout.as_ticks_f64();
         let mut fell_below_reported = false;
         if promptness > 0.0 {
             self.increase(promptness);
@@ -139,7 +139,7 @@
                 fell_below_reported = self.decrease(outcome);
             }
         }
-        let min_interval = took.as_f64() * (1.0 / self.limit - 1.0).max(0.0);
+        let min_interval = took.as_ticks_f64() * (1.0 / self.limit - 1.0).max(0.0);
         self.pacing = Pacing { last_attempt_ended_at: now, min_interval };
         fell_below_reported
     }
--- a/crates/larklink-balancer/src/endpoint.rs
+++ b/crates/larklink-balancer/src/endpoint.rs
@@ -143,15 +143,15 @@
     /// Applies an endpoint list or its changes.
     pub(crate) fn update(&mut self, now: Timestamp, scope: ListScope, entries: &[EndpointEntry]) {
         if scope != ListScope::Changes {
-            let listed: BTreeSet<_> = entries.iter().map(|entry| entry.endpoint).collect();
+            let listed: BTreeSet<_> = entries.iter().map(|entry| entry.index).collect();
             for endpoint in &mut self.endpoints {
-                if endpoint.is_ready() && !listed.contains(&endpoint.entry.endpoint) {
+                if endpoint.is_ready() && !listed.contains(&endpoint.entry.index) {
                     endpoint.mark_removed(now);
                 }
             }
         }
         for &entry in entries {
-            self.get_or_insert(entry.endpoint).update(now, scope, entry);
+            self.get_or_insert(entry.index).update(now, scope, entry);
         }
     }
 
--- a/crates/larklink-balancer/src/event.rs
+++ b/crates/larklink-balancer/src/event.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EndpointEntry {
     /// The index that the caller assigned to the endpoint.
-    pub endpoint: EndpointIndex,
+    pub index: EndpointIndex,
     /// The endpoint's id, the same at every proxy. It is an input of the bucket table's hash.
     pub id: u32,
     /// The endpoint's zone.
@@ -87,7 +87,7 @@
 
 impl AttemptOutcome {
     /// Returns whether the outcome proves that the attempt had no effect on the endpoint.
-    pub fn never_ran(self) -> bool {
+    pub fn proves_not_run(self) -> bool {
         matches!(self, Self::AtCapacity | Self::ConnectFailed | Self::NotSent)
     }
 }
--- a/crates/larklink-balancer/src/health_check.rs
+++ b/crates/larklink-balancer/src/health_check.rs
@@ -20,7 +20,7 @@
 /// How long the result of a check is fresh.
 const RESULT_VALIDITY: TickDuration = TickDuration::from_secs(1);
 /// The minimum time, in connect timeouts, that a client must have left for its session to wait for a check.
-const MIN_PATIENCE: u64 = 2;
+const MIN_TIME_LEFT_FOR_CHECK: u64 = 2;
 
 /// The health checks of an endpoint.
 #[derive(Clone, Debug)]
@@ -75,7 +75,8 @@
         let max_interval = settings.connect_timeout * INTERVAL_OF_ONE_SESSION;
         let sessions = u64::from(load.sessions().max(1));
         if settings.load_reports {
-            let by_load = TickDuration::from_f64(max_interval.as_f64() / load.total().max(sessions as f64));
+            let by_load =
+                TickDuration::from_ticks_f64(max_interval.as_ticks_f64() / load.total().max(sessions as f64));
             let occupied_for = last_sent_at.saturating_since(load.occupied_since());
             last_sent_at + by_load.min(min_interval + occupied_for).max(min_interval)
         } else {
@@ -99,7 +100,7 @@
             && session.attempts() == 0
             && !session.request().established
             && session.may_await_health_check()
-            && session.deadline() > now + settings.connect_timeout * MIN_PATIENCE;
+            && session.deadline() > now + settings.connect_timeout * MIN_TIME_LEFT_FOR_CHECK;
         may_wait && load.sessions() == 0 && !self.has_fresh_success(now, outlier)
     }
 
--- a/crates/larklink-balancer/src/lib.rs
+++ b/crates/larklink-balancer/src/lib.rs
@@ -48,7 +48,7 @@
 //! };
 //! let mut balancer = Balancer::new(settings, 42, start);
 //! let entries = [0, 1].map(|endpoint| EndpointEntry {
-//!     endpoint: EndpointIndex(endpoint),
+//!     index: EndpointIndex(endpoint),
 //!     id: 100 + endpoint as u32,
 //!     state: EndpointState::Ready,
 //!     weight: 1.0,
--- a/crates/larklink-balancer/src/load.rs
+++ b/crates/larklink-balancer/src/load.rs
@@ -97,7 +97,7 @@
         tolerated: TickDuration,
     ) {
         if latency > tolerated {
-            let doublings = (latency.as_f64() / tolerated.as_f64()).log2().max(1.0);
+            let doublings = (latency.as_ticks_f64() / tolerated.as_ticks_f64()).log2().max(1.0);
             self.overload.until = now + OVERLOAD_VALIDITY;
             self.overload.excess = EXCESS_PER_LATENCY_DOUBLING * doublings;
         } else {
@@ -139,7 +139,8 @@
 
     /// Grows the load limit over `elapsed`.
     pub(crate) fn grow_limit(&mut self, elapsed: TickDuration) {
-        self.limit *= 1.0 + LIMIT_GROWTH_PER_SECOND * elapsed.as_f64() / TickDuration::from_secs(1).as_f64();
+        self.limit *= 1.0
+            + LIMIT_GROWTH_PER_SECOND * elapsed.as_ticks_f64() / TickDuration::from_secs(1).as_ticks_f64();
     }
 
     /// Returns whether a session of this load would exceed the load limit.
--- a/crates/larklink-balancer/src/migration.rs
+++ b/crates/larklink-balancer/src/migration.rs
@@ -50,8 +50,8 @@
     /// Replenishes a part of the spent budget for `elapsed`.
     pub(crate) fn replenish(&mut self, elapsed: TickDuration) {
         let spent = 1.0 - self.remaining;
-        self.remaining +=
-            spent * BUDGET_RETURN_PER_SECOND * elapsed.as_f64() / TickDuration::from_secs(1).as_f64();
+        self.remaining += spent * BUDGET_RETURN_PER_SECOND * elapsed.as_ticks_f64()
+            / TickDuration::from_secs(1).as_ticks_f64();
     }
 
     fn spend(&mut self) {
@@ -70,7 +70,7 @@
     let fraction = match endpoint.closing_notified_at() {
         Some(notified_at) if endpoint.is_draining() && !endpoint.outlier.is_ejected() => {
             let empty_at = notified_at + settings.drain_grace * DRAIN_SPREAD;
-            interval.as_f64() / empty_at.saturating_since(now).max(interval).as_f64()
+            interval.as_ticks_f64() / empty_at.saturating_since(now).max(interval).as_ticks_f64()
         }
         _ => EJECTED_FRACTION,
     };
--- a/crates/larklink-balancer/src/outlier.rs
+++ b/crates/larklink-balancer/src/outlier.rs
@@ -14,11 +14,11 @@
 /// The prior of alpha and beta, and their lower bound.
 const PRIOR: f64 = 1.0;
 /// The upper bound of alpha and beta, including the prior.
-const MAX_EVIDENCE: f64 = 8.0;
+const MAX_PSEUDO_COUNT: f64 = 8.0;
 /// The fraction of the successes that is kept at a failure.
-const SUCCESSES_KEPT_BY_FAILURE: f64 = 0.5;
+const SUCCESS_RETENTION_ON_FAILURE: f64 = 0.5;
 /// The fraction of the failures that is dropped at a success, and at the first response after a failure.
-const FAILURES_DROPPED: f64 = 0.5;
+const FAILURE_DISCOUNT_ON_SUCCESS: f64 = 0.5;
 /// The fraction of the failures that is dropped per second.
 const FAILURE_DECAY_PER_SECOND: f64 = 0.1;
 /// An endpoint whose beta, its failures including the prior, exceeds this is suspect.
@@ -78,7 +78,7 @@
     /// Records that the process responds. This does not count as a success, as it may accept connections only
     /// to drop them.
     pub(crate) fn record_response(&mut self, now: Timestamp) {
-        self.drop_failures(if self.consecutive_failures > 0 { FAILURES_DROPPED } else { 0.0 });
+        self.drop_failures(if self.consecutive_failures > 0 { FAILURE_DISCOUNT_ON_SUCCESS } else { 0.0 });
         if self.connection_failed {
             self.connection_failed = false;
             self.recovered_at = now;
@@ -93,8 +93,8 @@
     pub(crate) fn record_success(&mut self, now: Timestamp, attempt_started_at: Timestamp) {
         self.record_response(now);
         let evidence = if attempt_started_at >= self.handshake_timed_out_at { 1.0 } else { 0.0 };
-        self.alpha = (self.alpha + evidence).min(MAX_EVIDENCE);
-        self.drop_failures(evidence * FAILURES_DROPPED);
+        self.alpha = (self.alpha + evidence).min(MAX_PSEUDO_COUNT);
+        self.drop_failures(evidence * FAILURE_DISCOUNT_ON_SUCCESS);
     }
 
     /// Records the outcome of an attempt, a connection or a health check.
@@ -136,7 +136,9 @@
 
     /// Decays the failures over `elapsed`.
     pub(crate) fn decay(&mut self, elapsed: TickDuration) {
-        self.drop_failures(FAILURE_DECAY_PER_SECOND * elapsed.as_f64() / TickDuration::from_secs(1).as_f64());
+        self.drop_failures(
+            FAILURE_DECAY_PER_SECOND * elapsed.as_ticks_f64() / TickDuration::from_secs(1).as_ticks_f64(),
+        );
     }
 
     /// Returns whether the endpoint is ejected for its consecutive failures.
@@ -193,8 +195,8 @@
     }
 
     fn add_failure(&mut self) {
-        self.alpha = PRIOR + (self.alpha - PRIOR) * SUCCESSES_KEPT_BY_FAILURE;
-        self.beta = (self.beta + 1.0).min(MAX_EVIDENCE);
+        self.alpha = PRIOR + (self.alpha - PRIOR) * SUCCESS_RETENTION_ON_FAILURE;
+        self.beta = (self.beta + 1.0).min(MAX_PSEUDO_COUNT);
     }
 
     fn drop_failures(&mut self, fraction: f64) {
--- a/crates/larklink-balancer/src/retry_budget.rs
+++ b/crates/larklink-balancer/src/retry_budget.rs
@@ -9,7 +9,7 @@
 const MAX_SPACING_DISCOUNT: f64 = 0.5;
 /// The tolerance for inaccuracy of the caller's times. A retry that may still be in the window counts; a
 /// session that may have left it does not.
-const TIME_INACCURACY: TickDuration = TickDuration::from_ticks(1);
+const TIME_TOLERANCE: TickDuration = TickDuration::from_ticks(1);
 
 /// Counts sessions and retries in a sliding window. Without a configured budget, all retries are allowed.
 #[derive(Debug)]
@@ -37,7 +37,7 @@
     /// The minimum number of retries counts as used until the last of those retries has left the window.
     ///
     /// `max_dial_timeout` is the longest time that a client waits; `TickDuration::MAX` if unknown.
-    pub(crate) fn take_over(&mut self, now: Timestamp, max_dial_timeout: TickDuration) {
+    pub(crate) fn take_over_from_predecessor(&mut self, now: Timestamp, max_dial_timeout: TickDuration) {
         let Some(settings) = self.settings else { return };
         let last_retry_within =
             if max_dial_timeout == TickDuration::MAX { settings.window } else { max_dial_timeout };
@@ -61,9 +61,9 @@
         self.drop_expired(now, settings.window);
         let min_retries = if now < self.predecessor_spends_until { 0.0 } else { settings.min_retries };
         let allowed = min_retries + settings.retry_ratio * self.sessions_received_at.len() as f64;
-        let spacing = settings.window.as_f64() / allowed * (1.0 - value * MAX_SPACING_DISCOUNT);
+        let spacing = settings.window.as_ticks_f64() / allowed * (1.0 - value * MAX_SPACING_DISCOUNT);
         let within_budget = self.retries_sent_at.len() as f64 + 1.0 <= allowed;
-        let spaced = self.retries_sent_at.back().is_none_or(|&last| (now - last).as_f64() >= spacing);
+        let spaced = self.retries_sent_at.back().is_none_or(|&last| (now - last).as_ticks_f64() >= spacing);
         let acquired = within_budget && spaced;
         if acquired {
             self.retries_sent_at.push_back(now);
@@ -80,10 +80,10 @@
     }
 
     fn drop_expired(&mut self, now: Timestamp, window: TickDuration) {
-        while self.sessions_received_at.front().is_some_and(|&at| at + window <= now + TIME_INACCURACY) {
+        while self.sessions_received_at.front().is_some_and(|&at| at + window <= now + TIME_TOLERANCE) {
             self.sessions_received_at.pop_front();
         }
-        while self.retries_sent_at.front().is_some_and(|&at| at + window + TIME_INACCURACY < now) {
+        while self.retries_sent_at.front().is_some_and(|&at| at + window + TIME_TOLERANCE < now) {
             self.retries_sent_at.pop_front();
         }
     }
--- a/crates/larklink-balancer/src/retry_policy.rs
+++ b/crates/larklink-balancer/src/retry_policy.rs
@@ -107,8 +107,8 @@
 ) -> f64 {
     let weights = settings.listeners.iter().map(|listener| listener.priority_weight);
     let highest = weights.fold(f64::MIN_POSITIVE, f64::max);
-    let dial_timeout = (session.request().dial_timeout.max(TickDuration::from_ticks(1))).as_f64();
-    let time_left = session.time_left(now).as_f64() / dial_timeout;
+    let dial_timeout = (session.request().dial_timeout.max(TickDuration::from_ticks(1))).as_ticks_f64();
+    let time_left = session.time_left(now).as_ticks_f64() / dial_timeout;
     let priority = listener_of(session, settings).priority_weight / highest;
     endpoint.outlier.weight_by_success_probability(priority * time_left)
 }
@@ -127,7 +127,7 @@
     }
     let shortest = if attempts_limited { MIN_RETRY_AFTER_WHEN_LIMITED } else { MIN_RETRY_AFTER };
     let fraction = rng.random_range(shortest..1.0);
-    let retry_after = TickDuration::from_f64(settings.max_retry_after.as_f64() * fraction);
+    let retry_after = TickDuration::from_ticks_f64(settings.max_retry_after.as_ticks_f64() * fraction);
     Decision::Reject {
         retry_after: if settings.retry_after_allowed { retry_after } else { TickDuration::ZERO },
     }
--- a/crates/larklink-balancer/src/session.rs
+++ b/crates/larklink-balancer/src/session.rs
@@ -120,7 +120,7 @@
     /// Records that the attempt or the connection has ended.
     pub(crate) fn end_attempt(&mut self, outcome: AttemptOutcome) {
         self.state = SessionState::Queued;
-        if !outcome.never_ran() {
+        if !outcome.proves_not_run() {
             let run = PossibleRun { endpoint: self.endpoint, started_at: self.started_at };
             self.possible_run.get_or_insert(run);
         }
--- a/crates/larklink-balancer/src/slow_start.rs
+++ b/crates/larklink-balancer/src/slow_start.rs
@@ -62,7 +62,7 @@
         overload_window: TickDuration,
         rng: &mut ChaCha8Rng,
     ) -> SlowStartArrival {
-        let since_previous_session = ((now - self.last_at).min(overload_window)).as_f64();
+        let since_previous_session = ((now - self.last_at).min(overload_window)).as_ticks_f64();
         self.last_at = now;
         SlowStartArrival { since_previous_session, draw: rng.random() }
     }
@@ -103,7 +103,7 @@
         Self {
             settings,
             proxy_count,
-            window: (settings.overload_window.max(TickDuration::from_ticks(1))).as_f64(),
+            window: (settings.overload_window.max(TickDuration::from_ticks(1))).as_ticks_f64(),
         }
     }
 
@@ -112,8 +112,8 @@
     /// the ready endpoints.
     fn present_capacity(&self, request: &SlowStartRequest) -> f64 {
         let initial = self.settings.initial_capacity;
-        let age = request.endpoint_age.as_f64();
-        let fraction = initial + (1.0 - initial) * age / self.settings.slow_start_duration.as_f64();
+        let age = request.endpoint_age.as_ticks_f64();
+        let fraction = initial + (1.0 - initial) * age / self.settings.slow_start_duration.as_ticks_f64();
         let held_per_weight = request.ready.load / request.ready.weight;
         fraction * request.endpoint_weight * request.reported_capacity.unwrap_or(held_per_weight)
     }
@@ -125,7 +125,7 @@
     /// of their relative standard deviation is kept.
     fn rate(&self, present_capacity: f64) -> f64 {
         let multiple = self.settings.overload_multiple;
-        let duration = self.settings.slow_start_duration.as_f64();
+        let duration = self.settings.slow_start_duration.as_ticks_f64();
         let sessions = multiple * present_capacity * self.proxy_count / duration * self.window;
         let random_fraction = (1.0 - sessions.min(PROXIES_IN_TURN) / self.proxy_count).max(0.0);
         sessions / (1.0 + (random_fraction / sessions).sqrt()) / self.window / self.proxy_count
@@ -171,8 +171,8 @@
         // multiplied.
         let share = (request.endpoint_weight / request.ready.weight).max(request.group_share)
             * (request.endpoints_passed + 1) as f64;
-        let since_request = now.saturating_since(self.last_requested_at).as_f64();
-        let recent = since_request.min(request.endpoint_age.as_f64()).min(ramp.window);
+        let since_request = now.saturating_since(self.last_requested_at).as_ticks_f64();
+        let recent = since_request.min(request.endpoint_age.as_ticks_f64()).min(ramp.window);
         if since_request < ramp.window {
             return self.accrued + rate * recent;
         }
--- a/crates/larklink-balancer/src/time.rs
+++ b/crates/larklink-balancer/src/time.rs
@@ -58,7 +58,7 @@
     }
 
     /// Returns the duration in whole milliseconds, rounded up.
-    pub const fn as_millis_rounded_up(self) -> u64 {
+    pub const fn as_millis_ceil(self) -> u64 {
         self.0.div_ceil(TICKS_PER_MILLISECOND)
     }
 
@@ -73,12 +73,12 @@
     }
 
     /// Creates a duration from a number of ticks, rounded down. Negative numbers and NaN give zero.
-    pub const fn from_f64(ticks: f64) -> Self {
+    pub const fn from_ticks_f64(ticks: f64) -> Self {
         Self(ticks as u64)
     }
 
     /// Returns the number of ticks as a floating-point number.
-    pub const fn as_f64(self) -> f64 {
+    pub const fn as_ticks_f64(self) -> f64 {
         self.0 as f64
     }
 }
--- a/crates/larklink-balancer/tests/decision_trace.rs
+++ b/crates/larklink-balancer/tests/decision_trace.rs
@@ -110,7 +110,7 @@
     let weight = [1.0, 2.0, 0.5][endpoint % 3];
     let (zone, cell) = (endpoint as u16 % 2, endpoint as u16 % 3);
     EndpointEntry {
-        endpoint: EndpointIndex(endpoint),
+        index: EndpointIndex(endpoint),
         id: 77 + 1000 * endpoint as u32,
         zone,
         cell,
@@ -395,7 +395,7 @@
         let seed = self.rng.random();
         self.balancer = Balancer::new(self.settings.clone(), seed, self.now);
         self.list(ListScope::Cached, ENDPOINTS - 1);
-        self.balancer.take_over(self.now);
+        self.balancer.take_over_from_predecessor(self.now);
         let established: Vec<_> = self.open.drain(..).filter(|o| o.established).collect();
         for open in established.into_iter().take(40) {
             let session = self.session();
--- a/crates/larklink-balancer/tests/decisions/fixture.rs
+++ b/crates/larklink-balancer/tests/decisions/fixture.rs
@@ -54,7 +54,7 @@
 /// Returns an endpoint whose id, zone and cell are derived from its index.
 pub(crate) fn entry(index: usize, state: EndpointState, started_at: Timestamp) -> EndpointEntry {
     EndpointEntry {
-        endpoint: EndpointIndex(index),
+        index: EndpointIndex(index),
         id: 77 + 1000 * index as u32,
         zone: index as u16 % 2,
         cell: index as u16 % 3,
--- a/crates/larklink-balancer/tests/decisions/retry_budget.rs
+++ b/crates/larklink-balancer/tests/decisions/retry_budget.rs
@@ -122,7 +122,7 @@
 #[test]
 fn a_successor_does_not_start_with_a_full_retry_budget() {
     let mut balancer = balancer_with(Settings { retry_budget: Some(RETRY_BUDGET), ..settings() }, 40);
-    balancer.take_over(START);
+    balancer.take_over_from_predecessor(START);
     let retry = |balancer: &mut Balancer, now, key| {
         let (session, decision) = balancer.place(now, request(key, 0));
         endpoint_of(decision);
--- a/crates/larklink-balancer/tests/decisions/safety_rules.rs
+++ b/crates/larklink-balancer/tests/decisions/safety_rules.rs
@@ -205,7 +205,7 @@
     fn end_attempt(&mut self, handle: SessionHandle, outcome: AttemptOutcome) {
         let session = self.open.get_mut(&handle).expect("picked from the open");
         let attempt = session.in_flight.take().expect("picked with an attempt");
-        if !outcome.never_ran() {
+        if !outcome.proves_not_run() {
             session.may_have_run.get_or_insert(attempt);
         }
         let over = outcome == AttemptOutcome::Succeeded || session.established;
--- a/crates/larklink-balancer/tests/session_store_overload.rs
+++ b/crates/larklink-balancer/tests/session_store_overload.rs
@@ -270,7 +270,7 @@
 fn simulate(proxy_count: usize, capacity: u64, dial_timeout: TickDuration, seed: u64) -> (Vec<f64>, usize) {
     let (settings, rng) = (settings(proxy_count, dial_timeout), ChaCha8Rng::seed_from_u64(seed));
     let entry = |s: usize| EndpointEntry {
-        endpoint: EndpointIndex(s),
+        index: EndpointIndex(s),
         id: 77 + 1000 * s as u32,
         state: EndpointState::Ready,
         ..EndpointEntry::default()
@@ -304,7 +304,7 @@
             proxy.balancer.adopt_established(Timestamp::ZERO, request, EndpointIndex(n * 7 % ENDPOINTS));
         proxy.sessions.insert(handle, (0, 0));
     }
-    let gap = TickDuration::from_f64(SECOND.as_f64() / (capacity as f64 * OFFERED_LOAD));
+    let gap = TickDuration::from_ticks_f64(SECOND.as_ticks_f64() / (capacity as f64 * OFFERED_LOAD));
     let arrivals_until = |end: Timestamp| end.as_ticks() / gap.as_ticks();
     (0..arrivals_until(FIRST_RESTART) / 2)
         .for_each(|n| fleet.schedule(at(n * gap * 2), Event::ClientArrives(0)));
--- a/crates/larklink-balancer/tests/slow_start_fleet.rs
+++ b/crates/larklink-balancer/tests/slow_start_fleet.rs
@@ -113,9 +113,11 @@
     /// Returns the number of sessions that an endpoint of that age may be sent within the overload window.
     fn limit(&self, age: TickDuration) -> f64 {
         let settings = self.settings();
-        let duration = settings.slow_start_duration.as_f64();
-        let share = settings.initial_capacity + (1.0 - settings.initial_capacity) * age.as_f64() / duration;
-        let n = settings.overload_multiple * share * CAPACITY / duration * settings.overload_window.as_f64();
+        let duration = settings.slow_start_duration.as_ticks_f64();
+        let share =
+            settings.initial_capacity + (1.0 - settings.initial_capacity) * age.as_ticks_f64() / duration;
+        let n = settings.overload_multiple * share * CAPACITY / duration
+            * settings.overload_window.as_ticks_f64();
         n + 2.0 * n.sqrt() + 2.0
     }
 }
@@ -124,7 +126,7 @@
     /// Creates a run. `started_at` gives the start of every other endpoint; the others started long ago.
     fn new(model: FleetModel, seed: u64, started_at: impl Fn(u64) -> Timestamp) -> Self {
         let entry = |endpoint: usize| EndpointEntry {
-            endpoint: EndpointIndex(endpoint),
+            index: EndpointIndex(endpoint),
             id: 77 + 1000 * endpoint as u32,
             state: EndpointState::Ready,
             started_at: if in_slow_start(EndpointIndex(endpoint)) {
@@ -349,7 +351,7 @@
     for entry in started {
         for proxy in 0..run.model.proxies {
             let at = entry.started_at + random_duration(&mut run.rng, TickDuration::ZERO..SECOND / 5);
-            queue.insert((at, BurstEvent::ListUpdate(proxy, entry.endpoint)));
+            queue.insert((at, BurstEvent::ListUpdate(proxy, entry.index)));
         }
     }
 }
--- a/crates/larklink-engine/src/engine.rs
+++ b/crates/larklink-engine/src/engine.rs
@@ -98,8 +98,8 @@
     /// Creates an engine without endpoints. `seed` determines its random choices.
     pub fn new(settings: &ProxySettings, seed: u64, now: Timestamp) -> Self {
         Self {
-            balancer: Balancer::new(settings.settings.clone(), seed, now),
-            listeners: settings.settings.listeners.len(),
+            balancer: Balancer::new(settings.balancer.clone(), seed, now),
+            listeners: settings.balancer.listeners.len(),
             load_position: settings.load_position,
             in_flight_position: settings.in_flight_position,
             endpoints: HashMap::new(),
@@ -118,7 +118,7 @@
     /// Applies an endpoint list or its changes. The engine sets the index in each entry.
     pub fn update_endpoints(&mut self, now: Timestamp, scope: ListScope, mut entries: Vec<EndpointEntry>) {
         for entry in &mut entries {
-            entry.endpoint = self.endpoint_index(entry.id);
+            entry.index = self.endpoint_index(entry.id);
         }
         self.balancer.update_endpoints(now, scope, &entries);
     }
@@ -130,8 +130,8 @@
 
     /// Reports that this process takes over from another process of the same proxy, which may still make
     /// attempts.
-    pub fn take_over(&mut self, now: Timestamp) {
-        self.balancer.take_over(now);
+    pub fn take_over_from_predecessor(&mut self, now: Timestamp) {
+        self.balancer.take_over_from_predecessor(now);
     }
 
     /// Opens a session that has reached the proxy. Returns the action to take, or `None` if the session must
--- a/crates/larklink-engine/src/settings.rs
+++ b/crates/larklink-engine/src/settings.rs
@@ -16,7 +16,7 @@
 #[serde(try_from = "SettingsObject")]
 pub struct ProxySettings {
     /// The settings of the balancer.
-    pub settings: Settings,
+    pub balancer: Settings,
     /// The names of the listeners, by index.
     pub listeners: Vec<String>,
     /// The names of the zones, by index.
@@ -58,9 +58,9 @@
         let dial_timeouts =
             object.listeners.iter().map(|listener| ticks_from_nanos(listener.dial_timeout_ns));
         let max_dial_timeout = dial_timeouts.max().unwrap_or(TickDuration::ZERO);
-        let settings = balancer_settings(&object, load_position.is_some(), max_dial_timeout)?;
+        let balancer = balancer_settings(&object, load_position.is_some(), max_dial_timeout)?;
         Ok(Self {
-            settings,
+            balancer,
             listeners: object.listeners.into_iter().map(|listener| listener.name).collect(),
             zones: object.zones,
             load_report_names: object.load_report.names,
--- a/crates/larklink-engine/src/validation.rs
+++ b/crates/larklink-engine/src/validation.rs
@@ -7,20 +7,20 @@
 
 /// An invalid field of a settings object.
 #[derive(Clone, Debug, PartialEq, Error)]
-#[error("{field}: {problem}")]
+#[error("{field}: {kind}")]
 pub struct SettingsError {
     /// The path of the field, in the key names of the settings object.
     pub field: String,
     /// Why the field is invalid.
-    pub problem: SettingsProblem,
+    pub kind: SettingsErrorKind,
 }
 
 /// Why a field is invalid: its value and the expected range.
 #[derive(Clone, Debug, PartialEq, Error)]
-pub enum SettingsProblem {
+pub enum SettingsErrorKind {
     /// The proxy's zone is not an index into the listed zones.
     #[error("index {zone} is out of range for the {zone_count} names in zones")]
-    UnknownZone {
+    ZoneOutOfRange {
         /// The configured index of the proxy's zone.
         zone: u16,
         /// The number of listed zones.
@@ -43,7 +43,7 @@
     IncompleteRetryBudget,
     /// A number of the retry budget is negative or not finite.
     #[error("invalid retry budget value {0}: must be 0 or more")]
-    InvalidRetryAmount(f64),
+    InvalidRetryBudgetValue(f64),
     /// The window of the retry budget, in nanoseconds, is shorter than one tick.
     #[error("retry window of {0} ns is too short: must be 100000 ns or more")]
     RetryWindowTooShort(i64),
@@ -56,8 +56,8 @@
 }
 
 impl SettingsError {
-    fn new(field: impl Into<String>, problem: SettingsProblem) -> Self {
-        Self { field: field.into(), problem }
+    fn new(field: impl Into<String>, kind: SettingsErrorKind) -> Self {
+        Self { field: field.into(), kind }
     }
 }
 
@@ -69,37 +69,36 @@
 pub(crate) fn validate(object: &SettingsObject) -> Result<(), SettingsError> {
     let zone_count = object.zones.len();
     if object.zone > 0 && usize::from(object.zone) >= zone_count {
-        let problem = SettingsProblem::UnknownZone { zone: object.zone, zone_count };
-        return Err(SettingsError::new("zone", problem));
+        let kind = SettingsErrorKind::ZoneOutOfRange { zone: object.zone, zone_count };
+        return Err(SettingsError::new("zone", kind));
     }
     for (name, cost) in [("cross_zone", object.costs.cross_zone), ("moves", object.costs.migration)] {
         if !is_finite_and_non_negative(cost) {
-            return Err(SettingsError::new(format!("fees.{name}"), SettingsProblem::InvalidCost(cost)));
+            return Err(SettingsError::new(format!("fees.{name}"), SettingsErrorKind::InvalidCost(cost)));
         }
     }
     validate_listeners(&object.listeners)
 }
 
 fn validate_listeners(listeners: &[ListenerObject]) -> Result<(), SettingsError> {
-    let invalid = |index: usize, name: &str, problem| {
-        Err(SettingsError::new(format!("grades[{index}].{name}"), problem))
-    };
+    let invalid =
+        |index: usize, name: &str, kind| Err(SettingsError::new(format!("grades[{index}].{name}"), kind));
     for (index, listener) in listeners.iter().enumerate() {
         if !is_finite_and_non_negative(listener.priority_weight) {
-            let problem = SettingsProblem::InvalidPriorityWeight(listener.priority_weight);
-            return invalid(index, "gain", problem);
+            let kind = SettingsErrorKind::InvalidPriorityWeight(listener.priority_weight);
+            return invalid(index, "gain", kind);
         }
     }
     for (index, listener) in listeners.iter().enumerate() {
         if listener.dial_timeout_ns < 0 {
-            let problem = SettingsProblem::NegativeDuration(listener.dial_timeout_ns);
-            return invalid(index, "deadline_ns", problem);
+            let kind = SettingsErrorKind::NegativeDuration(listener.dial_timeout_ns);
+            return invalid(index, "deadline_ns", kind);
         }
     }
     for (index, listener) in listeners.iter().enumerate() {
         if listeners[..index].iter().any(|earlier| earlier.name == listener.name) {
-            let problem = SettingsProblem::DuplicateListener(listener.name.clone());
-            return invalid(index, "name", problem);
+            let kind = SettingsErrorKind::DuplicateListener(listener.name.clone());
+            return invalid(index, "name", kind);
         }
     }
     Ok(())
@@ -110,20 +109,21 @@
     if safety.min_retries.is_none() && safety.retry_ratio.is_none() && safety.retry_window_ns.is_none() {
         return Ok(None);
     }
-    let missing = |name| SettingsError::new(format!("safety.{name}"), SettingsProblem::IncompleteRetryBudget);
+    let missing =
+        |name| SettingsError::new(format!("safety.{name}"), SettingsErrorKind::IncompleteRetryBudget);
     let min_retries = safety.min_retries.ok_or_else(|| missing("budget_free"))?;
     let retry_ratio = safety.retry_ratio.ok_or_else(|| missing("extra_per_request"))?;
     let window_ns = safety.retry_window_ns.ok_or_else(|| missing("counted_over_ns"))?;
     for (name, value) in [("budget_free", min_retries), ("extra_per_request", retry_ratio)] {
         if !is_finite_and_non_negative(value) {
-            let problem = SettingsProblem::InvalidRetryAmount(value);
-            return Err(SettingsError::new(format!("safety.{name}"), problem));
+            let kind = SettingsErrorKind::InvalidRetryBudgetValue(value);
+            return Err(SettingsError::new(format!("safety.{name}"), kind));
         }
     }
     let window = ticks_from_nanos(window_ns);
     if window == TickDuration::ZERO {
-        let problem = SettingsProblem::RetryWindowTooShort(window_ns);
-        return Err(SettingsError::new("safety.counted_over_ns", problem));
+        let kind = SettingsErrorKind::RetryWindowTooShort(window_ns);
+        return Err(SettingsError::new("safety.counted_over_ns", kind));
     }
     Ok(Some(RetryBudgetSettings { min_retries, retry_ratio, window }))
 }
@@ -134,8 +134,8 @@
 ) -> Result<Option<AvailabilityNines>, SettingsError> {
     for (name, value) in [("nines_part", object.nines_weight), ("top_nines", object.max_nines)] {
         if let Some(value) = value.filter(|value| !is_finite_and_non_negative(*value)) {
-            let problem = SettingsProblem::InvalidAvailability(value);
-            return Err(SettingsError::new(format!("result_mix.{name}"), problem));
+            let kind = SettingsErrorKind::InvalidAvailability(value);
+            return Err(SettingsError::new(format!("result_mix.{name}"), kind));
         }
     }
     let weight = object.nines_weight.unwrap_or(0.0);
@@ -144,6 +144,6 @@
         return Ok(None);
     }
     let max_nines = max_nines
-        .ok_or_else(|| SettingsError::new("result_mix.top_nines", SettingsProblem::MissingMaxNines))?;
+        .ok_or_else(|| SettingsError::new("result_mix.top_nines", SettingsErrorKind::MissingMaxNines))?;
     Ok(Some(AvailabilityNines { weight, max_nines }))
 }
--- a/crates/larklink-engine/tests/settings.rs
+++ b/crates/larklink-engine/tests/settings.rs
@@ -20,13 +20,13 @@
 }
 
 fn balancer_settings(text: &str) -> Settings {
-    read(text).settings
+    read(text).balancer
 }
 
 #[test]
 fn fields_are_read_by_their_names_and_units() {
     let proxy = read(SETTINGS);
-    let balancer = &proxy.settings;
+    let balancer = &proxy.balancer;
     assert_eq!(
         (proxy.listeners.len(), proxy.max_dial_timeout, proxy.passthrough),
         (2, TickDuration::from_secs(3), true)
--- a/crates/larklink-engine/tests/sites.rs
+++ b/crates/larklink-engine/tests/sites.rs
@@ -123,7 +123,7 @@
     let allow = &site.site["allow"];
     let proxy = ProxySettings::from_json(site.settings_object().to_string().as_bytes())
         .unwrap_or_else(|error| panic!("{name}: {error}"));
-    let balancer = &proxy.settings;
+    let balancer = &proxy.balancer;
     let names: Vec<_> = site.classes().iter().map(|class| class["name"].as_str().unwrap()).collect();
     assert_eq!(proxy.listeners, names);
     assert!(balancer.listeners.iter().all(|listener| listener.idempotency == Idempotency::Idempotent
--- a/crates/larklink-proxy/src/decision_task.rs
+++ b/crates/larklink-proxy/src/decision_task.rs
@@ -62,7 +62,7 @@
         first_list: Sender<Infallible>,
     ) -> Self {
         let clock = Clock::start();
-        let message_objective = settings.settings.message_objective;
+        let message_objective = settings.balancer.message_objective;
         let mut task = Self {
             engine: Engine::new(settings, seed, clock.now()),
             clock,
@@ -145,7 +145,7 @@
                 self.update_endpoints(now, scope, &endpoints);
                 self.first_list = None;
             }
-            DecisionEvent::TakeOver => self.engine.take_over(now),
+            DecisionEvent::TakeOver => self.engine.take_over_from_predecessor(now),
             DecisionEvent::CurrentEndpoints(reply) => {
                 // Sending fails only if the requesting task has ended.
                 let _ = reply.try_send(self.endpoints.values().cloned().collect());
--- a/crates/larklink-proxy/src/endpoint_list.rs
+++ b/crates/larklink-proxy/src/endpoint_list.rs
@@ -51,14 +51,14 @@
     /// Converts the entry for the decision engine. A zone that is not in `zones` gets the index `zones.len()`.
     pub fn to_entry(&self, zones: &[String]) -> EndpointEntry {
         EndpointEntry {
-            endpoint: EndpointIndex(0),
+            index: EndpointIndex(0),
             id: endpoint_id(&self.name),
             zone: zones.iter().position(|zone| *zone == self.zone).unwrap_or(zones.len()) as u16,
             cell: self.cell,
             state: self.state(),
             weight: self.weight,
             started_at: Timestamp::ZERO
-                + TickDuration::from_f64((self.started_at_ms * TICKS_PER_MILLISECOND).round()),
+                + TickDuration::from_ticks_f64((self.started_at_ms * TICKS_PER_MILLISECOND).round()),
         }
     }
 
--- a/crates/larklink-proxy/src/proxy.rs
+++ b/crates/larklink-proxy/src/proxy.rs
@@ -179,7 +179,7 @@
     queue: &DecisionQueue,
     executor: &LocalExecutor<'static>,
 ) {
-    let settings = &config.settings.settings;
+    let settings = &config.settings.balancer;
     let schedule =
         PollSchedule::new(settings.discovery_deadline, settings.drain_grace, settings.polled_discovery);
     let rng = new_rng(config.seed, DISCOVERY_RNG_STREAM);
@@ -210,7 +210,7 @@
         queue: queue.clone(),
         metrics: Arc::clone(metrics),
         listeners: config.settings.listeners.clone(),
-        connect_timeout: to_duration(config.settings.settings.connect_timeout),
+        connect_timeout: to_duration(config.settings.balancer.connect_timeout),
         passthrough: config.settings.passthrough,
         rng: new_rng(config.seed, SESSION_RNG_STREAM).into(),
         shutdown,
--- a/crates/larklink-proxy/src/session/connect.rs
+++ b/crates/larklink-proxy/src/session/connect.rs
@@ -170,7 +170,7 @@
         // polled before `send`, which may send the first byte. `send` precedes the shutdown's answer deadline, so that
         // an acceptance that arrives by the deadline counts.
         let end = expired.or(client_left).or(send).or(answer_deadline_passed).await;
-        let never_ran = matches!(&end, AttemptEnd::NotAccepted(outcome) if outcome.never_ran());
+        let never_ran = matches!(&end, AttemptEnd::NotAccepted(outcome) if outcome.proves_not_run());
         self.may_have_run |= permit.is_used() && !never_ran;
         match end {
             AttemptEnd::NotAccepted(AttemptOutcome::NotSent) if !is_client_waiting() => {
@@ -204,7 +204,7 @@
     async fn reject(&mut self, retry_after: TickDuration) -> EndReason {
         let reason = EndReason::Rejected;
         self.record_rejection(reason);
-        match retry_after.as_millis_rounded_up() {
+        match retry_after.as_millis_ceil() {
             0 => self.client.answer(BUSY).await,
             milliseconds => self.client.answer(&format!("BUSY {milliseconds}\r\n")).await,
         }
--- a/crates/larklink-proxy/src/session/reconnect.rs
+++ b/crates/larklink-proxy/src/session/reconnect.rs
@@ -85,7 +85,7 @@
         match attempt.send(&mut slices, &is_client_waiting, &is_client_waiting).await {
             Ok(connection) => return Ok(connection),
             // The session may have run: another attempt could run it twice.
-            Err(outcome) if !outcome.never_ran() || Instant::now() >= deadline => {
+            Err(outcome) if !outcome.proves_not_run() || Instant::now() >= deadline => {
                 return Err(EndReason::Failed);
             }
             Err(_) => _ = Timer::after(RETRY_INTERVAL).await,
--- a/crates/larklink-proxy/src/upstream/health_check.rs
+++ b/crates/larklink-proxy/src/upstream/health_check.rs
@@ -64,9 +64,9 @@
     pub fn new(settings: &ProxySettings, queue: DecisionQueue, limiter: Rc<ConnectionLimiter>) -> Self {
         let has_reports = settings.load_position.is_some();
         Self {
-            enabled: settings.settings.health_checks,
+            enabled: settings.balancer.health_checks,
             report_names: if has_reports { settings.load_report_names.clone() } else { Vec::new() },
-            timeout: to_duration(settings.settings.connect_timeout),
+            timeout: to_duration(settings.balancer.connect_timeout),
             idle: RefCell::default(),
             in_flight: RefCell::default(),
             waiting: Cell::default(),
--- a/crates/larklink-proxy/tests/wire_fixtures.rs
+++ b/crates/larklink-proxy/tests/wire_fixtures.rs
@@ -145,7 +145,7 @@
     // The entries that are passed to the balancer.
     let zones = ["a", "b"].map(String::from);
     let fields =
-        |e: EndpointEntry| (e.endpoint.0, e.id, (e.zone, e.cell), e.state, e.weight, e.started_at.as_ticks());
+        |e: EndpointEntry| (e.index.0, e.id, (e.zone, e.cell), e.state, e.weight, e.started_at.as_ticks());
     let entries: Vec<_> = list.endpoints.iter().map(|e| fields(e.to_entry(&zones))).collect();
     assert_eq!(
         entries,
@@ -196,7 +196,7 @@
         ),
         (72_000, true, true)
     );
-    assert_balancer_settings(&proxy_settings.settings);
+    assert_balancer_settings(&proxy_settings.balancer);
 }
 
 fn assert_balancer_settings(settings: &Settings) {
@@ -279,7 +279,7 @@
         ),
         (0, false, false)
     );
-    let settings = &proxy_settings.settings;
+    let settings = &proxy_settings.balancer;
     assert_eq!(
         settings.listeners,
         [Listener {
--- a/crates/larklink-simulation/src/simulate/simulation.rs
+++ b/crates/larklink-simulation/src/simulate/simulation.rs
@@ -363,7 +363,7 @@
         }
         if let Some(proxy_session) = proxy_session {
             proxy_session.connection = None;
-            proxy_session.may_have_run |= !outcome.never_ran();
+            proxy_session.may_have_run |= !outcome.proves_not_run();
         }
         self.state.connections.close(connection);
         if let Some(end) = attempt_end(outcome) {
--- a/crates/larklink-simulation/src/simulate/state.rs
+++ b/crates/larklink-simulation/src/simulate/state.rs
@@ -152,7 +152,7 @@
                 self.start_attempt(now, attempt, server_of(endpoint), timeout.as_ticks());
             }
             ProxyAction::Reject { session, retry_after } => {
-                let retry_after_ms = retry_after.as_millis_rounded_up();
+                let retry_after_ms = retry_after.as_millis_ceil();
                 self.respond(now, proxy, session, ClientResponse::Rejected(retry_after_ms));
             }
             ProxyAction::Fail { session } => self.respond(now, proxy, session, ClientResponse::Failed),
@@ -224,7 +224,7 @@
 
 fn endpoint_entry(entry: &EndpointListEntry, weight: f64, zones: usize) -> EndpointEntry {
     EndpointEntry {
-        endpoint: EndpointIndex(0),
+        index: EndpointIndex(0),
         id: endpoint_of(entry.server),
         zone: (entry.server % zones) as u16,
         cell: 0,
