--- a/crates/larklink-balancer/src/action.rs
+++ b/crates/larklink-balancer/src/action.rs
@@ -16,7 +16,7 @@
         /// [`AttemptOutcome::NotSent`](crate::AttemptOutcome::NotSent).
         send_deadline: Timestamp,
     },
-    /// Keep the session queued. [`Action::Decided`] follows well before its dial timeout.
+    /// Keep the session queued. [`Action::Decided`] follows before its dial timeout.
     Wait,
     /// Reject the session. A retry by its client has no second effect.
     Reject {
--- a/crates/larklink-balancer/src/balancer.rs
+++ b/crates/larklink-balancer/src/balancer.rs
@@ -91,7 +91,8 @@
         self.discovery.record_failure(now, &mut self.rng);
     }
 
-    /// Adopts a session that another process of this proxy has established on an endpoint.
+    /// Adopts a session that the predecessor, an earlier process of this proxy, has established on an
+    /// endpoint.
     ///
     /// # Panics
     ///
@@ -109,8 +110,8 @@
         handle
     }
 
-    /// Reports that another process of this proxy received the sessions until now. It may still send retries
-    /// for them, which count towards the retry budget.
+    /// Reports that the predecessor received this proxy's sessions until now. It may still send retries for
+    /// them, which count towards the retry budget.
     pub fn take_over_from_predecessor(&mut self, now: Timestamp) {
         self.retry_budget.take_over_from_predecessor(now, self.settings.max_dial_timeout);
     }
@@ -129,7 +130,8 @@
     }
 
     /// Reports that an attempt or a connection has ended. Returns the next decision on the session, or `None`
-    /// if it is over. The handle is invalid once the session is over or the decision is final.
+    /// if it is over. The handle is invalid once the session is over or the decision is final (Reject or
+    /// Fail).
     pub fn attempt_ended(
         &mut self,
         now: Timestamp,
@@ -142,7 +144,8 @@
         session.end_attempt(outcome);
         self.release_endpoint(&ended);
         if matches!(outcome, AttemptOutcome::Failed | AttemptOutcome::TimedOut) {
-            // Recorded with the whole dial timeout, since the session store still processes the handshake.
+            // Counted with the whole dial timeout, as the session store may still process the handshake.
+            // Resumed and established sessions are counted too.
             self.record_attempt(now, &ended, outcome, ended.request().dial_timeout);
         }
         let endpoint = &mut self.endpoints[ended.endpoint()];
@@ -183,7 +186,7 @@
         let Some(session) = self.sessions.get_mut(handle) else { return };
         let endpoint = &mut self.endpoints[session.endpoint()];
         match observation {
-            Observation::Unresponsive => endpoint.outlier.record_late_message(),
+            Observation::Unresponsive => endpoint.outlier.record_unanswered_message(),
             Observation::Load(load) => {
                 let load = self.session_loads.record(session.request().listener, load);
                 endpoint.load.change_session_load(session.set_load(load));
@@ -201,7 +204,7 @@
 
     /// Reports the result of a health check and how long it `took`. If health checks report load,
     /// `utilization` is the endpoint's load over its capacity and `sessions` is the number of its sessions
-    /// from all proxies. Otherwise both are 0.
+    /// from all proxies. A value that is not reported is 0.
     pub fn health_checked(
         &mut self,
         now: Timestamp,
@@ -252,7 +255,8 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Lowers the send deadlines of attempts in flight to endpoints that the list has closed.
+    /// Lowers the send deadlines of attempts in flight to endpoints that are draining or, if removal is
+    /// binding, removed.
     fn limit_send_deadlines(&mut self, now: Timestamp) {
         for (handle, session) in self.sessions.connecting() {
             let endpoint = &self.endpoints[session.endpoint()];
@@ -283,8 +287,8 @@
         }
     }
 
-    /// Performs the periodic work on each endpoint: decay, health checks and migrations. Runs once per
-    /// connect timeout.
+    /// Decays failures, grows load limits, replenishes the migration budget, checks health and migrates
+    /// sessions. Runs once per connect timeout.
     fn run_maintenance(&mut self, now: Timestamp) {
         let elapsed = self.settings.connect_timeout;
         self.migration_budget.replenish(elapsed);
@@ -339,7 +343,7 @@
             endpoints: &self.endpoints,
             sessions: &self.sessions,
             budget: &mut self.migration_budget,
-            concurrency: self.concurrency_limit.fraction_of_one(),
+            capped_concurrency_limit: self.concurrency_limit.capped_at_one(),
             rng: &mut self.rng,
         };
         if let Some(relief) = selection.select(now, index) {
@@ -390,7 +394,7 @@
     fn decide(&mut self, now: Timestamp, handle: SessionHandle) -> Decision {
         let session = self.sessions[handle];
         let Some(endpoint) = self.select_endpoint(now, &session) else {
-            self.concurrency_limit.record_rejection();
+            self.concurrency_limit.record_final_decision();
             self.remove_session(handle);
             let limited = self.concurrency_limit.is_below_one();
             return retry_policy::final_decision(now, &session, &self.settings, limited, &mut self.rng);
--- a/crates/larklink-balancer/src/concurrency_limit.rs
+++ b/crates/larklink-balancer/src/concurrency_limit.rs
@@ -27,9 +27,9 @@
 const SLOW_ATTEMPT_DIVISOR: f64 = 3.0;
 /// A limit that falls below this number of attempts in flight is logged for operators.
 const REPORTED_LIMIT: f64 = 0.5;
-/// The number of consecutive rejections that opens the circuit.
-const OPEN_CIRCUIT_REJECTIONS: u32 = 12;
-/// The time after the latest attempt at which an open circuit admits one half-open attempt.
+/// The number of final decisions since the latest attempt started that opens the circuit.
+const OPEN_CIRCUIT_FINAL_DECISIONS: u32 = 12;
+/// The time after the start of the latest attempt at which an open circuit admits one half-open attempt.
 const HALF_OPEN_AFTER: TickDuration = TickDuration::from_millis(3_800);
 
 /// The limit on attempts in flight and the state that controls it.
@@ -42,8 +42,9 @@
     in_flight: i32,
     pacing: Pacing,
     circuit: Circuit,
-    /// The endpoint of the latest slow or failed attempt, if no attempt was prompt since.
-    last_slow_endpoint: Option<EndpointIndex>,
+    /// The endpoint of the latest attempt that counted as a failure of the store, if no attempt was prompt
+    /// since.
+    last_failure_endpoint: Option<EndpointIndex>,
     /// Whether health checks are enabled, which detect an endpoint that hangs.
     health_checks: bool,
 }
@@ -51,15 +52,17 @@
 /// The spacing of attempts while the limit is below one.
 #[derive(Debug)]
 struct Pacing {
-    last_attempt_ended_at: Timestamp,
-    /// The ticks after which the next attempt is admitted with certainty.
-    min_interval: f64,
+    /// When the outcome of an attempt was last recorded: established by a handshake, failed or timed out.
+    /// Other outcomes are not recorded. Before the first, when the process started.
+    last_recorded_at: Timestamp,
+    /// The ticks after `last_recorded_at` at which the next attempt is admitted with certainty.
+    full_admission_interval: f64,
 }
 
-/// A circuit breaker that counts the rejections since the latest attempt.
+/// A circuit breaker that counts the final decisions since the latest attempt started.
 #[derive(Debug)]
 struct Circuit {
-    rejections: u32,
+    final_decisions: u32,
     last_attempt_at: Timestamp,
 }
 
@@ -71,21 +74,22 @@
             limit: INITIAL_LIMIT_OF_ALL_PROXIES / f64::from(proxy_count),
             min_limit: MIN_LIMIT_OF_ALL_PROXIES / f64::from(assumed_count),
             in_flight: 0,
-            pacing: Pacing { last_attempt_ended_at: now, min_interval: 0.0 },
-            circuit: Circuit { rejections: 0, last_attempt_at: now },
-            last_slow_endpoint: None,
+            pacing: Pacing { last_recorded_at: now, full_admission_interval: 0.0 },
+            circuit: Circuit { final_decisions: 0, last_attempt_at: now },
+            last_failure_endpoint: None,
             health_checks: settings.health_checks,
         }
     }
 
     /// Returns whether an attempt may start now.
     ///
-    /// Within the minimum interval the probability of admission grows from 0 to 1, so that hundreds of
-    /// proxies do not attempt in lockstep. An open circuit admits a half-open attempt all the same: otherwise
-    /// it would reject all sessions long after the store has recovered.
+    /// Within the full admission interval the probability of admission grows from 0 to 1, so that hundreds
+    /// of proxies do not attempt in lockstep. An open circuit admits one attempt regardless of the interval:
+    /// otherwise a long interval would keep rejecting sessions long after the store has recovered.
     pub(crate) fn admits(&self, now: Timestamp, rng: &mut ChaCha8Rng) -> bool {
-        let since_last = now.saturating_since(self.pacing.last_attempt_ended_at).as_ticks_f64();
-        let probability = (since_last / self.pacing.min_interval).min(1.0);
+        let since_last = now.saturating_since(self.pacing.last_recorded_at).as_ticks_f64();
+        // If both are 0, the quotient is NaN, and its minimum with 1 is 1.
+        let probability = (since_last / self.pacing.full_admission_interval).min(1.0);
         f64::from(self.in_flight) < self.limit
             && (stochastic_round(probability, rng) > 0.0 || self.circuit.half_open(now))
     }
@@ -96,14 +100,14 @@
     }
 
     /// Returns the limit, at most 1.
-    pub(crate) fn fraction_of_one(&self) -> f64 {
+    pub(crate) fn capped_at_one(&self) -> f64 {
         self.limit.min(1.0)
     }
 
     /// Records that an attempt starts.
     pub(crate) fn attempt_started(&mut self, now: Timestamp) {
         self.in_flight += 1;
-        self.circuit = Circuit { rejections: 0, last_attempt_at: now };
+        self.circuit = Circuit { final_decisions: 0, last_attempt_at: now };
     }
 
     /// Records that an attempt is no longer in flight, because it is established or has ended.
@@ -111,9 +115,10 @@
         self.in_flight -= 1;
     }
 
-    /// Records that a session got its final decision without an attempt.
-    pub(crate) fn record_rejection(&mut self) {
-        self.circuit.rejections += 1;
+    /// Records that a session got its final decision, Reject or Fail, whatever the cause and whether or not
+    /// it made attempts.
+    pub(crate) fn record_final_decision(&mut self) {
+        self.circuit.final_decisions += 1;
     }
 
     /// Adjusts the limit to the outcome of an attempt. `took` is its duration and `dial_timeout` the time
@@ -132,15 +137,16 @@
         let mut fell_below_reported = false;
         if promptness > 0.0 {
             self.increase(promptness);
-            self.last_slow_endpoint = None;
+            self.last_failure_endpoint = None;
         } else if self.counts_as_failure(outcome) {
-            let last = self.last_slow_endpoint.replace(endpoint);
+            let last = self.last_failure_endpoint.replace(endpoint);
             if last.is_some_and(|last| last != endpoint) {
                 fell_below_reported = self.decrease(outcome);
             }
         }
-        let min_interval = took.as_ticks_f64() * (1.0 / self.limit - 1.0).max(0.0);
-        self.pacing = Pacing { last_attempt_ended_at: now, min_interval };
+        // With this interval, attempts that take `took` are in flight for the fraction `limit` of the time.
+        let full_admission_interval = took.as_ticks_f64() * (1.0 / self.limit - 1.0).max(0.0);
+        self.pacing = Pacing { last_recorded_at: now, full_admission_interval };
         fell_below_reported
     }
 
@@ -150,9 +156,11 @@
         outcome == AttemptOutcome::Failed || !self.health_checks || self.limit.is_finite()
     }
 
-    /// Raises the limit by up to one attempt per `limit` prompt attempts. An unused limit is not raised.
-    /// Otherwise a burst after a quiet period would meet a limit that is far too high.
+    /// Raises the limit by up to one attempt per `limit` prompt attempts. Below 1, a prompt attempt at most
+    /// doubles it. An unused limit is not raised. Otherwise a burst after a quiet period would meet a limit
+    /// that is far too high.
     fn increase(&mut self, promptness: f64) {
+        // 1 for the attempt just recorded, which is no longer in `in_flight`.
         let unused = f64::from(self.in_flight) + 1.0 < self.limit;
         if !unused {
             self.limit += self.limit.min(1.0 / self.limit) * promptness;
@@ -163,6 +171,7 @@
     fn decrease(&mut self, outcome: AttemptOutcome) -> bool {
         let factor = if outcome == AttemptOutcome::TimedOut { TIMEOUT_DECREASE } else { FAILURE_DECREASE };
         let before = self.limit;
+        // 1 for the attempt just recorded, as in `increase`.
         self.limit = (before.min(f64::from(self.in_flight) + 1.0) * factor).max(self.min_limit);
         before >= REPORTED_LIMIT && self.limit < REPORTED_LIMIT
     }
@@ -170,6 +179,6 @@
 
 impl Circuit {
     fn half_open(&self, now: Timestamp) -> bool {
-        self.rejections >= OPEN_CIRCUIT_REJECTIONS && self.last_attempt_at + HALF_OPEN_AFTER <= now
+        self.final_decisions >= OPEN_CIRCUIT_FINAL_DECISIONS && self.last_attempt_at + HALF_OPEN_AFTER <= now
     }
 }
--- a/crates/larklink-balancer/src/lib.rs
+++ b/crates/larklink-balancer/src/lib.rs
@@ -12,10 +12,24 @@
 //! 4. [`Balancer::poll`] after each of these calls and at [`Balancer::next_wakeup`]. It returns the
 //!    [`Action`]s to carry out.
 //!
+//! # Terms
+//!
+//! - A session is a long-lived connection of a client, from its arrival at the proxy until it is over.
+//! - An attempt connects to one endpoint and sends the session to it. Every attempt after the first is a
+//!   retry.
+//! - A session is established once an endpoint has accepted it.
+//! - A group is the set of sessions with the same group key. They share state on an endpoint.
+//! - A bucket is a hash value of a session's group key or, without one, of its client key; random
+//!   if it has neither. Sessions of one bucket have the same ranking of endpoints.
+//! - The mean session load is the mean of the reported loads of sessions, and the unit of load.
+//! - The session store is a service behind all endpoints that each handshake uses. Resuming an established
+//!   connection does not use it.
+//!
 //! # Guarantees
 //!
 //! - Deterministic: the same seed and the same calls give the same decisions.
-//! - Consistent: all proxies with the same endpoint list rank the endpoints alike for a group or client key.
+//! - Consistent: all proxies with the same endpoint list compute the same ranking of endpoints for a group or
+//!   client key. Each may then prefer its own zone and spread a large group at random.
 //! - No attempt is sent to an endpoint after its drain grace. The send deadline of each attempt enforces this.
 //! - A session that may have run is retried only where its idempotency allows it, and rejected only where a
 //!   retry by its client has no second effect. Otherwise it fails.
--- a/crates/larklink-balancer/src/migration.rs
+++ b/crates/larklink-balancer/src/migration.rs
@@ -25,13 +25,16 @@
 const HEAVY_SESSION_LOAD: f64 = 4.0;
 /// The largest fraction of an endpoint's load that is migrated at once for overload.
 const MAX_RELIEF: f64 = 0.5;
-/// If no endpoint has capacity left, sessions are migrated only if the excess is larger than this.
+/// If no endpoint has capacity left, sessions are migrated only if the excess is larger than this: the
+/// excess at eight times the tolerated latency.
 const MIN_EXCESS_WITHOUT_ALTERNATIVE: f64 = EXCESS_PER_LATENCY_DOUBLING * 3.0;
 /// How long a session counts as new.
 const NEW_SESSION_AGE: TickDuration = TickDuration::from_secs(2);
 
-/// The budget of migrations for overload, from 0 to 1. Each migration spends a part of it, and it is
-/// replenished over time, so that an overload of all endpoints does not cause continuous migrations.
+/// A factor from 0 to 1 on how readily new and reconnecting sessions leave or avoid endpoints: on the minimum
+/// probability with which a new session is migrated for overload, and on the spillover of reconnecting
+/// sessions. Each migration for overload lowers it and time restores it, so that an overload of all endpoints
+/// does not cause continuous migrations. It does not limit the migration of excess load.
 #[derive(Debug)]
 pub(crate) struct MigrationBudget {
     remaining: f64,
@@ -91,15 +94,15 @@
     pub(crate) sessions: &'a SessionTable,
     pub(crate) budget: &'a mut MigrationBudget,
     /// The limit on attempts in flight, at most 1.
-    pub(crate) concurrency: f64,
+    pub(crate) capped_concurrency_limit: f64,
     pub(crate) rng: &'a mut ChaCha8Rng,
 }
 
 impl ReliefSelection<'_> {
-    /// Selects the sessions with the lowest scores for the endpoint, which are the same at every proxy, up to
-    /// its excess load. The last one is selected at random: if hundreds of proxies with a session or two
-    /// there migrated one each, they would empty the endpoint at once. `None` if no endpoint has capacity
-    /// left and the excess is small.
+    /// Selects heavy sessions first, then those with the lowest scores, up to the excess load. Scores are the
+    /// same at every proxy. The session that only partly fits is selected at random: if hundreds of proxies
+    /// with a session or two there migrated one each, they would empty the endpoint at once. New sessions
+    /// have a minimum probability. `None` if no endpoint has capacity left and the excess is small.
     pub(crate) fn select(self, now: Timestamp, index: EndpointIndex) -> Option<Relief> {
         let endpoint = &self.endpoints[index];
         let alternatives = self.fraction_with_capacity(now);
@@ -138,14 +141,16 @@
         with_capacity as f64 / self.endpoints.ready().count() as f64
     }
 
-    /// Returns the minimum probability with which a new session is migrated. If no load is reported, a new
-    /// session is the proxy's only test of an endpoint. With load reports the minimum is 0.
+    /// Returns the minimum probability with which a new session is migrated. Without load reports, a proxy
+    /// with few sessions on an endpoint can only place one there to find out whether the endpoint has
+    /// capacity left, so it migrates that session if the endpoint is overloaded. With load reports the
+    /// minimum is 0.
     fn min_new_session_probability(&self, endpoint: &Endpoint, alternatives: f64) -> f64 {
         if self.settings.load_reports {
             return 0.0;
         }
         let by_sessions = alternatives / f64::from(endpoint.load.sessions()).powi(2);
-        self.budget.remaining() * by_sessions * self.concurrency
+        self.budget.remaining() * by_sessions * self.capped_concurrency_limit
     }
 
     /// Returns the sessions established on the endpoint: heavy ones first, then by ascending score for the
--- a/crates/larklink-balancer/src/outlier.rs
+++ b/crates/larklink-balancer/src/outlier.rs
@@ -7,7 +7,8 @@
 use crate::event::AttemptOutcome;
 use crate::time::{TickDuration, Timestamp};
 
-/// The number of consecutive failures, without a response between them, that ejects an endpoint.
+/// The number of consecutive failures that ejects an endpoint: failed or reset connections and timed-out
+/// health checks, without a response between them.
 const EJECTION_FAILURES: u32 = 2;
 /// Alpha of a new endpoint: its successes, including the prior.
 const INITIAL_ALPHA: f64 = 2.0;
@@ -41,8 +42,8 @@
     alpha: f64,
     /// Failures, including the prior.
     beta: f64,
-    /// Failures since the last response, and at least 1 after a late message. Incremented once more when the
-    /// ejection is reported.
+    /// Failed or reset connections and timed-out health checks since the last response; at least 1 after an
+    /// unanswered message. Other failures do not count. Incremented once more when the ejection is reported.
     consecutive_failures: u32,
     /// Whether a connection has failed since the last response.
     connection_failed: bool,
@@ -101,6 +102,7 @@
     pub(crate) fn record_outcome(&mut self, now: Timestamp, outcome: AttemptOutcome, source: EvidenceSource) {
         let health_check = source == EvidenceSource::HealthCheck;
         match outcome {
+            // A session that ends normally counts in full, whenever its attempt started.
             AttemptOutcome::Succeeded if !health_check => self.record_success(now, now),
             AttemptOutcome::Succeeded | AttemptOutcome::AtCapacity => self.record_response(now),
             AttemptOutcome::ConnectFailed | AttemptOutcome::Reset => {
@@ -121,9 +123,10 @@
         }
     }
 
-    /// Records a late message. It counts as one consecutive failure if there are none yet: the endpoint is
-    /// then checked soon, and one more consecutive failure ejects it. Alpha and beta do not change.
-    pub(crate) fn record_late_message(&mut self) {
+    /// Records a message that has been unanswered for longer than a connect timeout. It counts as one
+    /// consecutive failure if there are none yet: the endpoint is then checked soon, and one more consecutive
+    /// failure ejects it. Alpha and beta do not change.
+    pub(crate) fn record_unanswered_message(&mut self) {
         self.consecutive_failures = self.consecutive_failures.max(1);
     }
 
@@ -146,7 +149,9 @@
         self.consecutive_failures >= EJECTION_FAILURES
     }
 
-    /// Returns whether the endpoint has just been ejected. True once per ejection.
+    /// Returns whether the endpoint has just been ejected. True once per ejection, but each
+    /// [`OutlierState::record_unusable_latency`] sets the count of consecutive failures back, so that an
+    /// ejected endpoint counts as just ejected again.
     pub(crate) fn take_ejection(&mut self) -> bool {
         let just_ejected = self.consecutive_failures == EJECTION_FAILURES;
         if just_ejected {
@@ -155,7 +160,7 @@
         just_ejected
     }
 
-    /// Returns whether there was a consecutive failure or a late message since the last response.
+    /// Returns whether there was a consecutive failure or an unanswered message since the last response.
     pub(crate) fn has_consecutive_failures(&self) -> bool {
         self.consecutive_failures > 0
     }
--- a/crates/larklink-balancer/src/placement.rs
+++ b/crates/larklink-balancer/src/placement.rs
@@ -14,18 +14,19 @@
 use crate::slow_start::SlowStartRequest;
 use crate::time::Timestamp;
 
-/// The number of endpoints at capacity that a session passes before the walk ends. Each endpoint with
-/// sessions of a group repeats the work that they share, so overload must not scatter a group.
+/// The number of full or loaded endpoints that a session passes, beyond those its group spreads over, before
+/// the walk ends. Each endpoint with sessions of a group repeats the work that they share, so overload must
+/// not scatter a group.
 const MAX_ENDPOINTS_PASSED: usize = 3;
 /// Load-based spillover: an endpoint is passed if its load reaches this multiple of the mean load for its
 /// weight plus `SPILLOVER_ALLOWANCE`.
 const SPILLOVER_FACTOR: f64 = 1.3;
 /// The constant part of the spillover threshold, in mean session loads.
 const SPILLOVER_ALLOWANCE: f64 = 1.0;
-/// The fraction of reconnecting sessions that pass an endpoint without sessions of this proxy. Scaled by the
-/// remaining migration budget.
+/// The probability that a reconnecting session passes an endpoint on which this proxy has no sessions, on its
+/// first attempt and without load reports. Scaled by the remaining migration budget.
 const RECONNECTING_SPILLOVER: f64 = 0.5;
-/// If no endpoint is suitable, the least loaded of this many first loaded ones is taken.
+/// If no endpoint is suitable, the less loaded of the first two loaded endpoints in the ranking is taken.
 const FALLBACK_CHOICES: usize = 2;
 
 /// The assessment of an endpoint for a session.
@@ -35,7 +36,7 @@
     /// The endpoint is at its load limit.
     Full,
     /// The endpoint failed recently, or the session's latest attempt was there.
-    Suspect,
+    Avoided,
     /// The endpoint is overloaded or above the spillover threshold.
     Loaded,
     Suitable,
@@ -47,7 +48,7 @@
     /// The number of full and loaded endpoints passed.
     passed: usize,
     loaded: Vec<EndpointIndex>,
-    first_suspect: Option<EndpointIndex>,
+    first_avoided: Option<EndpointIndex>,
 }
 
 /// The inputs of the choice of an endpoint.
@@ -65,23 +66,23 @@
     /// Returns the endpoint for the session's next attempt, or `None` if no endpoint admits it.
     pub(crate) fn choose(mut self, now: Timestamp, session: &Session) -> Option<EndpointIndex> {
         if session.resumes_established()
-            && let Some(owner) = self.previous_owner(now, session)
+            && let Some(owner) = self.presumed_owner(now, session)
         {
             return Some(owner);
         }
         let mut ranking = self.bucket_table.ranking(session.bucket(), self.endpoints).to_vec();
         bucket_table::prefer_local_zone(&mut ranking, self.endpoints, self.settings.local_zone);
         let ready = self.endpoints.ready_totals();
-        let breadth = self.spread_group(session.bucket(), ready, &mut ranking);
+        let spread_count = self.spread_group(session.bucket(), ready, &mut ranking);
         let mut walk = Walk::default();
         for endpoint in ranking {
-            if walk.passed >= MAX_ENDPOINTS_PASSED + breadth {
+            if walk.passed >= MAX_ENDPOINTS_PASSED + spread_count {
                 break;
             }
             match self.assess(now, session, endpoint, ready, walk.passed) {
                 Candidate::Excluded => {}
                 Candidate::Full => walk.passed += 1,
-                Candidate::Suspect => walk.first_suspect = walk.first_suspect.or(Some(endpoint)),
+                Candidate::Avoided => walk.first_avoided = walk.first_avoided.or(Some(endpoint)),
                 Candidate::Loaded => {
                     walk.passed += 1;
                     walk.loaded.push(endpoint);
@@ -92,9 +93,9 @@
         self.fall_back(walk)
     }
 
-    /// Returns the endpoint that holds a connection established through another proxy: the first endpoint of
-    /// the bucket's ranking that may hold it. `None` if that endpoint is ejected.
-    fn previous_owner(&self, now: Timestamp, session: &Session) -> Option<EndpointIndex> {
+    /// Returns the endpoint that presumably holds a connection established through another proxy: the first
+    /// endpoint of the bucket's ranking that may hold it. `None` if that endpoint is ejected.
+    fn presumed_owner(&self, now: Timestamp, session: &Session) -> Option<EndpointIndex> {
         let mut ranking = bucket_table::rank(self.endpoints, session.bucket(), |endpoint| {
             endpoint.may_hold_established(now, self.settings)
         });
@@ -102,19 +103,20 @@
         ranking.first().copied().filter(|&owner| !self.endpoints[owner].outlier.is_ejected())
     }
 
-    /// Returns over how many of the first endpoints a group spreads: those whose total weight is the group's
-    /// share of all sessions. If no load is reported, rotates the ranking to start at one of them, drawn at
-    /// random by weight.
+    /// Returns how many of the first endpoints the bucket spreads over: as many as fit in its share of the
+    /// total weight of the ready endpoints. If no load is reported, rotates the ranking to start at one of
+    /// them, drawn at random by weight.
     fn spread_group(&mut self, bucket: u64, ready: ReadyTotals, ranking: &mut [EndpointIndex]) -> usize {
         let group_share = self.population.share_by_open_sessions(bucket);
-        let breadth = self.count_within_weight(ranking, group_share * ready.weight);
-        if breadth > 1 && !self.settings.load_reports {
-            let total_weight: f64 = ranking[..breadth].iter().map(|&endpoint| self.weight(endpoint)).sum();
+        let spread_count = self.count_within_weight(ranking, group_share * ready.weight);
+        if spread_count > 1 && !self.settings.load_reports {
+            let total_weight: f64 =
+                ranking[..spread_count].iter().map(|&endpoint| self.weight(endpoint)).sum();
             let drawn_weight = self.rng.random::<f64>() * total_weight;
-            let start = self.count_within_weight(&ranking[..breadth - 1], drawn_weight);
-            ranking[..breadth].rotate_left(start);
+            let start = self.count_within_weight(&ranking[..spread_count - 1], drawn_weight);
+            ranking[..spread_count].rotate_left(start);
         }
-        breadth
+        spread_count
     }
 
     /// Returns how many of the first endpoints of a ranking have at most `weight` in total.
@@ -147,7 +149,7 @@
         let is_loaded = self.is_loaded(now, session, index, ready);
         let is_retry_there = session.attempts() > 0 && index == session.endpoint();
         if is_retry_there || self.endpoints[index].outlier.sample_avoidance(self.rng) {
-            Candidate::Suspect
+            Candidate::Avoided
         } else if is_loaded {
             Candidate::Loaded
         } else {
@@ -210,7 +212,7 @@
 
     /// Returns the endpoint to use if none is suitable: of the first two loaded ones, the one with less load
     /// for its weight, with ties broken at random. If none is loaded or full either, returns the first
-    /// suspect one.
+    /// avoided one.
     fn fall_back(&mut self, mut walk: Walk) -> Option<EndpointIndex> {
         walk.loaded.truncate(FALLBACK_CHOICES);
         walk.loaded.shuffle(self.rng);
@@ -218,7 +220,7 @@
             |&endpoint: &EndpointIndex| self.endpoints[endpoint].load.total() / self.weight(endpoint);
         let least_loaded =
             walk.loaded.into_iter().min_by(|a, b| relative_load(a).total_cmp(&relative_load(b)));
-        least_loaded.or(walk.first_suspect.filter(|_| walk.passed == 0))
+        least_loaded.or(walk.first_avoided.filter(|_| walk.passed == 0))
     }
 
     fn weight(&self, endpoint: EndpointIndex) -> f64 {
--- a/crates/larklink-balancer/src/session.rs
+++ b/crates/larklink-balancer/src/session.rs
@@ -21,6 +21,8 @@
 /// - `Established` -> `Queued`: the connection ended, and the caller reports that the session is not over
 ///   (`session_over` is false in [`Balancer::attempt_ended`](crate::Balancer::attempt_ended)).
 ///
+/// A session that is adopted from the predecessor starts as `Established`.
+///
 /// A session that is over or has got its final decision is removed from the table, whatever its state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SessionState {
@@ -34,7 +36,7 @@
     Established,
 }
 
-/// The first attempt of a session that may have run.
+/// The session's first attempt that may have run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PossibleRun {
     pub(crate) endpoint: EndpointIndex,
@@ -84,7 +86,7 @@
         self.slow_start_arrival = arrival;
     }
 
-    /// Records that another process of this proxy established the session.
+    /// Records that the predecessor established the session.
     pub(crate) fn adopt(&mut self, endpoint: EndpointIndex) {
         self.state = SessionState::Established;
         self.endpoint = endpoint;
--- a/crates/larklink-balancer/src/settings.rs
+++ b/crates/larklink-balancer/src/settings.rs
@@ -103,8 +103,8 @@
     pub health_checks: bool,
     /// Whether the answer to a health check reports the endpoint's utilization, its load over its capacity.
     pub load_reports: bool,
-    /// The zone of this proxy. `None` if there is only one zone, or if crossing zones is cheaper than a
-    /// migration.
+    /// The zone of this proxy. `None` if there is only one zone, or if crossing zones is free or cheaper than
+    /// a migration.
     pub local_zone: Option<u16>,
     /// The longest dial timeout of any client; [`TickDuration::MAX`] if unknown.
     pub max_dial_timeout: TickDuration,
