--- a/crates/larklink-engine/src/engine.rs
+++ b/crates/larklink-engine/src/engine.rs
@@ -12,7 +12,8 @@
 
 use crate::settings::ProxySettings;
 
-/// The id of an endpoint, derived from its name. It is the same at every proxy.
+/// The id of an endpoint, derived from its name (by `endpoint_id` in `larklink-proxy`). It is the same at
+/// every proxy.
 pub type EndpointId = u32;
 
 /// The id that the proxy assigns to a session.
@@ -85,7 +86,7 @@
 /// The balancer of one proxy and the ids of its endpoints and sessions.
 pub struct Engine {
     balancer: Balancer,
-    listeners: usize,
+    listener_count: usize,
     load_position: Option<usize>,
     in_flight_position: Option<usize>,
     endpoints: HashMap<EndpointId, EndpointIndex>,
@@ -99,7 +100,7 @@
     pub fn new(settings: &ProxySettings, seed: u64, now: Timestamp) -> Self {
         Self {
             balancer: Balancer::new(settings.balancer.clone(), seed, now),
-            listeners: settings.balancer.listeners.len(),
+            listener_count: settings.balancer.listeners.len(),
             load_position: settings.load_position,
             in_flight_position: settings.in_flight_position,
             endpoints: HashMap::new(),
@@ -112,7 +113,7 @@
     /// Returns whether the settings have a listener with this index. A session of any other listener must not
     /// be opened.
     pub fn has_listener(&self, listener: usize) -> bool {
-        listener < self.listeners
+        listener < self.listener_count
     }
 
     /// Applies an endpoint list or its changes. The engine sets the index in each entry.
@@ -128,8 +129,8 @@
         self.balancer.discovery_failed(now);
     }
 
-    /// Reports that this process takes over from another process of the same proxy, which may still make
-    /// attempts.
+    /// Reports that this process takes over from the predecessor, an earlier process of the same proxy, which
+    /// may still send retries.
     pub fn take_over_from_predecessor(&mut self, now: Timestamp) {
         self.balancer.take_over_from_predecessor(now);
     }
@@ -209,7 +210,8 @@
     }
 
     /// Reports the result of a health check and how long it `took`. `load_report` holds the values of the
-    /// answer in the order of the settings, and is empty if there were none.
+    /// answer in the order of [`ProxySettings::load_report_names`], and is empty if there were none. An
+    /// unknown endpoint is ignored.
     pub fn health_checked(
         &mut self,
         now: Timestamp,
@@ -223,9 +225,9 @@
             let value = position.and_then(|position| load_report.get(position));
             value.copied().unwrap_or(0.0)
         };
-        let load = value(self.load_position);
-        let in_flight = value(self.in_flight_position);
-        self.balancer.health_checked(now, endpoint, outcome, took, load, in_flight);
+        let utilization = value(self.load_position);
+        let sessions = value(self.in_flight_position);
+        self.balancer.health_checked(now, endpoint, outcome, took, utilization, sessions);
     }
 
     /// Counts the listed endpoints, and those of them that are avoided now.
@@ -297,7 +299,7 @@
         }
     }
 
-    /// Returns the handle of a session if `attempt` is its latest one. Reports on any other attempt are
+    /// Returns the handle of a session if `attempt` is its latest one. An event of an earlier attempt is
     /// ignored.
     fn handle_of_latest_attempt(&self, session: SessionId, attempt: AttemptNumber) -> Option<SessionHandle> {
         let open = self.sessions.get(&session)?;
--- a/crates/larklink-engine/src/settings.rs
+++ b/crates/larklink-engine/src/settings.rs
@@ -6,10 +6,10 @@
 use crate::validation::{self, SettingsError};
 use crate::wire::{ListenerObject, SettingsObject};
 
-/// The name of the load report value that holds the endpoint's offered load over its capacity.
-const LOAD_VALUE: &str = "x0";
-/// The name of the load report value that holds the number of sessions in flight at the endpoint.
-const IN_FLIGHT_VALUE: &str = "inflight";
+/// The name of the load report value that holds the endpoint's utilization, its load over its capacity.
+const UTILIZATION_VALUE: &str = "x0";
+/// The name of the load report value that holds the number of sessions on the endpoint, from all proxies.
+const SESSIONS_VALUE: &str = "inflight";
 
 /// The contents of a settings object: the settings of the balancer and those of the proxy itself.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
@@ -23,15 +23,15 @@
     pub zones: Vec<String>,
     /// The names of the values of a load report, in order.
     pub load_report_names: Vec<String>,
-    /// The position in a load report of the endpoint's offered load over its capacity.
+    /// The position in a load report of the endpoint's utilization, its load over its capacity.
     pub load_position: Option<usize>,
-    /// The position in a load report of the number of sessions in flight at the endpoint.
+    /// The position in a load report of the number of sessions on the endpoint, from all proxies.
     pub in_flight_position: Option<usize>,
     /// The longest dial timeout of any listener; 0 if there is none.
     pub max_dial_timeout: TickDuration,
     /// Whether packets bypass the proxy process, so that connections outlive it.
     pub passthrough: bool,
-    /// Whether the latency of messages may be reported to endpoints.
+    /// Whether the proxy measures the latency of messages and reports it to the engine.
     pub reports_message_latency: bool,
 }
 
@@ -53,8 +53,8 @@
     fn try_from(object: SettingsObject) -> Result<Self, SettingsError> {
         validation::validate(&object)?;
         let position = |value: &str| object.load_report.names.iter().position(|name| name == value);
-        let load_position = position(LOAD_VALUE);
-        let in_flight_position = position(IN_FLIGHT_VALUE);
+        let load_position = position(UTILIZATION_VALUE);
+        let in_flight_position = position(SESSIONS_VALUE);
         let dial_timeouts =
             object.listeners.iter().map(|listener| ticks_from_nanos(listener.dial_timeout_ns));
         let max_dial_timeout = dial_timeouts.max().unwrap_or(TickDuration::ZERO);
@@ -96,8 +96,9 @@
         overload_window: ticks_from_nanos(safety.overload_window_ns),
         retry_budget: validation::retry_budget(safety)?,
         availability_nines: validation::availability_nines(&object.availability)?,
+        // With 0, maintenance would always be due.
         connect_timeout: ticks_from_nanos(limits.connect_timeout_ns).max(TickDuration::from_ticks(1)),
-        // `AttemptNumber` is a byte.
+        // So that the number of attempts fits in `AttemptNumber`.
         max_attempts: limits.max_attempts.min(u8::MAX.into()),
         max_retry_after: ticks_from_nanos(limits.max_retry_after_ns),
         retry_after_allowed: limits.retry_after,
@@ -114,8 +115,8 @@
 }
 
 /// Returns whether endpoints in the proxy's zone are preferred. A group that is split over zones loads
-/// endpoints in each of them, so they are preferred only if crossing zones costs at least as much as a
-/// migration.
+/// endpoints in each of them, so local endpoints are preferred only if crossing zones costs at least as much
+/// as a migration.
 fn prefers_local_zone(object: &SettingsObject) -> bool {
     let costs = &object.costs;
     object.zones.len() > 1 && costs.cross_zone > 0.0 && costs.cross_zone >= costs.migration
