--- a/crates/larklink-balancer/src/outlier.rs
+++ b/crates/larklink-balancer/src/outlier.rs
@@ -7,18 +7,19 @@
 use crate::event::AttemptOutcome;
 use crate::time::{TickDuration, Timestamp};
 
-/// The number of consecutive failures, without a response between them, that ejects an endpoint.
+/// The number of consecutive failures that ejects an endpoint: failed or reset connections and timed-out
+/// health checks, without a response between them.
 const EJECTION_FAILURES: u32 = 2;
 /// Alpha of a new endpoint: its successes, including the prior.
 const INITIAL_ALPHA: f64 = 2.0;
 /// The prior of alpha and beta, and their lower bound.
 const PRIOR: f64 = 1.0;
 /// The upper bound of alpha and beta, including the prior.
-const MAX_EVIDENCE: f64 = 8.0;
+const MAX_PSEUDO_COUNT: f64 = 8.0;
 /// The fraction of the successes that is kept at a failure.
-const SUCCESSES_KEPT_BY_FAILURE: f64 = 0.5;
+const SUCCESS_RETENTION_ON_FAILURE: f64 = 0.5;
 /// The fraction of the failures that is dropped at a success, and at the first response after a failure.
-const FAILURES_DROPPED: f64 = 0.5;
+const FAILURE_DISCOUNT_ON_SUCCESS: f64 = 0.5;
 /// The fraction of the failures that is dropped per second.
 const FAILURE_DECAY_PER_SECOND: f64 = 0.1;
 /// An endpoint whose beta, its failures including the prior, exceeds this is suspect.
@@ -41,8 +42,8 @@
     alpha: f64,
     /// Failures, including the prior.
     beta: f64,
-    /// Failures since the last response, and at least 1 after a late message. Incremented once more when the
-    /// ejection is reported.
+    /// Failed or reset connections and timed-out health checks since the last response; at least 1 after an
+    /// unanswered message. Other failures do not count. Incremented once more when the ejection is reported.
     consecutive_failures: u32,
     /// Whether a connection has failed since the last response.
     connection_failed: bool,
@@ -78,7 +79,7 @@
     /// Records that the process responds. This does not count as a success, as it may accept connections only
     /// to drop them.
     pub(crate) fn record_response(&mut self, now: Timestamp) {
-        self.drop_failures(if self.consecutive_failures > 0 { FAILURES_DROPPED } else { 0.0 });
+        self.drop_failures(if self.consecutive_failures > 0 { FAILURE_DISCOUNT_ON_SUCCESS } else { 0.0 });
         if self.connection_failed {
             self.connection_failed = false;
             self.recovered_at = now;
@@ -93,14 +94,15 @@
     pub(crate) fn record_success(&mut self, now: Timestamp, attempt_started_at: Timestamp) {
         self.record_response(now);
         let evidence = if attempt_started_at >= self.handshake_timed_out_at { 1.0 } else { 0.0 };
-        self.alpha = (self.alpha + evidence).min(MAX_EVIDENCE);
-        self.drop_failures(evidence * FAILURES_DROPPED);
+        self.alpha = (self.alpha + evidence).min(MAX_PSEUDO_COUNT);
+        self.drop_failures(evidence * FAILURE_DISCOUNT_ON_SUCCESS);
     }
 
     /// Records the outcome of an attempt, a connection or a health check.
     pub(crate) fn record_outcome(&mut self, now: Timestamp, outcome: AttemptOutcome, source: EvidenceSource) {
         let health_check = source == EvidenceSource::HealthCheck;
         match outcome {
+            // A session that ends normally counts in full, whenever its attempt started.
             AttemptOutcome::Succeeded if !health_check => self.record_success(now, now),
             AttemptOutcome::Succeeded | AttemptOutcome::AtCapacity => self.record_response(now),
             AttemptOutcome::ConnectFailed | AttemptOutcome::Reset => {
@@ -121,9 +123,10 @@
         }
     }
 
-    /// Records a late message. It counts as one consecutive failure if there are none yet: the endpoint is
-    /// then checked soon, and one more consecutive failure ejects it. Alpha and beta do not change.
-    pub(crate) fn record_late_message(&mut self) {
+    /// Records a message that has been unanswered for longer than a connect timeout. It counts as one
+    /// consecutive failure if there are none yet: the endpoint is then checked soon, and one more consecutive
+    /// failure ejects it. Alpha and beta do not change.
+    pub(crate) fn record_unanswered_message(&mut self) {
         self.consecutive_failures = self.consecutive_failures.max(1);
     }
 
@@ -136,7 +139,9 @@
 
     /// Decays the failures over `elapsed`.
     pub(crate) fn decay(&mut self, elapsed: TickDuration) {
-        self.drop_failures(FAILURE_DECAY_PER_SECOND * elapsed.as_f64() / TickDuration::from_secs(1).as_f64());
+        self.drop_failures(
+            FAILURE_DECAY_PER_SECOND * elapsed.as_ticks_f64() / TickDuration::from_secs(1).as_ticks_f64(),
+        );
     }
 
     /// Returns whether the endpoint is ejected for its consecutive failures.
@@ -144,7 +149,9 @@
         self.consecutive_failures >= EJECTION_FAILURES
     }
 
-    /// Returns whether the endpoint has just been ejected. True once per ejection.
+    /// Returns whether the endpoint has just been ejected. True once per ejection, but each
+    /// [`OutlierState::record_unusable_latency`] sets the count of consecutive failures back, so that an
+    /// ejected endpoint counts as just ejected again.
     pub(crate) fn take_ejection(&mut self) -> bool {
         let just_ejected = self.consecutive_failures == EJECTION_FAILURES;
         if just_ejected {
@@ -153,7 +160,7 @@
         just_ejected
     }
 
-    /// Returns whether there was a consecutive failure or a late message since the last response.
+    /// Returns whether there was a consecutive failure or an unanswered message since the last response.
     pub(crate) fn has_consecutive_failures(&self) -> bool {
         self.consecutive_failures > 0
     }
@@ -193,8 +200,8 @@
     }
 
     fn add_failure(&mut self) {
-        self.alpha = PRIOR + (self.alpha - PRIOR) * SUCCESSES_KEPT_BY_FAILURE;
-        self.beta = (self.beta + 1.0).min(MAX_EVIDENCE);
+        self.alpha = PRIOR + (self.alpha - PRIOR) * SUCCESS_RETENTION_ON_FAILURE;
+        self.beta = (self.beta + 1.0).min(MAX_PSEUDO_COUNT);
     }
 
     fn drop_failures(&mut self, fraction: f64) {
