--- a/crates/larklink-coordination/src/lease.rs
+++ b/crates/larklink-coordination/src/lease.rs
@@ -15,8 +15,12 @@
 //! use larklink_coordination::safety::BoundedDrift;
 //! use larklink_coordination::settings::LeaseSettings;
 //!
-//! let settings =
-//!     LeaseSettings { ttl: 100_000, drift_ppm: 1_000, max_act_duration: 1_000, request_timeout: 5_000 };
+//! let settings = LeaseSettings {
+//!     ttl: 100_000,
+//!     max_drift_ppm: 1_000,
+//!     max_operation_duration: 1_000,
+//!     request_timeout: 5_000,
+//! };
 //! settings.check()?;
 //! let member = Member { name: "proxy-1".into(), incarnation: 7 };
 //! let mut lease: Lease<BoundedDrift> = Lease::new(member, settings, Some(1));
@@ -239,7 +243,7 @@
             let earlier =
                 self.unresolved_write.as_ref().filter(|write| write.expected_index == *expected_index);
             let requested_at =
-                earlier.map_or(now, |write| S::repeated_write_counts_from(write.requested_at, now));
+                earlier.map_or(now, |write| S::effective_request_time(write.requested_at, now));
             self.unresolved_write = Some(UnresolvedWrite { expected_index: *expected_index, requested_at });
         }
         self.outstanding = Some(OutstandingRequest { request: request.clone(), requested_at: now });
@@ -274,7 +278,7 @@
     fn may_take_over_at(&self, observed: &ObservedRecord) -> Timestamp {
         match &observed.record {
             Some(LeaseRecord { holder: Some(_), ttl, .. }) => {
-                S::may_overtake_at(observed.first_observed_at, *ttl, self.settings.drift_ppm)
+                S::may_take_over_at(observed.first_observed_at, *ttl, self.settings.max_drift_ppm)
             }
             _ => 0,
         }
@@ -363,7 +367,8 @@
         if index < known_index {
             // The lease store has lost its data, and another member may still hold the lease.
             self.mark_lost(None);
-            self.acquire_not_before = S::may_overtake_at(now, self.settings.ttl, self.settings.drift_ppm);
+            self.acquire_not_before =
+                S::may_take_over_at(now, self.settings.ttl, self.settings.max_drift_ppm);
         } else if index == known_index && self.observed.is_some() {
             // Nothing changed. Unanswered writes on this index may still take effect, so their request time is kept.
             return;
--- a/crates/larklink-coordination/src/safety.rs
+++ b/crates/larklink-coordination/src/safety.rs
@@ -20,24 +20,24 @@
         _answered_at: Timestamp,
         settings: &LeaseSettings,
     ) -> Timestamp {
-        let drift = TickDuration::from(settings.drift_ppm);
+        let drift = TickDuration::from(settings.max_drift_ppm);
         let expires_at = requested_at + settings.ttl * (PPM - drift) / PPM;
-        expires_at.saturating_sub(settings.max_act_duration)
+        expires_at.saturating_sub(settings.max_operation_duration)
     }
 
     /// The time from which a candidate may take over a record that it first observed at `observed_at` and that has
     /// not changed since.
-    fn may_overtake_at(observed_at: Timestamp, ttl: TickDuration, drift_ppm: u32) -> Timestamp {
+    fn may_take_over_at(observed_at: Timestamp, ttl: TickDuration, max_drift_ppm: u32) -> Timestamp {
         // A candidate whose clock runs fast must still wait for the whole TTL in true time.
         // The TTL comes from a record that another member wrote, so the product may exceed 64 bits.
-        let fastest_rate = u128::from(PPM + TickDuration::from(drift_ppm));
+        let fastest_rate = u128::from(PPM + TickDuration::from(max_drift_ppm));
         let wait = (u128::from(ttl) * fastest_rate).div_ceil(PPM.into());
         observed_at.saturating_add(TickDuration::try_from(wait).unwrap_or(TickDuration::MAX))
     }
 
     /// The request time that counts for a write that repeats an unanswered one. It is the earlier of the two, since
     /// either write may be the one that takes effect.
-    fn repeated_write_counts_from(first_requested_at: Timestamp, repeated_at: Timestamp) -> Timestamp {
+    fn effective_request_time(first_requested_at: Timestamp, repeated_at: Timestamp) -> Timestamp {
         first_requested_at.min(repeated_at)
     }
 }
--- a/crates/larklink-coordination/src/settings.rs
+++ b/crates/larklink-coordination/src/settings.rs
@@ -17,10 +17,10 @@
     /// How long the lease is valid after a renewal.
     pub ttl: TickDuration,
     /// The largest deviation of any member's clock rate, in parts per million.
-    pub drift_ppm: u32,
+    pub max_drift_ppm: u32,
     /// The longest time that one operation under the lease may take. No operation starts later than this before the
     /// lease expires.
-    pub max_act_duration: TickDuration,
+    pub max_operation_duration: TickDuration,
     /// The time after which a request to the lease store counts as unanswered.
     pub request_timeout: TickDuration,
 }
@@ -29,14 +29,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum LeaseSettingsError {
     /// The clock drift is 0 or too high.
-    #[error("drift: {0} ppm is out of range: must be above 0 and at most {MAX_DRIFT_PPM}")]
+    #[error("max_drift_ppm: {0} ppm is out of range: must be above 0 and at most {MAX_DRIFT_PPM}")]
     DriftOutOfRange(u32),
     /// The request timeout is 0.
-    #[error("call: the request timeout must be above 0")]
+    #[error("request_timeout: the request timeout must be above 0")]
     NoRequestTimeout,
     /// The TTL is too short for a failed renewal to be retried.
     #[error(
-        "span: the TTL of {ttl} is under {MIN_TTL_PER_REQUEST_TIMEOUT} times the request timeout, {request_timeout}"
+        "ttl: the TTL of {ttl} is under {MIN_TTL_PER_REQUEST_TIMEOUT} times the request timeout, {request_timeout}"
     )]
     TtlTooShort {
         /// The TTL.
@@ -45,13 +45,15 @@
         request_timeout: TickDuration,
     },
     /// The TTL is longer than a day.
-    #[error("span: the TTL is {0} ticks of 0.1 ms, longer than a day")]
+    #[error("ttl: the TTL is {0} ticks of 0.1 ms, longer than a day")]
     TtlTooLong(TickDuration),
     /// One operation may take half of the TTL or longer.
-    #[error("act: an operation may take {max_act_duration} ticks, half of the TTL of {ttl} or longer")]
-    ActTooLong {
+    #[error(
+        "max_operation_duration: an operation may take {max_operation_duration} ticks, half of the TTL of {ttl} or longer"
+    )]
+    OperationTooLong {
         /// The longest duration of one operation.
-        max_act_duration: TickDuration,
+        max_operation_duration: TickDuration,
         /// The TTL.
         ttl: TickDuration,
     },
@@ -63,8 +65,8 @@
     /// # Errors
     /// Returns an error for the first setting that is out of range or inconsistent with another one.
     pub fn check(&self) -> Result<(), LeaseSettingsError> {
-        if self.drift_ppm == 0 || self.drift_ppm > MAX_DRIFT_PPM {
-            return Err(LeaseSettingsError::DriftOutOfRange(self.drift_ppm));
+        if self.max_drift_ppm == 0 || self.max_drift_ppm > MAX_DRIFT_PPM {
+            return Err(LeaseSettingsError::DriftOutOfRange(self.max_drift_ppm));
         }
         if self.request_timeout == 0 {
             return Err(LeaseSettingsError::NoRequestTimeout);
@@ -76,9 +78,9 @@
         if self.ttl > MAX_TTL {
             return Err(LeaseSettingsError::TtlTooLong(self.ttl));
         }
-        if self.max_act_duration >= self.ttl / 2 {
-            let max_act_duration = self.max_act_duration;
-            return Err(LeaseSettingsError::ActTooLong { max_act_duration, ttl: self.ttl });
+        if self.max_operation_duration >= self.ttl / 2 {
+            let max_operation_duration = self.max_operation_duration;
+            return Err(LeaseSettingsError::OperationTooLong { max_operation_duration, ttl: self.ttl });
         }
         Ok(())
     }
--- a/crates/larklink-simulation/tests/lease.rs
+++ b/crates/larklink-simulation/tests/lease.rs
@@ -16,7 +16,7 @@
 /// One time step is slightly shorter than the TTL, so that a slow holder's and a fast candidate's expiry differ by one
 /// step.
 fn settings() -> LeaseSettings {
-    LeaseSettings { ttl: 110, drift_ppm: DRIFT_PPM, max_act_duration: 0, request_timeout: 10 }
+    LeaseSettings { ttl: 110, max_drift_ppm: DRIFT_PPM, max_operation_duration: 0, request_timeout: 10 }
 }
 
 /// Wrong: the holder's lease time starts with the response instead of the request.
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy)]
 struct IgnoresDrift;
 impl SafetyCondition for IgnoresDrift {
-    fn may_overtake_at(observed_at: Timestamp, ttl: TickDuration, _: u32) -> Timestamp {
+    fn may_take_over_at(observed_at: Timestamp, ttl: TickDuration, _: u32) -> Timestamp {
         observed_at + ttl
     }
 }
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy)]
 struct TimeoutMeansNotWritten;
 impl SafetyCondition for TimeoutMeansNotWritten {
-    fn repeated_write_counts_from(_: Timestamp, repeated_at: Timestamp) -> Timestamp {
+    fn effective_request_time(_: Timestamp, repeated_at: Timestamp) -> Timestamp {
         repeated_at
     }
 }
@@ -173,12 +173,12 @@
 fn invalid_settings_are_rejected_by_name() {
     assert_eq!(LeaseSettings { ttl: 100, ..settings() }.check(), Ok(()));
     for (wrong, name) in [
-        (LeaseSettings { drift_ppm: 0, ..settings() }, "drift"),
-        (LeaseSettings { drift_ppm: 100_001, ..settings() }, "drift"),
-        (LeaseSettings { request_timeout: 12, ..settings() }, "span"),
-        (LeaseSettings { max_act_duration: 55, ..settings() }, "act"),
-        (LeaseSettings { request_timeout: 0, ..settings() }, "call"),
-        (LeaseSettings { ttl: u64::MAX, ..settings() }, "span"),
+        (LeaseSettings { max_drift_ppm: 0, ..settings() }, "max_drift_ppm"),
+        (LeaseSettings { max_drift_ppm: 100_001, ..settings() }, "max_drift_ppm"),
+        (LeaseSettings { request_timeout: 12, ..settings() }, "ttl"),
+        (LeaseSettings { max_operation_duration: 55, ..settings() }, "max_operation_duration"),
+        (LeaseSettings { request_timeout: 0, ..settings() }, "request_timeout"),
+        (LeaseSettings { ttl: u64::MAX, ..settings() }, "ttl"),
     ] {
         assert!(wrong.check().unwrap_err().to_string().starts_with(name), "{wrong:?}");
     }
