--- a/crates/larklink-proxy/tests/scenarios.rs
+++ b/crates/larklink-proxy/tests/scenarios.rs
@@ -81,7 +81,7 @@
     };
     let recovered = run_scenario(&scenario(""), 1, None);
     assert_passed(&recovered);
-    assert!(recovered.recovery.unwrap().took.is_some());
+    assert!(recovered.recovery.unwrap().recovery_time.is_some());
     let slow_store = "[[faults]]\nwhat = 'store-slow'\nat = '1s'\nfor = '60s'\nfactor = 20.0\n";
     let report = run_scenario(&scenario(slow_store), 1, None);
     assert_eq!(report.unmet_requirements, ["goodput never came back after the last restart, 1s asked for"]);
--- a/crates/larklink-proxy/tests/shapes.rs
+++ b/crates/larklink-proxy/tests/shapes.rs
@@ -14,7 +14,7 @@
             .replace("count = 2\n[[servers]]", &shape)
             .replace("which = [1, 2]", "which = [1]");
         let report = run_scenario(&(text + extra), seed, None);
-        let shares = report.shapes.map(|shape| shape.share());
+        let shares = report.shapes.map(|shape| shape.acceptance_ratio());
         (report, shares)
     };
     // The share differs between runs by 0.04, once by 0.1, so the mean of two runs is compared.
--- a/crates/larklink-simulation/src/audit.rs
+++ b/crates/larklink-simulation/src/audit.rs
@@ -27,7 +27,7 @@
         let outcomes = &mut listeners[session.request.listener];
         let accepted_before = outcomes.accepted;
         checker.check(id, session, outcomes);
-        let shape = &mut shapes[usize::from(scenario.moved(session.proxy))];
+        let shape = &mut shapes[usize::from(scenario.is_moved_shape(session.proxy))];
         shape.opened += 1;
         shape.accepted += outcomes.accepted - accepted_before;
     }
--- a/crates/larklink-simulation/src/audit/findings.rs
+++ b/crates/larklink-simulation/src/audit/findings.rs
@@ -161,7 +161,8 @@
     #[serde(rename = "nobody_there")]
     pub proxy_unreachable: u64,
     /// Sessions still waiting at the end of the run, or abandoned by the client itself.
-    pub open: u64,
+    #[serde(rename = "open")]
+    pub unfinished: u64,
     /// Attempts at servers.
     #[serde(rename = "dials")]
     pub attempts: u64,
@@ -175,7 +176,7 @@
     pub ran_after_abandoned: u64,
     /// The response time of each accepted session, in tenths of a millisecond.
     #[serde(skip)]
-    pub took: Vec<TickDuration>,
+    pub response_times: Vec<TickDuration>,
 }
 
 /// Counts of session outcomes at the proxies of one shape.
@@ -192,7 +193,7 @@
     pub const NAMES: [&str; 2] = ["old", "moved"];
 
     /// The fraction of sessions that were accepted; 0 if there were none.
-    pub fn share(&self) -> f64 {
+    pub fn acceptance_ratio(&self) -> f64 {
         self.accepted as f64 / self.opened.max(1) as f64
     }
 }
--- a/crates/larklink-simulation/src/audit/run_history.rs
+++ b/crates/larklink-simulation/src/audit/run_history.rs
@@ -128,7 +128,7 @@
         let at = event.at;
         match event.kind {
             EventKind::Overloaded { server, ratio } => {
-                let group = self.scenario.each_server().nth(server);
+                let group = self.scenario.server_groups_by_index().nth(server);
                 let allowed = group.map_or(0.0, |group| group.overload_multiple);
                 let observed =
                     format!("server {server}: load {ratio:.1} times its capacity, {allowed} allowed");
--- a/crates/larklink-simulation/src/audit/session_checker.rs
+++ b/crates/larklink-simulation/src/audit/session_checker.rs
@@ -67,17 +67,17 @@
         let Some(&response) = session.responses.first() else {
             return self.check_without_response(id, session, outcomes);
         };
-        let patience = session.request.patience;
-        if response.at > session.opened_at + patience + TOLERANCE {
+        let dial_timeout = session.request.dial_timeout;
+        if response.at > session.opened_at + dial_timeout + TOLERANCE {
             let elapsed = (response.at - session.opened_at) / TICKS_PER_MS;
-            let allowed = patience / TICKS_PER_MS;
+            let allowed = dial_timeout / TICKS_PER_MS;
             let observed = format!("{} after {elapsed} ms, {allowed} ms allowed", response.value);
             self.violation(ViolationKind::LateResponse, id, response.at, observed);
         }
         match response.value {
             ClientResponse::Accepted => {
                 outcomes.accepted += 1;
-                outcomes.took.push(response.at - session.opened_at);
+                outcomes.response_times.push(response.at - session.opened_at);
                 // A client that never reads cannot be notified of anything.
                 if self.listener(session).unread_kb == 0 {
                     self.check_established(id, session, response.at, outcomes);
@@ -92,17 +92,17 @@
     }
 
     fn check_without_response(&mut self, id: u64, session: &SessionHistory, outcomes: &mut SessionOutcomes) {
-        let limit = session.opened_at + session.request.patience + TOLERANCE;
+        let limit = session.opened_at + session.request.dial_timeout + TOLERANCE;
         let until = session.end.map_or(limit, |end| end.at).min(limit);
         let client_left = matches!(session.end, Some(Timed { value: ConnectionEnd::Left, .. }));
         if self.history.proxies_unavailable[session.proxy].overlaps(session.opened_at, until) {
             outcomes.lost_with_proxy += 1;
         } else if limit >= self.end || client_left {
-            outcomes.open += 1;
+            outcomes.unfinished += 1;
         } else {
             let observed = match session.end {
                 Some(end) => format!("connection ended ({}) without a response", end.value),
-                None => format!("no response within {} ms", session.request.patience / TICKS_PER_MS),
+                None => format!("no response within {} ms", session.request.dial_timeout / TICKS_PER_MS),
             };
             self.violation(ViolationKind::NoResponse, id, until, observed);
         }
@@ -170,7 +170,7 @@
             let last_at = attempts.last().map_or(0, |attempt| attempt.started_at);
             self.violation(ViolationKind::TooManyAttempts, id, last_at, observed);
         }
-        let response_deadline = session.opened_at + session.request.patience + TOLERANCE;
+        let response_deadline = session.opened_at + session.request.dial_timeout + TOLERANCE;
         for (index, attempt) in attempts.iter().enumerate() {
             let remaining = response_deadline.saturating_sub(attempt.started_at);
             if attempt.timeout_ms * TICKS_PER_MS > remaining {
@@ -212,9 +212,9 @@
 /// remember the key.
 fn is_safe_to_repeat(listener: &ListenerSpec, attempt: &AttemptHistory, repeated_at: Timestamp) -> bool {
     match listener.kind {
-        SessionKind::Repeatable => true,
+        SessionKind::Idempotent => true,
         SessionKind::OnceOnly => attempt.never_ran(),
-        SessionKind::Referenced => {
+        SessionKind::Deduplicated => {
             attempt.never_ran() || repeated_at <= attempt.started_at + listener.window.0 + TOLERANCE
         }
     }
--- a/crates/larklink-simulation/src/clients.rs
+++ b/crates/larklink-simulation/src/clients.rs
@@ -231,11 +231,11 @@
     fn add_client(&mut self, at: Timestamp, listener: usize) {
         let spec = &self.listeners[listener];
         // The number of groups that gives each the configured mean number of clients.
-        let mean_clients =
-            spec.initial_clients as f64 + spec.arrivals_per_second * spec.mean_stay.0 as f64 / SECOND as f64;
+        let mean_clients = spec.initial_clients as f64
+            + spec.arrivals_per_second * spec.mean_session_duration.0 as f64 / SECOND as f64;
         let groups = ((mean_clients / spec.clients_per_group as f64).ceil() as u64).max(1);
-        let mean_stay = spec.mean_stay.0 as f64;
-        let leaves_at = at + self.draw_exponential(mean_stay).max(MIN_STAY);
+        let mean_session_duration = spec.mean_session_duration.0 as f64;
+        let leaves_at = at + self.draw_exponential(mean_session_duration).max(MIN_STAY);
         let group_number = self.rng.random_range(0..groups);
         let group = (group_number + 1) * GROUP_KEY_STEP + listener as u64;
         let key = self.rng.next_u64();
@@ -288,14 +288,14 @@
             return;
         }
         sender.unaccepted_requests += 1;
-        let patience = self.listeners[sender.listener].dial_timeout.0;
+        let dial_timeout = self.listeners[sender.listener].dial_timeout.0;
         let request = ClientRequest {
             client,
             id,
             key: sender.key,
             group: sender.group,
             listener: sender.listener,
-            patience,
+            dial_timeout,
             reconnecting: sender.reconnecting,
             retry: sender.retry,
         };
@@ -309,7 +309,7 @@
         };
         self.sessions.insert(id, session);
         self.waiting += 1;
-        self.timers.push(now + patience + LATE_RESPONSE_GRACE, ClientTimer::TimeOut { id });
+        self.timers.push(now + dial_timeout + LATE_RESPONSE_GRACE, ClientTimer::TimeOut { id });
         actions.push(ClientAction::Connect(request));
     }
 
@@ -412,7 +412,9 @@
         let Some(client) = self.end_session(now, id) else { return };
         let sender = &mut self.clients[client];
         let listener = &self.listeners[sender.listener];
-        if sender.unaccepted_requests >= listener.max_tries || listener.retry == RetryBehavior::Never {
+        if sender.unaccepted_requests >= listener.max_client_attempts
+            || listener.retry == RetryBehavior::Never
+        {
             self.tallies[sender.listener].gave_up += 1;
             return;
         }
@@ -462,26 +464,26 @@
     }
 
     /// Returns the fraction of the clients that currently want a session whose messages come back in time, weighted by
-    /// utility.
-    pub fn served_now(&self, now: Timestamp) -> f64 {
-        let utility = |client: &Client| self.listeners[client.listener].utility;
+    /// priority weight.
+    pub fn current_service(&self, now: Timestamp) -> f64 {
+        let priority_weight = |client: &Client| self.listeners[client.listener].priority_weight;
         let wants = |client: &&Client| (client.arrives_at..client.leaves_at.min(self.length)).contains(&now);
-        let wanted: f64 = self.clients.iter().filter(wants).map(utility).sum();
+        let wanted: f64 = self.clients.iter().filter(wants).map(priority_weight).sum();
         let well_served = self.sessions.values().filter(|session| {
             let objective = self.listeners[self.listener_index(session)].message_objective.0;
             let oldest = session.messages_in_flight.first();
             session.well_served_since.is_some()
                 && oldest.is_none_or(|message| now - message.sent_at <= objective)
         });
-        let served: f64 = well_served.map(|session| utility(&self.clients[session.client])).sum();
+        let served: f64 = well_served.map(|session| priority_weight(&self.clients[session.client])).sum();
         if wanted > 0.0 { (served / wanted).min(1.0) } else { 1.0 }
     }
 
-    /// Returns the well-served time as a fraction of the wanted time, weighted by utility.
+    /// Returns the well-served time as a fraction of the wanted time, weighted by priority weight.
     pub fn service(&self) -> f64 {
         let sum = |time: fn(&ListenerTally) -> TickDuration| -> f64 {
             let by_listener = self.tallies.iter().zip(&self.listeners);
-            by_listener.map(|(tally, listener)| time(tally) as f64 * listener.utility).sum()
+            by_listener.map(|(tally, listener)| time(tally) as f64 * listener.priority_weight).sum()
         };
         let wanted = sum(|tally| tally.wanted);
         if wanted > 0.0 { sum(|tally| tally.well_served) / wanted } else { 1.0 }
--- a/crates/larklink-simulation/src/endpoint_list.rs
+++ b/crates/larklink-simulation/src/endpoint_list.rs
@@ -34,7 +34,7 @@
     /// The status of the server.
     pub status: EndpointStatus,
     /// When the server last started; 0 means before the run.
-    pub started: Timestamp,
+    pub started_at: Timestamp,
 }
 
 /// An entry with the list version in which it last changed.
@@ -61,7 +61,7 @@
     pub fn new(servers: usize, lag: TickDuration) -> Self {
         let entry = |server| VersionedEntry {
             version: 1,
-            entry: EndpointListEntry { server, status: EndpointStatus::Up, started: 0 },
+            entry: EndpointListEntry { server, status: EndpointStatus::Up, started_at: 0 },
         };
         Self { lag, entries: (0..servers).map(entry).collect(), version: 1, ..Self::default() }
     }
--- a/crates/larklink-simulation/src/event_log.rs
+++ b/crates/larklink-simulation/src/event_log.rs
@@ -24,8 +24,9 @@
     pub group: u64,
     /// The index of the listener in the scenario.
     pub listener: usize,
-    /// How long the client waits for a response (its dial timeout).
-    pub patience: TickDuration,
+    /// How long the client waits for a response.
+    #[serde(rename = "patience")]
+    pub dial_timeout: TickDuration,
     /// Whether the client reconnects after its established session was broken or migrated.
     #[serde(rename = "again")]
     pub reconnecting: bool,
--- a/crates/larklink-simulation/src/faults.rs
+++ b/crates/larklink-simulation/src/faults.rs
@@ -189,7 +189,7 @@
         | FaultKind::ProxyReloaded
         | FaultKind::ProxyReplaced => (0..scenario.proxies.count).collect(),
         _ => {
-            let servers = scenario.each_server().enumerate();
+            let servers = scenario.server_groups_by_index().enumerate();
             servers.filter(|(_, server)| server.listed != joins).map(|(index, _)| index).collect()
         }
     };
@@ -239,7 +239,8 @@
             }
         }
         FaultKind::ServerDrains => {
-            let restart_after = scenario.each_server().nth(server).map_or(0, |group| group.restart_after.0);
+            let restart_after =
+                scenario.server_groups_by_index().nth(server).map_or(0, |group| group.restart_after.0);
             add(at, FaultEvent::Drain { server });
             add(until, FaultEvent::Gone { server });
             add(until + restart_after, FaultEvent::Back { server });
--- a/crates/larklink-simulation/src/goodput.rs
+++ b/crates/larklink-simulation/src/goodput.rs
@@ -32,17 +32,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Recovery {
     /// When the last restarted proxy accepted connections again, in tenths of a millisecond.
-    pub restarted: Timestamp,
+    #[serde(rename = "restarted")]
+    pub restarted_at: Timestamp,
     /// The time from the restart to the start of the first window from which on goodput stays recovered until the end
     /// of the run; `None` if it never does.
-    pub took: Option<TickDuration>,
+    #[serde(rename = "took")]
+    pub recovery_time: Option<TickDuration>,
     /// The time from the restart to the start of the last window that fits into the run.
     #[serde(rename = "told")]
     pub observed_for: TickDuration,
     /// The rates over the time from the last restart to the end of arrivals.
-    pub after: GoodputRate,
+    #[serde(rename = "after")]
+    pub since_restart: GoodputRate,
     /// The window in which goodput was lowest relative to its target.
-    pub least: GoodputRate,
+    #[serde(rename = "least")]
+    pub lowest: GoodputRate,
     /// The session store's rate, in calls per second.
     #[serde(rename = "bears")]
     pub store_rate: f64,
@@ -50,11 +54,11 @@
 
 impl Recovery {
     /// Why the requirement to recover within a time is not met; `None` if it is met.
-    pub fn unmet(&self, within: TickDuration) -> Option<String> {
-        match self.took {
-            Some(took) if took <= within => None,
-            Some(took) => {
-                Some(format!("goodput came back only {:.1} s after the last restart", seconds(took)))
+    pub fn unmet_requirement(&self, within: TickDuration) -> Option<String> {
+        match self.recovery_time {
+            Some(recovery_time) if recovery_time <= within => None,
+            Some(recovery_time) => {
+                Some(format!("goodput came back only {:.1} s after the last restart", seconds(recovery_time)))
             }
             // A run that ends too early proves nothing, so it must not pass as recovered.
             None if self.observed_for < within => {
@@ -67,17 +71,19 @@
 
 impl fmt::Display for Recovery {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let after = self.after;
-        let at = seconds(self.restarted);
-        match self.took {
-            Some(took) => write!(f, "recovered {:.1} s after the last restart", seconds(took))?,
+        let since_restart = self.since_restart;
+        let at = seconds(self.restarted_at);
+        match self.recovery_time {
+            Some(recovery_time) => {
+                write!(f, "recovered {:.1} s after the last restart", seconds(recovery_time))?
+            }
             None => write!(f, "never recovered after the last restart")?,
         }
         write!(
             f,
             ", at {at:.1} s; since then {:.1} sessions per second accepted in time, {:.1} offered, \
              session store rate {:.1} calls per second",
-            after.accepted, after.offered, self.store_rate
+            since_restart.accepted, since_restart.offered, self.store_rate
         )
     }
 }
@@ -109,7 +115,7 @@
             match &event.kind {
                 EventKind::Opened { request, .. } => {
                     opened.push(Opening { at: event.at, client: request.client });
-                    response_deadlines.insert(request.id, event.at + request.patience);
+                    response_deadlines.insert(request.id, event.at + request.dial_timeout);
                 }
                 EventKind::Answered { id, response: ClientResponse::Accepted } => {
                     let deadline = response_deadlines.remove(id);
@@ -140,19 +146,26 @@
 /// window to fit into the run.
 pub fn recovery(scenario: &Scenario, event_log: &EventLog) -> Option<Recovery> {
     let is_restart = |event: &&LoggedEvent| event.at > 0 && matches!(event.kind, EventKind::ProxyUp { .. });
-    let restarted = event_log.events.iter().rfind(is_restart)?.at;
+    let restarted_at = event_log.events.iter().rfind(is_restart)?.at;
     let length = scenario.length.0;
     let store_rate = scenario.session_store.rate;
-    let last_start = length.checked_sub(WINDOW).filter(|&start| start >= restarted)?;
+    let last_start = length.checked_sub(WINDOW).filter(|&start| start >= restarted_at)?;
     let times = SessionTimes::from_log(event_log);
-    let starts = (restarted..=last_start).step_by(WINDOW_STEP as usize);
+    let starts = (restarted_at..=last_start).step_by(WINDOW_STEP as usize);
     let windows: Vec<_> = starts.map(|from| times.rate(from, from + WINDOW)).collect();
     let target = |rate: &GoodputRate| rate.offered.min(store_rate);
     let has_recovered = |rate: &&GoodputRate| rate.accepted >= RECOVERY_THRESHOLD * target(rate);
     let recovered = windows.iter().rev().take_while(has_recovered).count();
-    let took = (recovered > 0).then(|| windows[windows.len() - recovered].from - restarted);
-    let share = |rate: &GoodputRate| rate.accepted / target(rate).max(f64::MIN_POSITIVE);
-    let least = windows.iter().copied().min_by(|a, b| share(a).total_cmp(&share(b)))?;
-    let after = times.rate(restarted, length);
-    Some(Recovery { restarted, took, observed_for: last_start - restarted, after, least, store_rate })
+    let recovery_time = (recovered > 0).then(|| windows[windows.len() - recovered].from - restarted_at);
+    let target_ratio = |rate: &GoodputRate| rate.accepted / target(rate).max(f64::MIN_POSITIVE);
+    let lowest = windows.iter().copied().min_by(|a, b| target_ratio(a).total_cmp(&target_ratio(b)))?;
+    let since_restart = times.rate(restarted_at, length);
+    Some(Recovery {
+        restarted_at,
+        recovery_time,
+        observed_for: last_start - restarted_at,
+        since_restart,
+        lowest,
+        store_rate,
+    })
 }
--- a/crates/larklink-simulation/src/lib.rs
+++ b/crates/larklink-simulation/src/lib.rs
@@ -3,7 +3,7 @@
 //! and randomness comes from a seed, so the same model runs in simulated time ([`simulate`]) and, driven by
 //! `larklink-testbed`, on sockets.
 //!
-//! - [`scenario`] describes a run, [`faults`] expands its faults into timed events, and [`world`] combines all parts.
+//! - [`scenario`] describes a run, [`faults`] expands its faults into timed events, and [`model`] combines all parts.
 //! - [`audit`] and [`goodput`] evaluate an event log.
 //! - [`lease_model`], [`lease_store`] and [`state_search`] check the leases of `larklink-coordination`.
 pub mod audit;
@@ -17,10 +17,10 @@
 pub mod goodput;
 pub mod lease_model;
 pub mod lease_store;
+pub mod model;
 pub mod scenario;
 pub mod server;
 pub mod session_store;
 pub mod simulate;
 pub mod state_search;
 pub mod time;
-pub mod world;
--- a/crates/larklink-simulation/src/world.rs
+++ b/crates/larklink-simulation/src/model.rs
@@ -30,7 +30,7 @@
 
 /// An action that the caller has to perform.
 #[derive(Clone, Debug, PartialEq)]
-pub enum WorldAction {
+pub enum ModelAction {
     /// Send a server's message on one of its connections.
     Send {
         /// The index of the server.
@@ -61,7 +61,7 @@
 }
 
 /// The model of a scenario run, except for the proxies.
-pub struct World {
+pub struct Model {
     /// The servers, by index.
     pub servers: Vec<Server>,
     /// The session store that they share.
@@ -102,15 +102,15 @@
     rng
 }
 
-impl World {
+impl Model {
     /// Creates the model of a scenario. All random choices derive from `seed`.
     pub fn new(scenario: &Scenario, seed: u64) -> Self {
         let timeline = timeline(scenario, &mut random_stream(seed, FAULT_STREAM));
         let listeners = scenario.listeners.iter().map(|listener| listener.get_ref().clone()).collect();
         let mut servers: Vec<_> =
-            scenario.each_server().map(|group| Server::new(server_profile(group))).collect();
+            scenario.server_groups_by_index().map(|group| Server::new(server_profile(group))).collect();
         let mut endpoint_list = EndpointList::new(servers.len(), scenario.endpoint_list.lag.0);
-        for (index, _) in scenario.each_server().enumerate().filter(|(_, group)| !group.listed) {
+        for (index, _) in scenario.server_groups_by_index().enumerate().filter(|(_, group)| !group.listed) {
             servers[index].stop(0, &mut Vec::new());
             endpoint_list.mark_unlisted(index);
         }
@@ -122,7 +122,7 @@
             load_balancer: ExternalLoadBalancer::new(
                 scenario.proxies.count,
                 scenario.proxies.zones,
-                scenario.load_balancer.notices_after.0,
+                scenario.load_balancer.detection_delay.0,
             ),
             event_log: EventLog::default(),
             fault_bands: timeline.bands,
@@ -138,7 +138,7 @@
     }
 
     /// Handles everything that is due by `now` and returns the resulting actions.
-    pub fn advance(&mut self, now: Timestamp) -> Vec<WorldAction> {
+    pub fn advance(&mut self, now: Timestamp) -> Vec<ModelAction> {
         let mut actions = Vec::new();
         while let Some(fault) = self.faults.next_if(|fault| fault.at <= now) {
             self.event_log.record(now, EventKind::FaultInjected(format!("{:?}", fault.event)));
@@ -153,10 +153,10 @@
         self.clients.advance(now, &mut client_actions);
         for action in client_actions {
             self.record_client_action(now, &action);
-            actions.push(WorldAction::Client(action));
+            actions.push(ModelAction::Client(action));
         }
         if self.endpoint_list.advance(now) {
-            actions.push(WorldAction::EndpointListChanged);
+            actions.push(ModelAction::EndpointListChanged);
         }
         actions
     }
@@ -171,14 +171,14 @@
         self.event_log.record(now, kind);
     }
 
-    fn inject(&mut self, now: Timestamp, event: FaultEvent, actions: &mut Vec<WorldAction>) {
+    fn inject(&mut self, now: Timestamp, event: FaultEvent, actions: &mut Vec<ModelAction>) {
         let mut outputs = Vec::new();
         match event {
             FaultEvent::Proxy(proxy, fault) => {
                 if matches!(fault, ProxyFault::Stop { .. }) {
                     self.load_balancer.remove_proxy(proxy);
                 }
-                actions.push(WorldAction::Proxy(proxy, fault));
+                actions.push(ModelAction::Proxy(proxy, fault));
             }
             FaultEvent::Silence { server, until } => {
                 if self.servers[server].is_listening() {
@@ -200,7 +200,7 @@
                 self.schedule_list_update(now, server, EndpointStatus::Draining);
             }
             FaultEvent::Gone { server } => {
-                let sessions = self.servers[server].sessions_held();
+                let sessions = self.servers[server].established_sessions();
                 if sessions > 0 {
                     self.event_log.record(now, EventKind::SessionsLeftBehind { server, sessions });
                 }
@@ -214,7 +214,7 @@
             FaultEvent::ListStill { until } => self.endpoint_list.freeze_until(until),
             FaultEvent::DropClients { share } => {
                 let ids = self.disconnect_clients(now, share);
-                actions.push(WorldAction::DisconnectClients(ids));
+                actions.push(ModelAction::DisconnectClients(ids));
             }
         }
     }
@@ -229,8 +229,8 @@
     }
 
     fn schedule_list_update(&mut self, now: Timestamp, server: usize, status: EndpointStatus) {
-        let started = self.servers[server].started().unwrap_or(0);
-        self.endpoint_list.schedule_update(now, EndpointListEntry { server, status, started });
+        let started_at = self.servers[server].started().unwrap_or(0);
+        self.endpoint_list.schedule_update(now, EndpointListEntry { server, status, started_at });
     }
 
     /// Logs the outputs of a server and adds the actions that follow from them.
@@ -239,12 +239,12 @@
         now: Timestamp,
         server: usize,
         outputs: &mut Vec<ServerOutput>,
-        actions: &mut Vec<WorldAction>,
+        actions: &mut Vec<ModelAction>,
     ) {
         for output in outputs.drain(..) {
             match output {
                 ServerOutput::Send(connection, message) => {
-                    actions.push(WorldAction::Send { server, connection, message });
+                    actions.push(ModelAction::Send { server, connection, message });
                 }
                 ServerOutput::SessionRan(id) => {
                     self.event_log.record(now, EventKind::SessionRan { id, server })
@@ -258,12 +258,12 @@
                 ServerOutput::Died => {
                     self.event_log.record(now, EventKind::ServerDied { server });
                     self.schedule_list_update(now, server, EndpointStatus::Removed);
-                    actions.push(WorldAction::StopListening { server });
+                    actions.push(ModelAction::StopListening { server });
                 }
                 ServerOutput::Started => {
                     self.event_log.record(now, EventKind::ServerStarted { server });
                     self.schedule_list_update(now, server, EndpointStatus::Up);
-                    actions.push(WorldAction::Listen { server });
+                    actions.push(ModelAction::Listen { server });
                 }
             }
         }
@@ -278,7 +278,7 @@
         id: u64,
         timeout_ms: u64,
         listener: usize,
-    ) -> Vec<WorldAction> {
+    ) -> Vec<ModelAction> {
         self.event_log.record(now, EventKind::AttemptStarted { id, server, connection, timeout_ms });
         let mut outputs = Vec::new();
         let mut actions = Vec::new();
@@ -319,7 +319,7 @@
         id: u64,
         sent_at: Option<Timestamp>,
         payload: Vec<u8>,
-    ) -> Vec<WorldAction> {
+    ) -> Vec<ModelAction> {
         self.record_message_delay(now, id, Direction::ToServer, sent_at);
         let listener = self.clients.listener_of(id);
         let work = listener.map_or(0.0, |listener| self.clients.message_work(listener));
--- a/crates/larklink-simulation/src/scenario.rs
+++ b/crates/larklink-simulation/src/scenario.rs
@@ -104,7 +104,7 @@
     }
 
     /// Whether the proxy with this index runs in the moved shape ([`ProxyFleet::moved`]).
-    pub fn moved(&self, proxy: usize) -> bool {
+    pub fn is_moved_shape(&self, proxy: usize) -> bool {
         proxy + self.proxies.moved >= self.proxies.count
     }
 
@@ -114,14 +114,14 @@
     }
 
     /// The group of each server, in order of the server index.
-    pub fn each_server(&self) -> impl Iterator<Item = &ServerGroup> {
+    pub fn server_groups_by_index(&self) -> impl Iterator<Item = &ServerGroup> {
         self.servers.iter().flat_map(|group| std::iter::repeat_n(group.get_ref(), group.get_ref().count))
     }
 
     /// An upper bound for the mean number of sessions established at the same time.
     pub fn expected_sessions(&self) -> usize {
         let sessions = |listener: &ListenerSpec| {
-            let stay = self.length.0.min(listener.mean_stay.0) as f64;
+            let stay = self.length.0.min(listener.mean_session_duration.0) as f64;
             let arrivals = listener.arrivals_per_second * stay / SECOND as f64;
             listener.initial_clients + arrivals.ceil() as usize
         };
@@ -137,7 +137,7 @@
         validation::check_rules(&self.rules, &mut collector);
         validation::check_session_store(&self.session_store, &mut collector);
         validation::check_requirements(&self.requirements, &self.faults, &mut collector);
-        let listed: Vec<_> = self.each_server().map(|server| server.listed).collect();
+        let listed: Vec<_> = self.server_groups_by_index().map(|server| server.listed).collect();
         validation::check_server_count(listed.len(), listed.contains(&true), &mut collector);
         for group in &self.servers {
             validation::check_server_group(group, &mut collector);
--- a/crates/larklink-simulation/src/scenario/fleet.rs
+++ b/crates/larklink-simulation/src/scenario/fleet.rs
@@ -171,11 +171,12 @@
 #[serde(deny_unknown_fields, default)]
 pub struct LoadBalancerSettings {
     /// How long a dead proxy still receives new connections.
-    pub notices_after: ConfigDuration,
+    #[serde(rename = "notices_after")]
+    pub detection_delay: ConfigDuration,
 }
 
 impl Default for LoadBalancerSettings {
     fn default() -> Self {
-        Self { notices_after: ConfigDuration::from_millis(2000) }
+        Self { detection_delay: ConfigDuration::from_millis(2000) }
     }
 }
--- a/crates/larklink-simulation/src/scenario/listener.rs
+++ b/crates/larklink-simulation/src/scenario/listener.rs
@@ -8,9 +8,11 @@
 #[serde(rename_all = "kebab-case")]
 pub enum SessionKind {
     /// Sessions are idempotent and may be run again.
-    Repeatable,
+    #[serde(rename = "repeatable")]
+    Idempotent,
     /// Repeated sessions are dropped by their idempotency key within the listener's `window`.
-    Referenced,
+    #[serde(rename = "referenced")]
+    Deduplicated,
     /// Sessions must not run more than once.
     OnceOnly,
 }
@@ -36,7 +38,7 @@
     pub name: String,
     /// Whether its sessions may run more than once.
     pub kind: SessionKind,
-    /// How long servers remember the idempotency key of a referenced session.
+    /// How long servers remember the idempotency key of a deduplicated session.
     pub window: ConfigDuration,
     /// The latency objective for accepting a session.
     #[serde(rename = "handshake_target")]
@@ -54,7 +56,7 @@
     pub arrivals_per_second: f64,
     /// The mean time for which a client stays connected.
     #[serde(rename = "life")]
-    pub mean_stay: ConfigDuration,
+    pub mean_session_duration: ConfigDuration,
     /// The interval between the messages of a client.
     #[serde(rename = "every")]
     pub message_interval: ConfigDuration,
@@ -64,7 +66,8 @@
     /// The CPU load of a session, in cores of speed 1.
     pub load: f64,
     /// The weight of this listener's clients in the service figure of the run.
-    pub utility: f64,
+    #[serde(rename = "utility")]
+    pub priority_weight: f64,
     /// When a client retries a failed session.
     pub retry: RetryBehavior,
     /// How long a client waits before a retry; see [`RetryBehavior::After`].
@@ -72,7 +75,7 @@
     pub retry_wait: ConfigDuration,
     /// How often a client tries to open a session before it gives up.
     #[serde(rename = "tries")]
-    pub max_tries: u32,
+    pub max_client_attempts: u32,
     /// How long a client waits to reconnect after its connection broke or was migrated; randomized between 50 % and 150
     /// %.
     #[serde(rename = "again_after")]
@@ -89,21 +92,21 @@
     fn default() -> Self {
         Self {
             name: "pick-list".into(),
-            kind: SessionKind::Repeatable,
+            kind: SessionKind::Idempotent,
             window: ConfigDuration::from_millis(1000),
             handshake_objective: ConfigDuration::from_millis(500),
             dial_timeout: ConfigDuration::from_millis(3000),
             initial_clients: 200,
             initial_spread: ConfigDuration::from_millis(3000),
             arrivals_per_second: 20.0,
-            mean_stay: ConfigDuration::from_millis(15_000),
+            mean_session_duration: ConfigDuration::from_millis(15_000),
             message_interval: ConfigDuration::from_millis(1000),
             message_objective: ConfigDuration::from_millis(100),
             load: 0.004,
-            utility: 1.0,
+            priority_weight: 1.0,
             retry: RetryBehavior::After,
             retry_wait: ConfigDuration::from_millis(500),
-            max_tries: 8,
+            max_client_attempts: 8,
             reconnect_wait: ConfigDuration::from_millis(200),
             clients_per_group: 4,
             unread_kb: 0,
--- a/crates/larklink-simulation/src/scenario/requirements.rs
+++ b/crates/larklink-simulation/src/scenario/requirements.rs
@@ -7,15 +7,20 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Requirements {
-    /// The minimum ratio of well-served time to requested time, weighted by utility.
-    pub service: Option<f64>,
+    /// The minimum ratio of well-served time to requested time, weighted by priority weight.
+    #[serde(rename = "service")]
+    pub min_service: Option<f64>,
     /// The minimum fraction of sessions that are accepted.
-    pub accepted: Option<f64>,
+    #[serde(rename = "accepted")]
+    pub min_accepted: Option<f64>,
     /// The same minimum, for each shape of proxies; needs `proxies.moved` to define two shapes.
-    pub each_shape: Option<f64>,
+    #[serde(rename = "each_shape")]
+    pub min_accepted_per_shape: Option<f64>,
     /// The maximum 99th percentile of the response time of accepted sessions.
-    pub answer_p99: Option<ConfigDuration>,
+    #[serde(rename = "answer_p99")]
+    pub max_response_p99: Option<ConfigDuration>,
     /// The maximum time from the last restart of a proxy until goodput reaches 90 % of the session store's rate, or of
     /// the offered load if that is less, and stays there.
-    pub recovers: Option<ConfigDuration>,
+    #[serde(rename = "recovers")]
+    pub max_recovery_time: Option<ConfigDuration>,
 }
--- a/crates/larklink-simulation/src/scenario/validation.rs
+++ b/crates/larklink-simulation/src/scenario/validation.rs
@@ -80,7 +80,7 @@
         let moved = proxies.moved;
         problems.add("proxies.moved", format!("{moved} is more than the {count} proxies"));
     }
-    if requirements.each_shape.is_some() && !(1..count).contains(&proxies.moved) {
+    if requirements.min_accepted_per_shape.is_some() && !(1..count).contains(&proxies.moved) {
         problems.add(
             "must.each_shape",
             "needs two shapes of proxies: set proxies.moved between 1 and proxies.count - 1",
@@ -115,9 +115,9 @@
     problems: &mut ProblemCollector,
 ) {
     for (key, share) in [
-        ("must.service", requirements.service),
-        ("must.accepted", requirements.accepted),
-        ("must.each_shape", requirements.each_shape),
+        ("must.service", requirements.min_service),
+        ("must.accepted", requirements.min_accepted),
+        ("must.each_shape", requirements.min_accepted_per_shape),
     ] {
         if share.is_some_and(|share| !(0.0..=1.0).contains(&share)) {
             problems.add(key, "must be between 0 and 1");
@@ -127,7 +127,7 @@
         let fault = fault.get_ref();
         matches!(fault.kind, FaultKind::ProxyKilled | FaultKind::ProxyStopped) && fault.duration.is_some()
     };
-    if requirements.recovers.is_some() && !faults.iter().any(restarts_proxy) {
+    if requirements.max_recovery_time.is_some() && !faults.iter().any(restarts_proxy) {
         problems.add("must.recovers", "needs a proxy-killed or proxy-stopped fault with `for`");
     }
 }
@@ -199,16 +199,16 @@
         );
     }
     if listener.message_interval.0 == 0
-        || listener.mean_stay.0 == 0
+        || listener.mean_session_duration.0 == 0
         || listener.clients_per_group == 0
-        || listener.max_tries == 0
+        || listener.max_client_attempts == 0
     {
         problems.add("every", "every, life, group and tries must be greater than 0");
     }
     if listener.unread_kb > MAX_UNREAD_KB {
         problems.add("deaf_kb", format!("must be at most {MAX_UNREAD_KB}"));
     }
-    if !is_non_negative(listener.load) || !is_non_negative(listener.utility) {
+    if !is_non_negative(listener.load) || !is_non_negative(listener.priority_weight) {
         problems.add("load", "load and utility must be finite and not negative");
     }
 }
--- a/crates/larklink-simulation/src/server.rs
+++ b/crates/larklink-simulation/src/server.rs
@@ -178,7 +178,7 @@
     }
 
     /// Returns the number of established sessions.
-    pub fn sessions_held(&self) -> usize {
+    pub fn established_sessions(&self) -> usize {
         self.sessions.values().filter(|session| session.established).count()
     }
 
--- a/crates/larklink-simulation/src/simulate.rs
+++ b/crates/larklink-simulation/src/simulate.rs
@@ -17,7 +17,7 @@
 mod simulation;
 mod state;
 
-pub use settings_object::settings;
+pub use settings_object::settings_object;
 
 /// The result of a run.
 pub struct Run {
@@ -25,7 +25,7 @@
     pub event_log: EventLog,
     /// The findings of the audit of the event log.
     pub findings: Findings,
-    /// The well-served time as a fraction of the wanted time, weighted by utility, from 0 to 1.
+    /// The well-served time as a fraction of the wanted time, weighted by priority weight, from 0 to 1.
     pub service: f64,
     /// The recovery of goodput after the last restart of a proxy; `None` without a restart.
     pub recovery: Option<Recovery>,
@@ -41,12 +41,12 @@
         simulation.advance(now);
         now = simulation.next_event_at().max(now + 1);
     }
-    let mut world = simulation.into_world();
-    world.clients.finish(end);
+    let mut model = simulation.into_model();
+    model.clients.finish(end);
     Run {
-        findings: audit(scenario, &world.event_log, end),
-        service: world.clients.service(),
-        recovery: recovery(scenario, &world.event_log),
-        event_log: world.event_log,
+        findings: audit(scenario, &model.event_log, end),
+        service: model.clients.service(),
+        recovery: recovery(scenario, &model.event_log),
+        event_log: model.event_log,
     }
 }
--- a/crates/larklink-simulation/src/simulate/settings_object.rs
+++ b/crates/larklink-simulation/src/simulate/settings_object.rs
@@ -15,13 +15,13 @@
 }
 
 /// Returns the settings object of the proxy with this index.
-pub fn settings(scenario: &Scenario, proxy: usize) -> Value {
+pub fn settings_object(scenario: &Scenario, proxy: usize) -> Value {
     let listeners: Vec<_> = scenario.listeners.iter().map(|listener| listener.get_ref()).collect();
     let message_objectives: Vec<_> =
         listeners.iter().map(|listener| nanos(listener.message_objective.0)).collect();
     let rules = &scenario.rules;
     let server = scenario.servers[0].get_ref();
-    let moved = scenario.moved(proxy);
+    let moved = scenario.is_moved_shape(proxy);
     let costs =
         if moved { json!({"cross_zone": CROSS_ZONE_COST, "moves": MIGRATION_COST}) } else { json!({}) };
     json!({
@@ -46,8 +46,8 @@
 
 fn listener_object(listener: &ListenerSpec) -> Value {
     let idempotency = match listener.kind {
-        SessionKind::Repeatable => "idempotent",
-        SessionKind::Referenced => "deduplicated",
+        SessionKind::Idempotent => "idempotent",
+        SessionKind::Deduplicated => "deduplicated",
         SessionKind::OnceOnly => "at_most_once",
     };
     json!({"name": listener.name, "idempotency": idempotency, "group": "all",
--- a/crates/larklink-simulation/src/simulate/simulation.rs
+++ b/crates/larklink-simulation/src/simulate/simulation.rs
@@ -5,6 +5,7 @@
 use crate::duration::{SECOND, TICKS_PER_MS};
 use crate::event_log::{AttemptEnd, ClientRequest, ClientResponse, ConnectionEnd, EventKind};
 use crate::faults::ProxyFault;
+use crate::model::{Model, ModelAction};
 use crate::scenario::Scenario;
 use crate::server::{ConnectionId, ServerMessage};
 use crate::simulate::connections::{Attempt, ConnectionPurpose, HealthCheck, OpenConnection};
@@ -13,7 +14,6 @@
 use crate::simulate::shutdown;
 use crate::simulate::state::{ONE_WAY_DELAY, SimulationState, endpoint_of};
 use crate::time::{TickDuration, Timestamp};
-use crate::world::{World, WorldAction};
 
 /// The interval at which proxies that are behind poll the endpoint list again.
 const LIST_RETRY_INTERVAL: TickDuration = SECOND / 10;
@@ -28,15 +28,15 @@
         Self { state: SimulationState::new(scenario, seed) }
     }
 
-    pub(super) fn into_world(self) -> World {
-        self.state.world
+    pub(super) fn into_model(self) -> Model {
+        self.state.model
     }
 
     pub(super) fn start_all_proxies(&mut self) {
         for proxy in 0..self.state.scenario.proxies.count {
             let engine = self.state.new_engine(0, proxy);
             self.state.proxies.push(Proxy::new(engine, 0));
-            self.state.world.proxy_up(0, proxy);
+            self.state.model.proxy_up(0, proxy);
             self.state.update_endpoints(0, proxy);
         }
     }
@@ -46,7 +46,7 @@
         while let Some((_, event)) = self.state.scheduled.pop_due(now) {
             self.handle(now, event);
         }
-        let actions = self.state.world.advance(now);
+        let actions = self.state.model.advance(now);
         self.apply(now, actions);
         for proxy in 0..self.state.proxies.len() {
             self.state.poll(now, proxy);
@@ -56,27 +56,27 @@
     /// Returns when [`advance`](Self::advance) has to be called next.
     pub(super) fn next_event_at(&mut self) -> Timestamp {
         let proxies = self.state.proxies.iter().map(Proxy::next_wakeup).min().unwrap_or(Timestamp::MAX);
-        self.state.world.next_event_at().min(self.state.scheduled.next_due_at()).min(proxies)
+        self.state.model.next_event_at().min(self.state.scheduled.next_due_at()).min(proxies)
     }
 
-    fn apply(&mut self, now: Timestamp, actions: Vec<WorldAction>) {
+    fn apply(&mut self, now: Timestamp, actions: Vec<ModelAction>) {
         for action in actions {
-            self.apply_world_action(now, action);
+            self.apply_model_action(now, action);
         }
-        let version = self.state.world.endpoint_list.version();
+        let version = self.state.model.endpoint_list.version();
         if self.state.proxies.iter().any(|proxy| proxy.alive && proxy.list_version != Some(version)) {
             self.state.scheduled.push(now + LIST_RETRY_INTERVAL, ScheduledEvent::RetryEndpointLists);
         }
     }
 
-    fn apply_world_action(&mut self, now: Timestamp, action: WorldAction) {
+    fn apply_model_action(&mut self, now: Timestamp, action: ModelAction) {
         match action {
-            WorldAction::Send { server, connection, message } => {
+            ModelAction::Send { server, connection, message } => {
                 self.state
                     .scheduled
                     .push(now + ONE_WAY_DELAY, ScheduledEvent::ReachesProxy { server, connection, message });
             }
-            WorldAction::StopListening { server } => {
+            ModelAction::StopListening { server } => {
                 for connection in self.state.connections.of_server(server) {
                     let message = ServerMessage::Reset;
                     self.state.scheduled.push(
@@ -85,13 +85,13 @@
                     );
                 }
             }
-            WorldAction::Listen { .. } => {}
-            WorldAction::Client(action) => self.apply_client_action(now, action),
-            WorldAction::DisconnectClients(ids) => {
+            ModelAction::Listen { .. } => {}
+            ModelAction::Client(action) => self.apply_client_action(now, action),
+            ModelAction::DisconnectClients(ids) => {
                 ids.into_iter().for_each(|id| self.state.client_disconnected(now, id));
             }
-            WorldAction::Proxy(proxy, fault) => self.apply_proxy_fault(now, proxy, fault),
-            WorldAction::EndpointListChanged => {
+            ModelAction::Proxy(proxy, fault) => self.apply_proxy_fault(now, proxy, fault),
+            ModelAction::EndpointListChanged => {
                 for proxy in 0..self.state.proxies.len() {
                     self.state
                         .scheduled
@@ -118,9 +118,9 @@
     fn apply_client_action(&mut self, now: Timestamp, action: ClientAction) {
         match action {
             ClientAction::Connect(request) => {
-                if let Some(proxy) = self.state.world.assign_proxy(now, &request) {
+                if let Some(proxy) = self.state.model.assign_proxy(now, &request) {
                     let opened = EventKind::Opened { request: request.clone(), proxy };
-                    self.state.world.event_log.record(now, opened);
+                    self.state.model.event_log.record(now, opened);
                     self.state
                         .scheduled
                         .push(now + ONE_WAY_DELAY, ScheduledEvent::ClientConnects { proxy, request });
@@ -168,31 +168,31 @@
         let Some(connection) = connection else { return };
         if let Some(open) = self.state.connections.get(connection) {
             let payload = number.to_le_bytes().to_vec();
-            let actions = self.state.world.message_to_server(now, open.server, connection, id, None, payload);
+            let actions = self.state.model.message_to_server(now, open.server, connection, id, None, payload);
             self.apply(now, actions);
         }
     }
 
     fn reaches_client(&mut self, now: Timestamp, id: u64, message: ClientMessage) {
         match message {
-            ClientMessage::Response(response) => self.state.world.response_received(now, id, response),
+            ClientMessage::Response(response) => self.state.model.response_received(now, id, response),
             ClientMessage::Message(number) => {
-                self.state.world.message_returned(now, id, number, None);
+                self.state.model.message_returned(now, id, number, None);
             }
             ClientMessage::Migrate => {
                 self.state.sessions.remove(&id);
-                self.state.world.connection_ended(now, id, ConnectionEnd::Migrated);
+                self.state.model.connection_ended(now, id, ConnectionEnd::Migrated);
             }
             ClientMessage::ConnectionEnded => {
                 self.state.sessions.remove(&id);
-                self.state.world.connection_ended(now, id, ConnectionEnd::Broken);
+                self.state.model.connection_ended(now, id, ConnectionEnd::Broken);
             }
         }
     }
 
     fn client_connects(&mut self, now: Timestamp, proxy: usize, request: ClientRequest) {
         if !self.state.proxies[proxy].alive {
-            return self.state.world.proxy_unreachable(now, request.id, proxy);
+            return self.state.model.proxy_unreachable(now, request.id, proxy);
         }
         let session = self.state.proxies[proxy].next_session;
         self.state.proxies[proxy].next_session += 1;
@@ -201,7 +201,7 @@
         let proxy_session = ProxySession {
             proxy,
             session,
-            timeout_ms: request.patience / TICKS_PER_MS,
+            timeout_ms: request.dial_timeout / TICKS_PER_MS,
             connection: None,
             established_on: None,
             may_have_run: false,
@@ -221,14 +221,14 @@
     fn reaches_server(&mut self, now: Timestamp, server: usize, connection: ConnectionId) {
         match self.state.connections.get(connection).map(|open| open.purpose) {
             Some(ConnectionPurpose::HealthCheck(_)) => {
-                self.state.world.servers[server].check_health(now, connection)
+                self.state.model.servers[server].check_health(now, connection)
             }
             Some(ConnectionPurpose::Attempt(Attempt { id, .. })) => {
                 let Some(session) = self.state.sessions.get(&id) else { return };
                 let timeout_ms = session.timeout_ms;
                 let listener = session.request.listener;
                 let actions =
-                    self.state.world.attempt_started(now, server, connection, id, timeout_ms, listener);
+                    self.state.model.attempt_started(now, server, connection, id, timeout_ms, listener);
                 self.apply(now, actions);
             }
             None => {}
@@ -320,7 +320,7 @@
         session.established_on = Some(connection);
         shutdown::schedule_migration(&mut self.state, now, attempt.proxy, id);
         let accepted = EventKind::AttemptEnded { id, server, connection, end: AttemptEnd::Accepted };
-        self.state.world.event_log.record(now, accepted);
+        self.state.model.event_log.record(now, accepted);
         self.state.send_to_client(now, id, ClientMessage::Response(ClientResponse::Accepted));
     }
 
@@ -367,7 +367,7 @@
         }
         self.state.connections.close(connection);
         if let Some(end) = attempt_end(outcome) {
-            self.state.world.attempt_ended(now, server, connection, id, end);
+            self.state.model.attempt_ended(now, server, connection, id, end);
         }
         let engine = &mut self.state.proxies[proxy].engine;
         let action = engine.attempt_ended(engine_time(now), session, attempt.number, outcome, established);
@@ -386,7 +386,7 @@
         listener: request.listener,
         group_key: request.group,
         client_key: request.key,
-        dial_timeout: engine_duration(request.patience),
+        dial_timeout: engine_duration(request.dial_timeout),
         established: false,
         reconnecting: request.reconnecting,
         client_retry: request.retry,
--- a/crates/larklink-simulation/src/simulate/state.rs
+++ b/crates/larklink-simulation/src/simulate/state.rs
@@ -9,14 +9,14 @@
 use crate::endpoint_list::{EndpointListEntry, EndpointStatus};
 use crate::event_log::{AttemptEnd, ClientResponse};
 use crate::event_queue::EventQueue;
+use crate::model::Model;
 use crate::scenario::Scenario;
 use crate::server::{ConnectionId, ServerState};
 use crate::simulate::connections::{Attempt, ConnectionPurpose, Connections, HealthCheck};
 use crate::simulate::proxy::{Proxy, ProxySession, engine_time};
 use crate::simulate::scheduled_event::{ClientMessage, ScheduledEvent};
-use crate::simulate::settings_object::settings;
+use crate::simulate::settings_object::settings_object;
 use crate::time::{TickDuration, Timestamp};
-use crate::world::World;
 
 /// The time that a message takes from one end of a connection to the other.
 pub(super) const ONE_WAY_DELAY: TickDuration = 2;
@@ -24,7 +24,7 @@
 /// The model, the proxies and the events scheduled between them.
 pub(super) struct SimulationState<'a> {
     pub(super) scenario: &'a Scenario,
-    pub(super) world: World,
+    pub(super) model: Model,
     pub(super) proxies: Vec<Proxy>,
     /// By the session id of the client.
     pub(super) sessions: BTreeMap<u64, ProxySession>,
@@ -37,7 +37,7 @@
     pub(super) fn new(scenario: &'a Scenario, seed: u64) -> Self {
         Self {
             scenario,
-            world: World::new(scenario, seed),
+            model: Model::new(scenario, seed),
             proxies: Vec::new(),
             sessions: BTreeMap::new(),
             connections: Connections::new(),
@@ -51,7 +51,7 @@
     }
 
     pub(super) fn new_engine(&self, now: Timestamp, proxy: usize) -> Engine {
-        let json = settings(self.scenario, proxy).to_string();
+        let json = settings_object(self.scenario, proxy).to_string();
         // The settings object is built from a validated scenario, so it is always valid.
         let settings = ProxySettings::from_json(json.as_bytes()).expect("a valid settings object");
         let seed = self.seed.wrapping_mul(1000).wrapping_add(proxy as u64 + now);
@@ -60,13 +60,13 @@
 
     /// Passes the entries of the endpoint list that a proxy does not know to its engine, if the list is reachable.
     pub(super) fn update_endpoints(&mut self, now: Timestamp, proxy: usize) {
-        if !self.proxies[proxy].alive || !self.world.endpoint_list.is_reachable(now) {
+        if !self.proxies[proxy].alive || !self.model.endpoint_list.is_reachable(now) {
             return;
         }
         let known_version = self.proxies[proxy].list_version;
-        let (version, entries) = self.world.notify_proxy(now, proxy, known_version);
+        let (version, entries) = self.model.notify_proxy(now, proxy, known_version);
         let scope = if known_version.is_some() { ListScope::Changes } else { ListScope::Complete };
-        let weights: Vec<f64> = self.scenario.each_server().map(|server| server.weight).collect();
+        let weights: Vec<f64> = self.scenario.server_groups_by_index().map(|server| server.weight).collect();
         let zones = self.scenario.proxies.zones;
         let entries = entries.iter().map(|entry| endpoint_entry(entry, weights[entry.server], zones));
         let proxy = &mut self.proxies[proxy];
@@ -80,7 +80,7 @@
             let next_session = self.proxies[proxy].next_session;
             self.proxies[proxy] = Proxy::new(engine, next_session);
             self.update_endpoints(now, proxy);
-            self.world.proxy_up(now, proxy);
+            self.model.proxy_up(now, proxy);
         }
     }
 
@@ -88,7 +88,7 @@
     pub(super) fn proxy_exited(&mut self, now: Timestamp, proxy: usize, planned: bool) {
         self.proxies[proxy].alive = false;
         let sessions = std::mem::take(&mut self.proxies[proxy].sessions);
-        self.world.proxy_exited(now, proxy, planned);
+        self.model.proxy_exited(now, proxy, planned);
         for id in sessions.into_values() {
             let message = if planned { ClientMessage::Migrate } else { ClientMessage::ConnectionEnded };
             self.close_connection(now, id);
@@ -108,7 +108,7 @@
         let connection = self.sessions.get_mut(&id).and_then(|session| session.connection.take());
         let Some(connection) = connection else { return };
         if let Some(open) = self.connections.close(connection) {
-            self.world.attempt_ended(now, open.server, connection, id, AttemptEnd::Abandoned);
+            self.model.attempt_ended(now, open.server, connection, id, AttemptEnd::Abandoned);
         }
     }
 
@@ -198,7 +198,7 @@
         connection: ConnectionId,
         timeout: TickDuration,
     ) {
-        match self.world.servers[server].state() {
+        match self.model.servers[server].state() {
             ServerState::Dead => {
                 self.scheduled.push(now + 2 * ONE_WAY_DELAY, ScheduledEvent::ConnectFailed(connection));
             }
@@ -234,10 +234,10 @@
             EndpointStatus::Removed => EndpointState::Removed,
         },
         weight,
-        started_at: if entry.started == 0 {
+        started_at: if entry.started_at == 0 {
             larklink_balancer::Timestamp::ZERO
         } else {
-            engine_time(entry.started)
+            engine_time(entry.started_at)
         },
     }
 }
--- a/crates/larklink-simulation/tests/audit.rs
+++ b/crates/larklink-simulation/tests/audit.rs
@@ -24,7 +24,7 @@
         key: 1,
         group: 1,
         listener,
-        patience: 3 * SECOND,
+        dial_timeout: 3 * SECOND,
         reconnecting: false,
         retry: false,
     };
--- a/crates/larklink-simulation/tests/format_fixtures.rs
+++ b/crates/larklink-simulation/tests/format_fixtures.rs
@@ -35,13 +35,13 @@
         failed: 4,
         lost_with_proxy: 5,
         proxy_unreachable: 6,
-        open: 7,
+        unfinished: 7,
         attempts: 8,
         retries: 9,
         migrated: 10,
         ran_after_abandoned: 11,
         // Not serialized.
-        took: vec![12, 13],
+        response_times: vec![12, 13],
     }
 }
 
@@ -92,7 +92,7 @@
         key: 3,
         group: 4,
         listener: 5,
-        patience: 6,
+        dial_timeout: 6,
         reconnecting,
         retry,
     };
@@ -212,10 +212,16 @@
     );
     assert_eq!((group.report_interval.0, group.listed, group.weight), (2000, true, 1.0));
     assert_eq!((scenario.session_store.rate, scenario.session_store.bound.0), (123.5, 12_500));
-    assert_eq!((scenario.endpoint_list.lag.0, scenario.load_balancer.notices_after.0), (500, 7000));
+    assert_eq!((scenario.endpoint_list.lag.0, scenario.load_balancer.detection_delay.0), (500, 7000));
     let must = &scenario.requirements;
-    assert_eq!((must.service, must.accepted, must.each_shape), (Some(0.9), Some(0.95), Some(0.8)));
-    assert_eq!((must.answer_p99.map(|l| l.0), must.recovers.map(|l| l.0)), (Some(11_000), Some(60_000)));
+    assert_eq!(
+        (must.min_service, must.min_accepted, must.min_accepted_per_shape),
+        (Some(0.9), Some(0.95), Some(0.8))
+    );
+    assert_eq!(
+        (must.max_response_p99.map(|l| l.0), must.max_recovery_time.map(|l| l.0)),
+        (Some(11_000), Some(60_000))
+    );
 }
 
 #[test]
@@ -225,7 +231,7 @@
     let listener = one.get_ref();
     assert_eq!(
         (listener.name.as_str(), listener.kind, listener.window.0),
-        ("pay_1.x", SessionKind::Referenced, 40_000)
+        ("pay_1.x", SessionKind::Deduplicated, 40_000)
     );
     assert_eq!((listener.handshake_objective.0, listener.dial_timeout.0), (2500, 50_000));
     assert_eq!(
@@ -233,16 +239,16 @@
             listener.initial_clients,
             listener.initial_spread.0,
             listener.arrivals_per_second,
-            listener.mean_stay.0
+            listener.mean_session_duration.0
         ),
         (9, 1000, 2.5, 450_000)
     );
     assert_eq!(
-        (listener.message_interval.0, listener.message_objective.0, listener.load, listener.utility),
+        (listener.message_interval.0, listener.message_objective.0, listener.load, listener.priority_weight),
         (20_000, 800, 0.125, 3.5)
     );
     assert_eq!(
-        (listener.retry, listener.retry_wait.0, listener.max_tries, listener.reconnect_wait.0),
+        (listener.retry, listener.retry_wait.0, listener.max_client_attempts, listener.reconnect_wait.0),
         (RetryBehavior::AtOnce, 9000, 3, 600)
     );
     assert_eq!((listener.clients_per_group, listener.unread_kb), (2, 64));
@@ -257,23 +263,23 @@
             listener.initial_clients,
             listener.initial_spread.0,
             listener.arrivals_per_second,
-            listener.mean_stay.0
+            listener.mean_session_duration.0
         ),
         (200, 30_000, 20.0, 150_000)
     );
     assert_eq!(
-        (listener.message_interval.0, listener.message_objective.0, listener.load, listener.utility),
+        (listener.message_interval.0, listener.message_objective.0, listener.load, listener.priority_weight),
         (10_000, 1000, 0.004, 1.0)
     );
     assert_eq!(
-        (listener.retry, listener.retry_wait.0, listener.max_tries, listener.reconnect_wait.0),
+        (listener.retry, listener.retry_wait.0, listener.max_client_attempts, listener.reconnect_wait.0),
         (RetryBehavior::Never, 5000, 8, 2000)
     );
     assert_eq!((listener.clients_per_group, listener.unread_kb), (4, 0));
     let listener = last.get_ref();
     assert_eq!(
         (listener.name.as_str(), listener.kind, listener.retry),
-        ("last", SessionKind::Repeatable, RetryBehavior::After)
+        ("last", SessionKind::Idempotent, RetryBehavior::After)
     );
 }
 
--- a/crates/larklink-simulation/tests/world.rs
+++ b/crates/larklink-simulation/tests/model.rs
@@ -71,7 +71,7 @@
             server.advance(now, &mut outputs);
             answered += outputs.iter().filter(|o| matches!(o, ServerOutput::Send(_, ServerMessage::Message(_)))).count();
             prop_assert!(answered <= messages, "a message was answered more than once");
-            prop_assert!(server.sessions_held() <= 50);
+            prop_assert!(server.established_sessions() <= 50);
             outputs.clear();
         }
         // Runs the server until it is idle. Two cores at full speed are the upper bound for the work done.
@@ -115,7 +115,8 @@
         let s = scenario(&format!("length = '6s'\n[[listeners]]\nstanding = 60\n[[faults]]\n{fault}\n"));
         let run = run(&s, seed);
         for l in &run.findings.listeners {
-            let outcomes = l.accepted + l.rejected + l.failed + l.lost_with_proxy + l.proxy_unreachable + l.open;
+            let outcomes =
+                l.accepted + l.rejected + l.failed + l.lost_with_proxy + l.proxy_unreachable + l.unfinished;
             let without_response = run.findings.counts().get(&ViolationKind::NoResponse).copied().unwrap_or(0);
             prop_assert_eq!(l.opened, outcomes + without_response as u64);
         }
--- a/crates/larklink-simulation/tests/rolling.rs
+++ b/crates/larklink-simulation/tests/rolling.rs
@@ -40,7 +40,7 @@
     assert!(findings.violations.is_empty(), "{:?}", findings.counts());
     let recovery = recovery.expect("proxies were restarted");
     let describe = |reason| format!("{proxies} proxies, {dial_timeout}, seed {seed}: {reason}: {recovery}");
-    recovery.unmet(REQUIRED_RECOVERY_TIME).map(describe)
+    recovery.unmet_requirement(REQUIRED_RECOVERY_TIME).map(describe)
 }
 
 /// Guards against a metastable overload of the session store. Restarted proxies have no record of failures; if they do
@@ -73,7 +73,7 @@
             key: 1,
             group: 1,
             listener: 0,
-            patience: SECOND,
+            dial_timeout: SECOND,
             reconnecting: false,
             retry: false,
         };
@@ -99,18 +99,19 @@
 
 #[test]
 fn goodput_recovers_at_the_first_window_that_stays_above_the_threshold() {
-    let took =
-        |rate, response_delay: &dyn Fn(u64) -> Option<u64>| recovery_of(rate, response_delay).unwrap().took;
-    assert_eq!(took(10.0, &half_from(0)), Some(0));
+    let recovery_time = |rate, response_delay: &dyn Fn(u64) -> Option<u64>| {
+        recovery_of(rate, response_delay).unwrap().recovery_time
+    };
+    assert_eq!(recovery_time(10.0, &half_from(0)), Some(0));
     // Goodput must reach 90 % of a window of 2 s, so the window may begin 0.2 s before 6 s, 3.8 s after the restart.
-    assert_eq!(took(10.0, &half_from(6 * SECOND)), Some(38 * SECOND / 10));
+    assert_eq!(recovery_time(10.0, &half_from(6 * SECOND)), Some(38 * SECOND / 10));
     // If the store can serve all that is offered, half of it is not enough. A store rate above the offered load makes
     // the offered load the target.
-    assert_eq!(took(20.0, &half_from(0)), None);
-    assert_eq!(took(1000.0, &|_| Some(10)), Some(0));
+    assert_eq!(recovery_time(20.0, &half_from(0)), None);
+    assert_eq!(recovery_time(1000.0, &|_| Some(10)), Some(0));
     // Responses after the dial timeout are not goodput, and a recovery that does not last until the end does not count.
-    assert_eq!(took(10.0, &|_| Some(SECOND + 1)), None);
-    assert_eq!(took(10.0, &|at| half_from(0)(at).filter(|_| at < 9 * SECOND)), None);
+    assert_eq!(recovery_time(10.0, &|_| Some(SECOND + 1)), None);
+    assert_eq!(recovery_time(10.0, &|at| half_from(0)(at).filter(|_| at < 9 * SECOND)), None);
 }
 
 #[test]
@@ -121,14 +122,14 @@
             request.client %= 4;
         }
     }
-    let after = recovery(&scenario("length = '12s'\n"), &all).unwrap().after;
-    assert!((after.offered - 0.4).abs() < 1e-9, "{after:?}");
+    let since_restart = recovery(&scenario("length = '12s'\n"), &all).unwrap().since_restart;
+    assert!((since_restart.offered - 0.4).abs() < 1e-9, "{since_restart:?}");
 }
 
 #[test]
 fn unmet_recovery_requirement_is_reported() {
     let unmet = |response_delay: &dyn Fn(u64) -> Option<u64>, within| {
-        recovery_of(10.0, response_delay).unwrap().unmet(within)
+        recovery_of(10.0, response_delay).unwrap().unmet_requirement(within)
     };
     assert_eq!(unmet(&half_from(6 * SECOND), 4 * SECOND), None);
     let late = unmet(&half_from(6 * SECOND), 3 * SECOND).unwrap();
--- a/crates/larklink-testbed/src/clients.rs
+++ b/crates/larklink-testbed/src/clients.rs
@@ -19,7 +19,7 @@
 /// Opens a session at the proxy that the external load balancer selects. The session's task ends with its connection.
 pub(crate) fn start(context: &Rc<TestbedContext>, request: ClientRequest) {
     let now = context.now();
-    let Some(proxy) = context.world.borrow_mut().assign_proxy(now, &request) else { return };
+    let Some(proxy) = context.model.borrow_mut().assign_proxy(now, &request) else { return };
     let id = request.id;
     let (sender, commands) = async_channel::unbounded();
     context.clients.borrow_mut().insert(id, sender);
@@ -43,9 +43,9 @@
     let first_line = open_line(&request, &context.scenario.listeners[listener].get_ref().name);
     let connected = LineStream::connect(context.addresses.client_facing[proxy]).await;
     // Recorded before the line is written, so that it precedes the line's consequences in the event log.
-    context.world.borrow_mut().event_log.record(context.now(), EventKind::Opened { request, proxy });
+    context.model.borrow_mut().event_log.record(context.now(), EventKind::Opened { request, proxy });
     let Ok(lines) = connected else {
-        return context.world.borrow_mut().proxy_unreachable(context.now(), id, proxy);
+        return context.model.borrow_mut().proxy_unreachable(context.now(), id, proxy);
     };
     context.client_connected(proxy);
     ClientSession { context, id, listener, lines, commands }.run(&first_line).await;
@@ -89,26 +89,26 @@
 
     fn record_response(&self, response: Option<ClientResponse>) {
         let now = self.context.now();
-        let mut world = self.context.world.borrow_mut();
+        let mut model = self.context.model.borrow_mut();
         match response {
-            Some(response) => world.response_received(now, self.id, response),
+            Some(response) => model.response_received(now, self.id, response),
             None => {
-                world.event_log.record(now, EventKind::MalformedResponse { id: self.id });
-                world.clients.ended_without_response(now, self.id);
+                model.event_log.record(now, EventKind::MalformedResponse { id: self.id });
+                model.clients.ended_without_response(now, self.id);
             }
         }
     }
 
     fn record(&self, kind: EventKind) {
-        self.context.world.borrow_mut().event_log.record(self.context.now(), kind);
+        self.context.model.borrow_mut().event_log.record(self.context.now(), kind);
     }
 
     fn ended_without_response(&self, end: ConnectionEnd) {
-        self.context.world.borrow_mut().ended_without_response(self.context.now(), self.id, end);
+        self.context.model.borrow_mut().ended_without_response(self.context.now(), self.id, end);
     }
 
     fn connection_ended(&self, end: ConnectionEnd) {
-        self.context.world.borrow_mut().connection_ended(self.context.now(), self.id, end);
+        self.context.model.borrow_mut().connection_ended(self.context.now(), self.id, end);
     }
 
     /// Records an extra message if another line follows a response that ends the session.
@@ -186,7 +186,7 @@
             return self.record(EventKind::MessageAltered { id: self.id });
         };
         unanswered.drain(..=position);
-        let took = self.context.world.borrow_mut().message_returned(
+        let took = self.context.model.borrow_mut().message_returned(
             self.context.now(),
             self.id,
             message.number,
--- a/crates/larklink-testbed/src/context.rs
+++ b/crates/larklink-testbed/src/context.rs
@@ -11,10 +11,10 @@
 use hdrhistogram::Histogram;
 use larklink_simulation::duration::TICKS_PER_MS;
 use larklink_simulation::faults::ProxyFault;
+use larklink_simulation::model::Model;
 use larklink_simulation::scenario::Scenario;
 use larklink_simulation::server::{ConnectionId, ServerMessage};
 use larklink_simulation::time::{TickDuration, Timestamp};
-use larklink_simulation::world::World;
 
 use crate::histogram::new_histogram;
 
@@ -84,7 +84,7 @@
 /// State shared by all tasks of a run.
 pub(crate) struct TestbedContext {
     pub(crate) scenario: Scenario,
-    pub(crate) world: RefCell<World>,
+    pub(crate) model: RefCell<Model>,
     pub(crate) addresses: TestbedAddresses,
     pub(crate) channels: TestbedChannels,
     /// Command channels to the client tasks, by session id.
@@ -107,7 +107,7 @@
 impl TestbedContext {
     pub(crate) fn new(
         scenario: Scenario,
-        world: World,
+        model: Model,
         addresses: TestbedAddresses,
         channels: TestbedChannels,
         executor: &Rc<LocalExecutor<'static>>,
@@ -115,7 +115,7 @@
         let message_round_trips = scenario.listeners.iter().map(|_| new_histogram()).collect();
         Rc::new(Self {
             scenario,
-            world: world.into(),
+            model: model.into(),
             addresses,
             channels,
             clients: RefCell::default(),
--- a/crates/larklink-testbed/src/discovery.rs
+++ b/crates/larklink-testbed/src/discovery.rs
@@ -78,7 +78,7 @@
             }
             Timer::after(self.max_wait).await;
             // While a fault makes discovery unreachable, it does not answer at all.
-            while !context.world.borrow().endpoint_list.is_reachable(context.now()) {
+            while !context.model.borrow().endpoint_list.is_reachable(context.now()) {
                 Timer::after(POLL_INTERVAL).await;
             }
         };
@@ -86,15 +86,15 @@
     }
 
     fn has_update(&self, context: &TestbedContext) -> bool {
-        let world = context.world.borrow();
-        let list = &world.endpoint_list;
+        let model = context.model.borrow();
+        let list = &model.endpoint_list;
         list.is_reachable(context.now()) && self.after_version.is_none_or(|version| list.version() > version)
     }
 }
 
 /// Serializes the complete list, or the entries that changed after a version, as discovery sends them.
 fn list_body(context: &TestbedContext, proxy: usize, after_version: Option<u64>) -> String {
-    let (version, entries) = context.world.borrow_mut().notify_proxy(context.now(), proxy, after_version);
+    let (version, entries) = context.model.borrow_mut().notify_proxy(context.now(), proxy, after_version);
     let entries: Vec<_> = entries.iter().map(|entry| entry_json(context, entry)).collect();
     serde_json::json!({"index": version, "snapshot": after_version.is_none(), "endpoints": entries})
         .to_string()
@@ -102,10 +102,11 @@
 
 /// Serializes an entry of the list as discovery sends it.
 pub(crate) fn entry_json(context: &TestbedContext, entry: &EndpointListEntry) -> serde_json::Value {
-    let weight = context.scenario.each_server().nth(entry.server).map_or(1.0, |server| server.weight);
+    let weight =
+        context.scenario.server_groups_by_index().nth(entry.server).map_or(1.0, |server| server.weight);
     serde_json::json!({
         "name": format!("s-{}", entry.server), "address": context.addresses.servers[entry.server].to_string(),
         "zone": context.scenario.zone(entry.server), "type": "std", "group": 1, "status": entry.status.name(),
-        "weight": weight, "since_ms": context.to_unix_ms(entry.started),
+        "weight": weight, "since_ms": context.to_unix_ms(entry.started_at),
     })
 }
--- a/crates/larklink-testbed/src/dispatch.rs
+++ b/crates/larklink-testbed/src/dispatch.rs
@@ -6,9 +6,9 @@
 use async_io::Timer;
 use larklink_simulation::clients::ClientAction;
 use larklink_simulation::faults::ProxyFault;
+use larklink_simulation::model::ModelAction;
 use larklink_simulation::server::ServerMessage;
 use larklink_simulation::time::TickDuration;
-use larklink_simulation::world::WorldAction;
 
 use crate::clients;
 use crate::context::{ClientCommand, ListenerCommand, TestbedContext, ticks_to_duration};
@@ -17,35 +17,35 @@
 const MAX_ADVANCE_INTERVAL: TickDuration = 500;
 
 /// Performs the model's actions.
-pub(crate) fn perform(context: &Rc<TestbedContext>, actions: Vec<WorldAction>) {
+pub(crate) fn perform(context: &Rc<TestbedContext>, actions: Vec<ModelAction>) {
     for action in actions {
         perform_one(context, action);
     }
 }
 
-fn perform_one(context: &Rc<TestbedContext>, action: WorldAction) {
+fn perform_one(context: &Rc<TestbedContext>, action: ModelAction) {
     match action {
-        WorldAction::Send { connection, message, .. } => {
+        ModelAction::Send { connection, message, .. } => {
             if let Some(connection) = context.server_connections.borrow().get(&connection) {
                 let _ = connection.messages.try_send(message);
             }
         }
-        WorldAction::StopListening { server } => stop_listening(context, server),
-        WorldAction::Listen { server } => {
+        ModelAction::StopListening { server } => stop_listening(context, server),
+        ModelAction::Listen { server } => {
             let _ = context.channels.listeners[server].try_send(ListenerCommand::Listen);
         }
         // The stand-in discovery polls the list.
-        WorldAction::EndpointListChanged => {}
-        WorldAction::Client(action) => perform_client_action(context, action),
-        WorldAction::DisconnectClients(sessions) => {
+        ModelAction::EndpointListChanged => {}
+        ModelAction::Client(action) => perform_client_action(context, action),
+        ModelAction::DisconnectClients(sessions) => {
             for session in sessions {
                 context.command_client(session, ClientCommand::Reset);
             }
         }
-        WorldAction::Proxy(proxy, ProxyFault::KillAtAccept { back }) => {
+        ModelAction::Proxy(proxy, ProxyFault::KillAtAccept { back }) => {
             context.kill_on_next_accept(proxy, back)
         }
-        WorldAction::Proxy(proxy, fault) => context.command_proxy(proxy, fault),
+        ModelAction::Proxy(proxy, fault) => context.command_proxy(proxy, fault),
     }
 }
 
@@ -76,9 +76,9 @@
 pub(crate) async fn advance_world(context: Rc<TestbedContext>, wake: Receiver<()>) {
     loop {
         let now = context.now();
-        let actions = context.world.borrow_mut().advance(now);
+        let actions = context.model.borrow_mut().advance(now);
         perform(&context, actions);
-        let due = context.world.borrow_mut().next_event_at();
+        let due = context.model.borrow_mut().next_event_at();
         let wait: Duration = ticks_to_duration(due.saturating_sub(context.now()).min(MAX_ADVANCE_INTERVAL));
         let timer = async {
             Timer::after(wait).await;
--- a/crates/larklink-testbed/src/faulty_relay.rs
+++ b/crates/larklink-testbed/src/faulty_relay.rs
@@ -194,8 +194,8 @@
     /// Returns the first server whose state and share of its full capacity match.
     fn server(&self, matches: impl Fn(ServerState, f64) -> bool) -> Option<SocketAddr> {
         let now = self.context.now();
-        let world = self.context.world.borrow();
-        let number = world.servers.iter().position(|server| matches(server.state(), server.warmth(now)))?;
+        let model = self.context.model.borrow();
+        let number = model.servers.iter().position(|server| matches(server.state(), server.warmth(now)))?;
         Some(self.context.addresses.servers[number])
     }
 }
--- a/crates/larklink-testbed/src/protocol.rs
+++ b/crates/larklink-testbed/src/protocol.rs
@@ -109,7 +109,7 @@
 
 /// Formats the first line of a client.
 pub(crate) fn open_line(request: &ClientRequest, listener: &str) -> String {
-    let timeout_ms = request.patience / TICKS_PER_MS;
+    let timeout_ms = request.dial_timeout / TICKS_PER_MS;
     let mut line = format!("OPEN {:x} {:x} c={listener},t=floor,d={timeout_ms}", request.id, request.key);
     line += &format!(",g={:x}", request.group);
     line += if request.retry { ",r=1" } else { "" };
--- a/crates/larklink-testbed/src/proxy_slot.rs
+++ b/crates/larklink-testbed/src/proxy_slot.rs
@@ -134,7 +134,7 @@
 
     fn write_config(&self, context: &TestbedContext) -> std::io::Result<()> {
         let scenario = &context.scenario;
-        let entries = context.world.borrow().endpoint_list.entries_after(None);
+        let entries = context.model.borrow().endpoint_list.entries_after(None);
         let known: Vec<_> = entries.iter().map(|entry| entry_json(context, entry)).collect();
         let seed = scenario.seed.wrapping_mul(SEEDS_PER_SCENARIO).wrapping_add(self.number as u64);
         let config = serde_json::json!({
@@ -143,7 +143,7 @@
             "seed": format!("{:x}", seed.wrapping_add(u64::from(self.usage.starts) << 32)),
             "limits": {"cores": 1.0, "memory_mb": scenario.proxies.memory_mb, "sockets": scenario.proxies.descriptors},
             "known": {"index": 1, "snapshot": true, "endpoints": known},
-            "settings": simulate::settings(scenario, self.number),
+            "settings": simulate::settings_object(scenario, self.number),
         });
         std::fs::write(self.config_path(), config.to_string())
     }
--- a/crates/larklink-testbed/src/report.rs
+++ b/crates/larklink-testbed/src/report.rs
@@ -4,8 +4,8 @@
 use larklink_simulation::duration::TICKS_PER_MS;
 use larklink_simulation::faults::FaultBand;
 use larklink_simulation::goodput::{Recovery, recovery};
+use larklink_simulation::model::Model;
 use larklink_simulation::scenario::Scenario;
-use larklink_simulation::world::World;
 use serde::Serialize;
 
 use crate::histogram::new_histogram;
@@ -128,16 +128,16 @@
 impl Report {
     /// Builds the report of a run that has ended.
     #[must_use]
-    pub fn new(scenario: &Scenario, seed: u64, world: &World, measurements: RunMeasurements) -> Self {
+    pub fn new(scenario: &Scenario, seed: u64, model: &Model, measurements: RunMeasurements) -> Self {
         let Findings { listeners, shapes, violations } = measurements.findings;
         let message_round_trips = &measurements.message_round_trips;
         let rows: Vec<_> = listeners
             .into_iter()
             .enumerate()
-            .map(|(i, outcomes)| listener_report(scenario, world, i, outcomes, message_round_trips.get(i)))
+            .map(|(i, outcomes)| listener_report(scenario, model, i, outcomes, message_round_trips.get(i)))
             .collect();
-        let service = world.clients.service();
-        let recovery = recovery(scenario, &world.event_log);
+        let service = model.clients.service();
+        let recovery = recovery(scenario, &model.event_log);
         let unmet_requirements = unmet_requirements(scenario, service, &rows, &shapes, recovery);
         Self {
             scenario: scenario.name.clone(),
@@ -150,12 +150,12 @@
             violations,
             unmet_requirements,
             proxies: measurements.proxies,
-            store_calls: world.session_store.calls,
-            store_failed: world.session_store.failed,
+            store_calls: model.session_store.calls,
+            store_failed: model.session_store.failed,
             timer_delay: measurements.timer_delay,
             testbed_late: measurements.timer_delay.exceeds_limit(),
             samples: measurements.samples,
-            fault_bands: world.fault_bands.clone(),
+            fault_bands: model.fault_bands.clone(),
         }
     }
 
@@ -168,16 +168,16 @@
 
 fn listener_report(
     scenario: &Scenario,
-    world: &World,
+    model: &Model,
     listener: usize,
     outcomes: SessionOutcomes,
     message_round_trips: Option<&Histogram<u64>>,
 ) -> ListenerReport {
     let mut response_times = new_histogram();
-    for &ticks in &outcomes.took {
+    for &ticks in &outcomes.response_times {
         let _ = response_times.record(ticks);
     }
-    let tally = &world.clients.tallies[listener];
+    let tally = &model.clients.tallies[listener];
     ListenerReport {
         listener: scenario.listeners[listener].get_ref().name.clone(),
         response_ms: Quantiles::from_ticks(&response_times),
@@ -199,30 +199,35 @@
 ) -> Vec<String> {
     let requirements = &scenario.requirements;
     let mut unmet = Vec::new();
-    if let Some(minimum) = requirements.service.filter(|&minimum| service < minimum) {
+    if let Some(minimum) = requirements.min_service.filter(|&minimum| service < minimum) {
         unmet.push(format!("service {service:.3}, {minimum} asked for"));
     }
     let sum = |of: fn(&SessionOutcomes) -> u64| rows.iter().map(|row| of(&row.outcomes)).sum::<u64>() as f64;
     let accepted = sum(|outcomes| outcomes.accepted) / sum(|outcomes| outcomes.opened).max(1.0);
-    if let Some(minimum) = requirements.accepted.filter(|&minimum| accepted < minimum) {
+    if let Some(minimum) = requirements.min_accepted.filter(|&minimum| accepted < minimum) {
         unmet.push(format!("{accepted:.3} of the sessions accepted, {minimum} asked for"));
     }
     for (shape, name) in shapes.iter().zip(ShapeOutcomes::NAMES) {
-        let share = shape.share();
-        if let Some(minimum) = requirements.each_shape.filter(|&minimum| share < minimum) {
-            unmet.push(format!("{share:.3} accepted at proxies of the {name} shape, {minimum} asked for"));
+        let acceptance_ratio = shape.acceptance_ratio();
+        if let Some(minimum) =
+            requirements.min_accepted_per_shape.filter(|&minimum| acceptance_ratio < minimum)
+        {
+            unmet.push(format!(
+                "{acceptance_ratio:.3} accepted at proxies of the {name} shape, {minimum} asked for"
+            ));
         }
     }
-    if let Some(within) = requirements.recovers {
+    if let Some(within) = requirements.max_recovery_time {
         let finding = match recovery {
-            Some(recovery) => recovery.unmet(within.0),
+            Some(recovery) => recovery.unmet_requirement(within.0),
             None => Some("no proxy was started again in time to tell whether goodput comes back".into()),
         };
         unmet.extend(finding.map(|finding| format!("{finding}, {within} asked for")));
     }
     let slowest_p99_ms = rows.iter().map(|row| row.response_ms.p99).fold(0.0, f64::max);
-    if let Some(maximum) =
-        requirements.answer_p99.filter(|maximum| slowest_p99_ms > maximum.0 as f64 / TICKS_PER_MS as f64)
+    if let Some(maximum) = requirements
+        .max_response_p99
+        .filter(|maximum| slowest_p99_ms > maximum.0 as f64 / TICKS_PER_MS as f64)
     {
         unmet.push(format!("answers within {slowest_p99_ms} ms for 99 in 100, {maximum} asked for"));
     }
--- a/crates/larklink-testbed/src/run.rs
+++ b/crates/larklink-testbed/src/run.rs
@@ -12,8 +12,8 @@
 use async_signal::{Signal, Signals};
 use futures_lite::{FutureExt, StreamExt};
 use larklink_simulation::audit::audit;
+use larklink_simulation::model::Model;
 use larklink_simulation::scenario::Scenario;
-use larklink_simulation::world::World;
 
 use crate::addresses::AddressRange;
 use crate::context::{
@@ -122,10 +122,10 @@
     ) -> Result<Self, TestbedError> {
         let layout = AddressLayout::new(scenario, options, number);
         let (senders, receivers) = channels(layout.servers.len());
-        let world = World::new(scenario, options.seed);
+        let model = Model::new(scenario, options.seed);
         let addresses =
             TestbedAddresses { servers: layout.servers.clone(), client_facing: layout.client_facing.clone() };
-        let context = TestbedContext::new(scenario.clone(), world, addresses, senders, executor);
+        let context = TestbedContext::new(scenario.clone(), model, addresses, senders, executor);
         spawn_servers(&context, receivers.listeners);
         spawn_discovery(&context, &layout);
         if let Some(planted) = options.planted {
@@ -178,16 +178,16 @@
         self.slots.borrow_mut().clear();
         let end = scenario.end();
         let now = self.context.now().min(end);
-        let mut world = self.context.world.borrow_mut();
-        world.clients.finish(now);
+        let mut model = self.context.model.borrow_mut();
+        model.clients.finish(now);
         let measured = RunMeasurements {
-            findings: audit(scenario, &world.event_log, end),
+            findings: audit(scenario, &model.event_log, end),
             message_round_trips: self.context.message_round_trips.take(),
             proxies,
             samples,
             timer_delay,
         };
-        let mut report = Report::new(scenario, self.options.seed, &world, measured);
+        let mut report = Report::new(scenario, self.options.seed, &model, measured);
         if scenario.proxies.admin_endpoints {
             report.unmet_requirements.extend(self.metrics.findings(&report.rows));
         }
@@ -196,7 +196,7 @@
 }
 
 fn spawn_servers(context: &Rc<TestbedContext>, commands: Vec<Receiver<ListenerCommand>>) {
-    let listed: Vec<_> = context.scenario.each_server().map(|server| server.listed).collect();
+    let listed: Vec<_> = context.scenario.server_groups_by_index().map(|server| server.listed).collect();
     for (server, commands) in commands.into_iter().enumerate() {
         context.spawn(servers::serve(Rc::clone(context), server, commands, listed[server]));
     }
@@ -261,7 +261,7 @@
 ) {
     loop {
         Timer::after(SAMPLE_INTERVAL).await;
-        let sample = Sample::take(context.now(), &context.world.borrow());
+        let sample = Sample::take(context.now(), &context.model.borrow());
         if let Some(progress) = &progress {
             let _ = progress.try_send(sample.clone());
         }
--- a/crates/larklink-testbed/src/sample.rs
+++ b/crates/larklink-testbed/src/sample.rs
@@ -1,8 +1,8 @@
 //! Samples of the state of a run, for plots and progress.
 use larklink_simulation::event_log::{ClientResponse, EventKind};
+use larklink_simulation::model::Model;
 use larklink_simulation::server::Server;
 use larklink_simulation::time::{TickDuration, Timestamp};
-use larklink_simulation::world::World;
 use serde::Serialize;
 
 /// The window before a sample in which responses are counted, in ticks: a quarter of a second.
@@ -36,17 +36,17 @@
 impl Sample {
     /// Takes a sample of the model's state.
     #[must_use]
-    pub fn take(at: Timestamp, world: &World) -> Self {
+    pub fn take(at: Timestamp, model: &Model) -> Self {
         let mut sample = Self {
             at,
-            established: world.clients.established,
-            waiting: world.clients.waiting,
-            sessions_by_server: world.servers.iter().map(Server::sessions_held).collect(),
-            service: world.clients.served_now(at),
+            established: model.clients.established,
+            waiting: model.clients.waiting,
+            sessions_by_server: model.servers.iter().map(Server::established_sessions).collect(),
+            service: model.clients.current_service(at),
             ..Self::default()
         };
         let from = at.saturating_sub(RESPONSE_WINDOW);
-        for event in world.event_log.events.iter().rev().take_while(|event| event.at >= from) {
+        for event in model.event_log.events.iter().rev().take_while(|event| event.at >= from) {
             if let EventKind::Answered { response, .. } = &event.kind {
                 sample.count(*response);
             }
--- a/crates/larklink-testbed/src/servers.rs
+++ b/crates/larklink-testbed/src/servers.rs
@@ -78,7 +78,7 @@
 
     fn attempt_ended(&self, session: u64, end: AttemptEnd) {
         let now = self.context.now();
-        self.context.world.borrow_mut().attempt_ended(now, self.server, self.id, session, end);
+        self.context.model.borrow_mut().attempt_ended(now, self.server, self.id, session, end);
     }
 
     /// Exchanges messages until one side ends the connection. Returns how it ended.
@@ -104,8 +104,8 @@
         let actions = match (self.session, parse_open_line(&line)) {
             (Some(session), _) => {
                 let sent_at = parse_message(&line).map(|message| message.sent_at);
-                let mut world = self.context.world.borrow_mut();
-                world.message_to_server(now, self.server, self.id, session, sent_at, line)
+                let mut model = self.context.model.borrow_mut();
+                model.message_to_server(now, self.server, self.id, session, sent_at, line)
             }
             (None, Some(OpenLine { id, listener, timeout_ms })) => {
                 let Some(listener) = self.listener_named(listener) else {
@@ -113,11 +113,11 @@
                     return Some(AttemptEnd::Failed);
                 };
                 self.session = Some(id);
-                let mut world = self.context.world.borrow_mut();
-                world.attempt_started(now, self.server, self.id, id, timeout_ms, listener)
+                let mut model = self.context.model.borrow_mut();
+                model.attempt_started(now, self.server, self.id, id, timeout_ms, listener)
             }
             (None, None) if line == b"STATS" || line == b"PING" => {
-                self.context.world.borrow_mut().servers[self.server].check_health(now, self.id);
+                self.context.model.borrow_mut().servers[self.server].check_health(now, self.id);
                 Vec::new()
             }
             (None, None) => {
--- a/crates/larklink-testbed/src/supervisor.rs
+++ b/crates/larklink-testbed/src/supervisor.rs
@@ -61,7 +61,7 @@
         match fault {
             ProxyFault::Kill => {
                 // Recorded before the kill, so that it precedes the ends of the sessions in the event log.
-                self.context.world.borrow_mut().proxy_exited(self.context.now(), proxy, false);
+                self.context.model.borrow_mut().proxy_exited(self.context.now(), proxy, false);
                 self.slots.borrow_mut()[proxy].kill_process();
             }
             // Handled by the context, which sends `Kill` when the proxy accepts its next connection.
@@ -96,7 +96,7 @@
         while !answers_health_check(listen).await {
             self.check_startup(proxy, until)?;
         }
-        self.context.world.borrow_mut().proxy_up(self.context.now(), proxy);
+        self.context.model.borrow_mut().proxy_up(self.context.now(), proxy);
         Ok(())
     }
 
@@ -169,7 +169,7 @@
     }
     process.kill();
     slots.borrow_mut()[proxy].kill_process();
-    context.world.borrow_mut().proxy_exited(context.now(), proxy, true);
+    context.model.borrow_mut().proxy_exited(context.now(), proxy, true);
     if let Some(ticks) = restart_after {
         Timer::after(ticks_to_duration(ticks)).await;
         context.command_proxy(proxy, ProxyFault::Start);
--- a/crates/larklink-testbed/tests/format_fixtures.rs
+++ b/crates/larklink-testbed/tests/format_fixtures.rs
@@ -4,8 +4,8 @@
 use larklink_simulation::audit::{Findings, SessionOutcomes, ShapeOutcomes, Violation, ViolationKind};
 use larklink_simulation::faults::FaultBand;
 use larklink_simulation::goodput::{GoodputRate, Recovery};
+use larklink_simulation::model::Model;
 use larklink_simulation::scenario::Scenario;
-use larklink_simulation::world::World;
 use larklink_testbed::proxy_process::ProxyUsage;
 use larklink_testbed::report::{ListenerReport, Quantiles, Report, RunMeasurements};
 use larklink_testbed::sample::Sample;
@@ -15,7 +15,7 @@
     serde_json::to_string_pretty(report).unwrap() + "\n"
 }
 
-fn session_outcomes(took: &[u64]) -> SessionOutcomes {
+fn session_outcomes(response_times: &[u64]) -> SessionOutcomes {
     SessionOutcomes {
         opened: 10,
         accepted: 5,
@@ -23,12 +23,12 @@
         failed: 4,
         lost_with_proxy: 6,
         proxy_unreachable: 7,
-        open: 8,
+        unfinished: 8,
         attempts: 9,
         retries: 11,
         migrated: 12,
         ran_after_abandoned: 13,
-        took: took.to_vec(),
+        response_times: response_times.to_vec(),
     }
 }
 
@@ -57,13 +57,13 @@
     GoodputRate { from, accepted: 19.5, offered: 20.0 }
 }
 
-fn recovery(took: Option<u64>) -> Recovery {
+fn recovery(recovery_time: Option<u64>) -> Recovery {
     Recovery {
-        restarted: 21,
-        took,
+        restarted_at: 21,
+        recovery_time,
         observed_for: 22,
-        after: goodput_rate(23),
-        least: goodput_rate(24),
+        since_restart: goodput_rate(23),
+        lowest: goodput_rate(24),
         store_rate: 25.5,
     }
 }
@@ -135,20 +135,20 @@
     let scenario = Scenario::parse(text).unwrap();
     let mut round_trips = Histogram::<u64>::new(3).unwrap();
     (1..=2000).for_each(|tenths| round_trips.record(tenths).unwrap());
-    let took: Vec<_> = (1..=1000).map(|ms| ms * 10).collect();
+    let response_times: Vec<_> = (1..=1000).map(|ms| ms * 10).collect();
     let findings = Findings {
-        listeners: vec![session_outcomes(&took)],
+        listeners: vec![session_outcomes(&response_times)],
         shapes: shape_outcomes(),
         violations: vec![violation()],
     };
-    let world = World::new(&scenario, 7);
+    let model = Model::new(&scenario, 7);
     let measurements = RunMeasurements {
         findings,
         message_round_trips: vec![round_trips],
         proxies: vec![proxy_usage()],
-        samples: vec![sample(), Sample::take(10, &world)],
+        samples: vec![sample(), Sample::take(10, &model)],
         timer_delay: TimerDelay { p999_us: 1, max_us: 2 },
     };
-    let report = Report::new(&scenario, 7, &world, measurements);
+    let report = Report::new(&scenario, 7, &model, measurements);
     assert_eq!(json(&report), include_str!("fixtures/report_from_measurements.json"));
 }
--- a/crates/larklinkctl/src/tables.rs
+++ b/crates/larklinkctl/src/tables.rs
@@ -53,7 +53,7 @@
             outcomes.failed,
             outcomes.lost_with_proxy,
             outcomes.proxy_unreachable,
-            outcomes.open,
+            outcomes.unfinished,
             outcomes.attempts,
             outcomes.retries,
             outcomes.migrated,
