--- a/crates/larklink-proxy/tests/scenario_runner/mod.rs
+++ b/crates/larklink-proxy/tests/scenario_runner/mod.rs
@@ -58,7 +58,7 @@
 pub(crate) fn run_scenario(text: &str, seed: u64, planted: Option<PlantedFault>) -> Report {
     let scenario = Scenario::parse(text).unwrap_or_else(|error| panic!("{error:?}"));
     let mut options = Options::new(Path::new(env!("CARGO_BIN_EXE_larklink")), seed);
-    options.planted = planted;
+    options.planted_fault = planted;
     (0..MAX_RUNS)
         .map(|_| run(&scenario, &options).unwrap())
         .find(|report| {
--- a/crates/larklink-proxy/tests/scenarios.rs
+++ b/crates/larklink-proxy/tests/scenarios.rs
@@ -22,7 +22,7 @@
     let report = run_scenario("length = '4s'\n", 1, None);
     assert_passed(&report);
     assert!(report.service > 0.95, "{}", report.service);
-    assert!(report.rows[0].outcomes.accepted > 200);
+    assert!(report.listeners[0].outcomes.accepted > 200);
 }
 
 /// The external load balancer keeps sending clients to the dead proxy. These clients are counted apart, and neither
@@ -32,7 +32,7 @@
     let text = "length = '6s'\n[[faults]]\nwhat = 'proxy-killed'\nat = '2s'\nfor = '2s'\n";
     let report = run_scenario(text, 1, None);
     assert_passed(&report);
-    assert!(report.rows[0].outcomes.proxy_unreachable > 0, "{:?}", report.rows[0].outcomes);
+    assert!(report.listeners[0].outcomes.proxy_unreachable > 0, "{:?}", report.listeners[0].outcomes);
     assert_eq!(report.proxies[0].starts, 2);
 }
 
@@ -44,7 +44,7 @@
                 apart = '1s'\nevery = '2s'\ntimes = 2\nat_accept = true\n";
     let report = run_scenario(text, 1, None);
     assert_passed(&report);
-    assert!(report.rows[0].outcomes.lost_with_proxy > 0, "{:?}", report.rows[0].outcomes);
+    assert!(report.listeners[0].outcomes.lost_with_proxy > 0, "{:?}", report.listeners[0].outcomes);
     assert!(report.proxies.iter().all(|proxy| proxy.starts == 3), "{:?}", report.proxies);
 }
 
@@ -54,7 +54,7 @@
                 [[faults]]\nwhat = 'proxy-stopped'\nat = '2s'\nfor = '100ms'\n";
     let report = run_scenario(text, 1, None);
     assert_passed(&report);
-    assert!(report.rows[0].outcomes.migrated > 20, "{:?}", report.rows[0].outcomes);
+    assert!(report.listeners[0].outcomes.migrated > 20, "{:?}", report.listeners[0].outcomes);
 }
 
 /// All clients reconnect together and retry without backoff while the session store is slow: each session gets exactly
@@ -66,7 +66,7 @@
                 for = '3s'\nfactor = 8.0\n[[faults]]\nwhat = 'clients-dropped'\nat = '3500ms'\n";
     let report = run_scenario(text, 1, None);
     assert_passed(&report);
-    assert!(report.rows[0].outcomes.rejected > 0, "{:?}", report.rows[0].outcomes);
+    assert!(report.listeners[0].outcomes.rejected > 0, "{:?}", report.listeners[0].outcomes);
 }
 
 /// The report says so if goodput does not recover after a restart, here because the session store stays slow. The same
@@ -96,7 +96,7 @@
            dial_timeout = '600ms'\nrate = 30.0\n[[faults]]\nwhat = 'server-paused'\nat = '3s'\nfor = '2s'\n";
     let report = run_scenario(text, 1, None);
     assert_passed(&report);
-    assert!(report.rows[0].outcomes.ran_after_abandoned > 0, "{:?}", report.rows[0].outcomes);
+    assert!(report.listeners[0].outcomes.ran_after_abandoned > 0, "{:?}", report.listeners[0].outcomes);
 }
 
 #[test]
@@ -104,13 +104,15 @@
     let expected_violation = |planted| match planted {
         PlantedFault::RespondsTwice => ViolationKind::ExtraResponse,
         PlantedFault::SwallowsResponses => ViolationKind::NoResponse,
-        PlantedFault::AttemptsTwo => ViolationKind::ConcurrentAttempts,
-        PlantedFault::AttemptsDraining => ViolationKind::AttemptAfterDrainGrace,
+        PlantedFault::MakesConcurrentAttempts => ViolationKind::ConcurrentAttempts,
+        PlantedFault::MakesAttemptsToDraining => ViolationKind::AttemptAfterDrainGrace,
         PlantedFault::RetriesFailed => ViolationKind::MayRunTwice,
-        PlantedFault::Cuts => ViolationKind::BrokenWithoutMigration,
+        PlantedFault::CutsEstablished => ViolationKind::BrokenWithoutMigration,
         PlantedFault::OverloadsSlowStart => ViolationKind::SlowStartOverloaded,
         PlantedFault::DropsQueued => ViolationKind::NoResponse,
-        PlantedFault::StallsTestbed | PlantedFault::CountsTwice => unreachable!("{planted:?} breaks no rule"),
+        PlantedFault::StallsTestbed | PlantedFault::MiscountsMetrics => {
+            unreachable!("{planted:?} breaks no rule")
+        }
     };
     // The relay retries sessions that failed, a few of some 400: at a rate of 40 one run in ten had none to retry.
     let scenario = |planted| match planted {
@@ -118,7 +120,7 @@
         _ => MULTIPLE_FAULTS.to_owned(),
     };
     // Few runs at a time, so that the machine is not too busy for them.
-    for planted in PlantedFault::BREAKING.chunks(4) {
+    for planted in PlantedFault::RULE_BREAKING.chunks(4) {
         let runs =
             planted.iter().map(|&p| (p, thread::spawn(move || run_scenario(&scenario(p), 1, Some(p)))));
         for (planted, run) in runs.collect::<Vec<_>>() {
@@ -148,11 +150,11 @@
     for pass_through in [false, true] {
         let report = run_scenario(&scenario(pass_through), 1, None);
         assert_passed(&report);
-        let outcomes = &report.rows[0].outcomes;
+        let outcomes = &report.listeners[0].outcomes;
         assert_eq!((outcomes.migrated, outcomes.proxy_unreachable), (0, 0), "{outcomes:?}");
         assert_eq!(report.proxies[0].starts, 3);
     }
-    let report = run_scenario(&scenario(false), 1, Some(PlantedFault::CountsTwice));
+    let report = run_scenario(&scenario(false), 1, Some(PlantedFault::MiscountsMetrics));
     assert!(
         report.unmet_requirements.iter().any(|text| text.contains("pick-list: passed")),
         "{:?}",
@@ -176,7 +178,7 @@
     let too_many_sessions = run_error("[[listeners]]\nstanding = 9000000\n", "/bin/true");
     assert!(too_many_sessions.contains("descriptors are needed"), "{too_many_sessions}");
     let too_few_descriptors = run_error("[proxies]\ndescriptors = 100\n", "/bin/true");
-    assert!(too_few_descriptors.contains("each daemon needs"), "{too_few_descriptors}");
+    assert!(too_few_descriptors.contains("each proxy needs"), "{too_few_descriptors}");
     let early_exit = run_error("", "/bin/false");
     assert!(early_exit.contains("proxy 0 ended at its start"), "{early_exit}");
     assert!(run_error("", "/nonexistent").contains("/nonexistent"));
--- a/crates/larklink-simulation/src/server.rs
+++ b/crates/larklink-simulation/src/server.rs
@@ -188,7 +188,7 @@
     }
 
     /// Returns the current fraction of its full capacity, which grows linearly in slow start.
-    pub fn warmth(&self, now: Timestamp) -> f64 {
+    pub fn capacity_fraction(&self, now: Timestamp) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
         let elapsed =
             now.saturating_sub(started_at) as f64 / (self.profile.slow_start_duration as f64).max(1.0);
@@ -197,7 +197,7 @@
 
     /// Returns its current capacity in microseconds of work per second.
     pub fn capacity(&self, now: Timestamp) -> f64 {
-        self.profile.cores as f64 * self.profile.speed * self.warmth(now) * MICROS_PER_SECOND
+        self.profile.cores as f64 * self.profile.speed * self.capacity_fraction(now) * MICROS_PER_SECOND
     }
 
     fn is_in_slow_start(&self, now: Timestamp) -> bool {
@@ -283,7 +283,7 @@
     /// Assigns work to the core that is free first. Returns when the work is done.
     fn schedule_work(&mut self, now: Timestamp, work: f64) -> Timestamp {
         // The whole work runs at the speed of this moment, a lower bound: the speed only grows in slow start.
-        let speed = self.profile.speed * self.warmth(now);
+        let speed = self.profile.speed * self.capacity_fraction(now);
         let core = self.cores.iter_mut().min_by(|a, b| a.total_cmp(b));
         // A validated scenario has at least one core per server.
         let core = core.expect("a server has a core");
--- a/crates/larklink-simulation/tests/model.rs
+++ b/crates/larklink-simulation/tests/model.rs
@@ -273,7 +273,7 @@
     assert_eq!((overloads, server.state()), (1, ServerState::Dead));
     server.advance(now + SECOND, &mut outputs);
     assert_eq!(server.state(), ServerState::Up);
-    assert!(server.warmth(now + SECOND) < 0.2);
+    assert!(server.capacity_fraction(now + SECOND) < 0.2);
     // The same load does not overload a server after its slow start.
     let (mut server, mut outputs) = (Server::new(profile()), Vec::new());
     (0..900).for_each(|connection| {
--- a/crates/larklink-testbed/src/error.rs
+++ b/crates/larklink-testbed/src/error.rs
@@ -28,7 +28,7 @@
     },
     /// The scenario allows each proxy fewer descriptors than its share of the sessions needs.
     #[error(
-        "each daemon needs {needed} descriptors for its share of about {sessions} sessions, but proxies.descriptors is {allowed}"
+        "each proxy needs {needed} descriptors for its share of about {sessions} sessions, but proxies.descriptors is {allowed}"
     )]
     TooFewProxyDescriptors {
         /// The descriptors that each proxy needs.
--- a/crates/larklink-testbed/src/faulty_relay.rs
+++ b/crates/larklink-testbed/src/faulty_relay.rs
@@ -37,32 +37,32 @@
     /// Swallows one final response in 500.
     SwallowsResponses,
     /// Makes a second attempt while the proxy's is in flight, for one session in 20.
-    AttemptsTwo,
+    MakesConcurrentAttempts,
     /// Makes attempts at a draining server.
-    AttemptsDraining,
+    MakesAttemptsToDraining,
     /// Retries failed sessions that may run only once.
     RetriesFailed,
     /// Cuts off one established session in 20 without `MOVE`.
-    Cuts,
+    CutsEstablished,
     /// Sends all sessions to a server in early slow start.
     OverloadsSlowStart,
     /// Closes one connection in 50 without a response, like connections queued at a listening socket that is closed.
     DropsQueued,
     /// Counts one session in 10 twice in the metrics. Breaks no rule.
-    CountsTwice,
+    MiscountsMetrics,
     /// Blocks the testbed itself for one connection in 20, so that its timers are late. Breaks no rule.
     StallsTestbed,
 }
 
 impl PlantedFault {
     /// The faults that break a rule.
-    pub const BREAKING: [Self; 8] = [
+    pub const RULE_BREAKING: [Self; 8] = [
         Self::RespondsTwice,
         Self::SwallowsResponses,
-        Self::AttemptsTwo,
-        Self::AttemptsDraining,
+        Self::MakesConcurrentAttempts,
+        Self::MakesAttemptsToDraining,
         Self::RetriesFailed,
-        Self::Cuts,
+        Self::CutsEstablished,
         Self::OverloadsSlowStart,
         Self::DropsQueued,
     ];
@@ -128,7 +128,7 @@
         }
         let mut proxy = LineStream::connect(self.proxy).await?;
         proxy.write(&text).await?;
-        if self.applies(PlantedFault::AttemptsTwo, DEFAULT_ONE_IN) {
+        if self.applies(PlantedFault::MakesConcurrentAttempts, DEFAULT_ONE_IN) {
             self.second_attempt(&text).await?;
         }
         let Some(response) = first_response(&mut proxy, &mut client).await? else { return Ok(()) };
@@ -143,10 +143,10 @@
     /// Returns the server to which the fault sends sessions directly, bypassing the proxy.
     fn bypass_server(&self) -> Option<SocketAddr> {
         match self.planted {
-            PlantedFault::AttemptsDraining => self.server(|state, _| state == ServerState::Draining),
-            PlantedFault::OverloadsSlowStart => {
-                self.server(|state, warmth| state == ServerState::Up && warmth < EARLY_SLOW_START)
-            }
+            PlantedFault::MakesAttemptsToDraining => self.server(|state, _| state == ServerState::Draining),
+            PlantedFault::OverloadsSlowStart => self.server(|state, capacity_fraction| {
+                state == ServerState::Up && capacity_fraction < EARLY_SLOW_START
+            }),
             _ => None,
         }
     }
@@ -187,15 +187,20 @@
         if self.applies(PlantedFault::RespondsTwice, DEFAULT_ONE_IN) {
             client.write(response).await?;
         }
-        relay_lines(client, proxy, self.applies(PlantedFault::Cuts, DEFAULT_ONE_IN).then_some(CUT_AFTER))
-            .await
+        relay_lines(
+            client,
+            proxy,
+            self.applies(PlantedFault::CutsEstablished, DEFAULT_ONE_IN).then_some(CUT_AFTER),
+        )
+        .await
     }
 
     /// Returns the first server whose state and share of its full capacity match.
     fn server(&self, matches: impl Fn(ServerState, f64) -> bool) -> Option<SocketAddr> {
         let now = self.context.now();
         let model = self.context.model.borrow();
-        let number = model.servers.iter().position(|server| matches(server.state(), server.warmth(now)))?;
+        let number =
+            model.servers.iter().position(|server| matches(server.state(), server.capacity_fraction(now)))?;
         Some(self.context.addresses.servers[number])
     }
 }
--- a/crates/larklink-testbed/src/html_report.rs
+++ b/crates/larklink-testbed/src/html_report.rs
@@ -66,10 +66,10 @@
 
 /// Renders the report as a self-contained HTML page.
 #[must_use]
-pub fn page(report: &Report) -> String {
+pub fn render(report: &Report) -> String {
     let mut page = String::from(PAGE_HEAD);
     page += &summary(report);
-    page += &listeners_table(&report.rows);
+    page += &listeners_table(&report.listeners);
     if let Some(recovery) = &report.recovery {
         page += &format!("<p>Goodput: {}.</p>", escape(&recovery.to_string()));
     }
@@ -99,9 +99,9 @@
     )
 }
 
-fn listeners_table(rows: &[ListenerReport]) -> String {
+fn listeners_table(listeners: &[ListenerReport]) -> String {
     let mut table = String::from(LISTENERS_HEAD);
-    for row in rows {
+    for row in listeners {
         let outcomes = &row.outcomes;
         let _ = write!(table, "<tr><td>{}", escape(&row.listener));
         for count in [
--- a/crates/larklink-testbed/src/options.rs
+++ b/crates/larklink-testbed/src/options.rs
@@ -14,9 +14,9 @@
     /// The seed, which overrides that of the scenario.
     pub seed: u64,
     /// A fault to plant in front of the proxies, to test that the audit finds it.
-    pub planted: Option<PlantedFault>,
+    pub planted_fault: Option<PlantedFault>,
     /// The directory in which the run creates its own directory for configurations and logs, removed at the end.
-    pub folder: PathBuf,
+    pub parent_directory: PathBuf,
     /// Receives a sample four times a second. Samples are dropped while the channel is full.
     pub progress: Option<Sender<Sample>>,
 }
@@ -28,8 +28,8 @@
         Self {
             proxy_program: proxy_program.to_owned(),
             seed,
-            planted: None,
-            folder: std::env::temp_dir(),
+            planted_fault: None,
+            parent_directory: std::env::temp_dir(),
             progress: None,
         }
     }
--- a/crates/larklink-testbed/src/report.rs
+++ b/crates/larklink-testbed/src/report.rs
@@ -78,8 +78,9 @@
     pub seed: u64,
     /// The well-served share of the seconds for which clients wanted a session, by priority weight.
     pub service: f64,
-    /// A row for each listener.
-    pub rows: Vec<ListenerReport>,
+    /// The results of each listener.
+    #[serde(rename = "rows")]
+    pub listeners: Vec<ListenerReport>,
     /// The results at proxies of the old shape and at proxies of the moved shape.
     pub shapes: [ShapeOutcomes; 2],
     /// How goodput recovered after the last restart of a proxy; `None` if no proxy was restarted.
@@ -131,20 +132,20 @@
     pub fn new(scenario: &Scenario, seed: u64, model: &Model, measurements: RunMeasurements) -> Self {
         let Findings { listeners, shapes, violations } = measurements.findings;
         let message_round_trips = &measurements.message_round_trips;
-        let rows: Vec<_> = listeners
+        let listeners: Vec<_> = listeners
             .into_iter()
             .enumerate()
             .map(|(i, outcomes)| listener_report(scenario, model, i, outcomes, message_round_trips.get(i)))
             .collect();
         let service = model.clients.service();
         let recovery = recovery(scenario, &model.event_log);
-        let unmet_requirements = unmet_requirements(scenario, service, &rows, &shapes, recovery);
+        let unmet_requirements = unmet_requirements(scenario, service, &listeners, &shapes, recovery);
         Self {
             scenario: scenario.name.clone(),
             about: scenario.about.clone(),
             seed,
             service,
-            rows,
+            listeners,
             shapes,
             recovery,
             violations,
@@ -193,7 +194,7 @@
 fn unmet_requirements(
     scenario: &Scenario,
     service: f64,
-    rows: &[ListenerReport],
+    listeners: &[ListenerReport],
     shapes: &[ShapeOutcomes],
     recovery: Option<Recovery>,
 ) -> Vec<String> {
@@ -202,7 +203,9 @@
     if let Some(minimum) = requirements.min_service.filter(|&minimum| service < minimum) {
         unmet.push(format!("service {service:.3}, {minimum} asked for"));
     }
-    let sum = |of: fn(&SessionOutcomes) -> u64| rows.iter().map(|row| of(&row.outcomes)).sum::<u64>() as f64;
+    let sum = |of: fn(&SessionOutcomes) -> u64| {
+        listeners.iter().map(|listener| of(&listener.outcomes)).sum::<u64>() as f64
+    };
     let accepted = sum(|outcomes| outcomes.accepted) / sum(|outcomes| outcomes.opened).max(1.0);
     if let Some(minimum) = requirements.min_accepted.filter(|&minimum| accepted < minimum) {
         unmet.push(format!("{accepted:.3} of the sessions accepted, {minimum} asked for"));
@@ -224,7 +227,7 @@
         };
         unmet.extend(finding.map(|finding| format!("{finding}, {within} asked for")));
     }
-    let slowest_p99_ms = rows.iter().map(|row| row.response_ms.p99).fold(0.0, f64::max);
+    let slowest_p99_ms = listeners.iter().map(|listener| listener.response_ms.p99).fold(0.0, f64::max);
     if let Some(maximum) = requirements
         .max_response_p99
         .filter(|maximum| slowest_p99_ms > maximum.0 as f64 / TICKS_PER_MS as f64)
--- a/crates/larklink-testbed/src/run.rs
+++ b/crates/larklink-testbed/src/run.rs
@@ -49,8 +49,8 @@
 pub fn run(scenario: &Scenario, options: &Options) -> Result<Report, TestbedError> {
     descriptors::prepare(scenario)?;
     let number = NEXT_RUN.fetch_add(1, Ordering::Relaxed);
-    let directory = RunDirectory::create(&options.folder, number)
-        .map_err(|source| TestbedError::CreateDirectory { path: options.folder.clone(), source })?;
+    let directory = RunDirectory::create(&options.parent_directory, number)
+        .map_err(|source| TestbedError::CreateDirectory { path: options.parent_directory.clone(), source })?;
     let executor = Rc::new(LocalExecutor::new());
     let task = async {
         let run = Run::set_up(scenario, options, number, directory.path(), &executor)?;
@@ -80,7 +80,8 @@
         let discovery = range.take(2 * proxy_count).chunks(2).map(|pair| [pair[0], pair[1]]).collect();
         let admin_addresses = if scenario.proxies.admin_endpoints { ADMIN_ADDRESSES } else { 0 };
         let admin = (0..proxy_count).map(|_| range.take(admin_addresses)).collect();
-        let client_facing = if options.planted.is_some() { range.take(proxy_count) } else { proxies.clone() };
+        let client_facing =
+            if options.planted_fault.is_some() { range.take(proxy_count) } else { proxies.clone() };
         Self { servers, proxies, discovery, admin, client_facing }
     }
 }
@@ -128,7 +129,7 @@
         let context = TestbedContext::new(scenario.clone(), model, addresses, senders, executor);
         spawn_servers(&context, receivers.listeners);
         spawn_discovery(&context, &layout);
-        if let Some(planted) = options.planted {
+        if let Some(planted) = options.planted_fault {
             spawn_relays(&context, &layout, planted);
         }
         let signals = Signals::new([Signal::Int, Signal::Term]).map_err(TestbedError::Signals)?;
@@ -136,7 +137,7 @@
             options,
             context,
             slots: Rc::new(RefCell::new(proxy_slots(&layout, options, directory))),
-            metrics: MetricsPoller::new(options.planted == Some(PlantedFault::CountsTwice)),
+            metrics: MetricsPoller::new(options.planted_fault == Some(PlantedFault::MiscountsMetrics)),
             wake: receivers.wake,
             proxy_commands: receivers.proxies,
             signals,
@@ -189,7 +190,7 @@
         };
         let mut report = Report::new(scenario, self.options.seed, &model, measured);
         if scenario.proxies.admin_endpoints {
-            report.unmet_requirements.extend(self.metrics.findings(&report.rows));
+            report.unmet_requirements.extend(self.metrics.findings(&report.listeners));
         }
         report
     }
--- a/crates/larklink-testbed/tests/format_fixtures.rs
+++ b/crates/larklink-testbed/tests/format_fixtures.rs
@@ -96,7 +96,7 @@
         about: "\u{e9} \"about\"".into(),
         seed: u64::MAX,
         service: 0.848,
-        rows: vec![listener_report()],
+        listeners: vec![listener_report()],
         shapes: shape_outcomes(),
         recovery: Some(recovery(Some(41))),
         violations: vec![violation()],
--- a/crates/larklinkctl/src/run.rs
+++ b/crates/larklinkctl/src/run.rs
@@ -112,7 +112,7 @@
         write(path, &serde_json::to_string_pretty(&report)?)?;
     }
     if let Some(path) = &arguments.report {
-        write(path, &html_report::page(&report))?;
+        write(path, &html_report::render(&report))?;
     }
     tables::print(&report);
     Ok(report)
--- a/crates/larklinkctl/src/tables.rs
+++ b/crates/larklinkctl/src/tables.rs
@@ -13,8 +13,8 @@
 
 /// Prints the whole report to standard output.
 pub(crate) fn print(report: &Report) {
-    println!("{}", outcomes_table(&report.rows));
-    println!("{}", latency_table(&report.rows));
+    println!("{}", outcomes_table(&report.listeners));
+    println!("{}", latency_table(&report.listeners));
     print_processes(report);
     print_findings(report);
     let verdict = if report.passed() { "no findings" } else { "findings, see above" };
@@ -28,7 +28,7 @@
 }
 
 /// The outcomes of the sessions of each listener.
-fn outcomes_table(rows: &[ListenerReport]) -> Table {
+fn outcomes_table(listeners: &[ListenerReport]) -> Table {
     let mut table = new_table(&[
         "listener",
         "opened",
@@ -44,7 +44,7 @@
         "ran late",
         "service",
     ]);
-    for row in rows {
+    for row in listeners {
         let outcomes = &row.outcomes;
         let counts = [
             outcomes.opened,
@@ -68,9 +68,9 @@
 }
 
 /// The response times and message latencies of each listener.
-fn latency_table(rows: &[ListenerReport]) -> Table {
+fn latency_table(listeners: &[ListenerReport]) -> Table {
     let mut table = new_table(&["milliseconds", "count", "p50", "p99", "p99.9", "max", "late"]);
-    for row in rows {
+    for row in listeners {
         for (kind, quantiles, late) in [
             ("response", &row.response_ms, String::new()),
             ("message", &row.message_ms, row.late_messages.to_string()),
