--- a/crates/larklink-testbed/src/run.rs
+++ b/crates/larklink-testbed/src/run.rs
@@ -12,8 +12,8 @@
 use async_signal::{Signal, Signals};
 use futures_lite::{FutureExt, StreamExt};
 use larklink_simulation::audit::audit;
+use larklink_simulation::model::Model;
 use larklink_simulation::scenario::Scenario;
-use larklink_simulation::world::World;
 
 use crate::addresses::AddressRange;
 use crate::context::{
@@ -49,8 +49,8 @@
 pub fn run(scenario: &Scenario, options: &Options) -> Result<Report, TestbedError> {
     descriptors::prepare(scenario)?;
     let number = NEXT_RUN.fetch_add(1, Ordering::Relaxed);
-    let directory = RunDirectory::create(&options.folder, number)
-        .map_err(|source| TestbedError::CreateDirectory { path: options.folder.clone(), source })?;
+    let directory = RunDirectory::create(&options.parent_directory, number)
+        .map_err(|source| TestbedError::CreateDirectory { path: options.parent_directory.clone(), source })?;
     let executor = Rc::new(LocalExecutor::new());
     let task = async {
         let run = Run::set_up(scenario, options, number, directory.path(), &executor)?;
@@ -80,7 +80,8 @@
         let discovery = range.take(2 * proxy_count).chunks(2).map(|pair| [pair[0], pair[1]]).collect();
         let admin_addresses = if scenario.proxies.admin_endpoints { ADMIN_ADDRESSES } else { 0 };
         let admin = (0..proxy_count).map(|_| range.take(admin_addresses)).collect();
-        let client_facing = if options.planted.is_some() { range.take(proxy_count) } else { proxies.clone() };
+        let client_facing =
+            if options.planted_fault.is_some() { range.take(proxy_count) } else { proxies.clone() };
         Self { servers, proxies, discovery, admin, client_facing }
     }
 }
@@ -122,13 +123,13 @@
     ) -> Result<Self, TestbedError> {
         let layout = AddressLayout::new(scenario, options, number);
         let (senders, receivers) = channels(layout.servers.len());
-        let world = World::new(scenario, options.seed);
+        let model = Model::new(scenario, options.seed);
         let addresses =
             TestbedAddresses { servers: layout.servers.clone(), client_facing: layout.client_facing.clone() };
-        let context = TestbedContext::new(scenario.clone(), world, addresses, senders, executor);
+        let context = TestbedContext::new(scenario.clone(), model, addresses, senders, executor);
         spawn_servers(&context, receivers.listeners);
         spawn_discovery(&context, &layout);
-        if let Some(planted) = options.planted {
+        if let Some(planted) = options.planted_fault {
             spawn_relays(&context, &layout, planted);
         }
         let signals = Signals::new([Signal::Int, Signal::Term]).map_err(TestbedError::Signals)?;
@@ -136,7 +137,7 @@
             options,
             context,
             slots: Rc::new(RefCell::new(proxy_slots(&layout, options, directory))),
-            metrics: MetricsPoller::new(options.planted == Some(PlantedFault::CountsTwice)),
+            metrics: MetricsPoller::new(options.planted_fault == Some(PlantedFault::MiscountsMetrics)),
             wake: receivers.wake,
             proxy_commands: receivers.proxies,
             signals,
@@ -178,25 +179,25 @@
         self.slots.borrow_mut().clear();
         let end = scenario.end();
         let now = self.context.now().min(end);
-        let mut world = self.context.world.borrow_mut();
-        world.clients.finish(now);
+        let mut model = self.context.model.borrow_mut();
+        model.clients.finish(now);
         let measured = RunMeasurements {
-            findings: audit(scenario, &world.event_log, end),
+            findings: audit(scenario, &model.event_log, end),
             message_round_trips: self.context.message_round_trips.take(),
             proxies,
             samples,
             timer_delay,
         };
-        let mut report = Report::new(scenario, self.options.seed, &world, measured);
+        let mut report = Report::new(scenario, self.options.seed, &model, measured);
         if scenario.proxies.admin_endpoints {
-            report.unmet_requirements.extend(self.metrics.findings(&report.rows));
+            report.unmet_requirements.extend(self.metrics.findings(&report.listeners));
         }
         report
     }
 }
 
 fn spawn_servers(context: &Rc<TestbedContext>, commands: Vec<Receiver<ListenerCommand>>) {
-    let listed: Vec<_> = context.scenario.each_server().map(|server| server.listed).collect();
+    let listed: Vec<_> = context.scenario.server_groups_by_index().map(|server| server.listed).collect();
     for (server, commands) in commands.into_iter().enumerate() {
         context.spawn(servers::serve(Rc::clone(context), server, commands, listed[server]));
     }
@@ -261,7 +262,7 @@
 ) {
     loop {
         Timer::after(SAMPLE_INTERVAL).await;
-        let sample = Sample::take(context.now(), &context.world.borrow());
+        let sample = Sample::take(context.now(), &context.model.borrow());
         if let Some(progress) = &progress {
             let _ = progress.try_send(sample.clone());
         }
