--- a/crates/larklink-proxy/src/decision_task.rs
+++ b/crates/larklink-proxy/src/decision_task.rs
@@ -1,5 +1,5 @@
 //! The task that owns the engine, which makes all balancing decisions. Other tasks send it events through the
-//! [`DecisionQueue`](crate::events::DecisionQueue) and receive commands in return.
+//! [`DecisionQueue`](crate::events::DecisionQueue); session tasks receive commands in return.
 use std::collections::{BTreeMap, HashMap};
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -168,7 +168,8 @@
         }
     }
 
-    /// Sends the address of an endpoint to a session that is already established there.
+    /// Sends the address of an endpoint to a session that is already established there. The session makes its own
+    /// attempts and uses only the address.
     fn send_address(&self, endpoint: EndpointId, commands: &Sender<SessionCommand>) {
         let now = Instant::now();
         let connect = SessionCommand::Connect {
@@ -239,6 +240,7 @@
         } else {
             self.endpoints.insert(id, endpoint.clone());
         }
+        // Also written for an endpoint that was removed, with that status.
         let started_at_ms = endpoint.started_at_ms;
         tracing::info!(endpoint = format!("{id:08x}"), name, status, started_at_ms, "endpoint listed");
     }
@@ -293,7 +295,7 @@
             return;
         };
         let checker = Rc::clone(&self.health_checker);
-        // The check's own timeout bounds the life of this task.
+        // The task ends with the check: it waits for a permit, and the check itself has a timeout.
         self.executor.spawn(async move { checker.check(endpoint, address).await }).detach();
     }
 }
--- a/crates/larklink-proxy/src/discovery/client.rs
+++ b/crates/larklink-proxy/src/discovery/client.rs
@@ -106,6 +106,7 @@
         }
     }
 
+    /// Drops an outdated list. The known index is forgotten as well, so the complete list is polled next.
     async fn ignore_outdated(&mut self, list: &EndpointList, polled_at: Instant) {
         tracing::warn!(address = %self.address, index = list.index, "discovery sent an outdated endpoint list");
         if self.state.record_outdated_list(polled_at) {
--- a/crates/larklink-proxy/src/discovery/schedule.rs
+++ b/crates/larklink-proxy/src/discovery/schedule.rs
@@ -12,7 +12,8 @@
 use crate::clock::to_duration;
 
 /// Discovery considers a proxy notified of a change this long after the change is available and discovery is reachable,
-/// regardless of earlier failures. [`PollSchedule::max_notification_delay`] stays below it.
+/// regardless of earlier failures and of the discovery deadline in the settings.
+/// [`PollSchedule::max_notification_delay`] stays below it.
 pub const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
 /// The part of [`NOTIFICATION_DEADLINE`] that the schedule leaves for scheduling delays on a busy machine.
 pub const SCHEDULING_MARGIN: Duration = Duration::from_millis(500);
@@ -35,13 +36,15 @@
 /// Further doublings would overflow or exceed [`MAX_RESPONSE_TIMEOUT`].
 const MAX_RESPONSE_TIMEOUT_DOUBLINGS: u32 = 8;
 
-/// Upper bound of the random backoff after the first failure. It doubles with each further failure.
+/// Upper bound of the random backoff after the first failure. It doubles with each further failure. This has an effect
+/// only for rejections where all proxies poll one service, since [`PollSchedule::max_backoff`] is at most this.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(400);
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 /// Further doublings would exceed every maximum.
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
-/// The maximum backoff is the drain grace divided by this, since a proxy counts as notified as soon as its local agent
-/// has a change. The cost is that a local agent that keeps rejecting polls is polled some ten times a second.
+/// The maximum backoff is at most the drain grace divided by this: where lists are pushed, a proxy counts as notified
+/// as soon as its local agent has a change. The cost is that a local agent that keeps rejecting polls is polled some
+/// ten times a second.
 const BACKOFFS_PER_DRAIN_GRACE: u32 = 4;
 /// Lower bound of the maximum backoff; without it a failing agent would be polled in a tight loop.
 const MIN_MAX_BACKOFF: Duration = Duration::from_millis(10);
@@ -67,6 +70,8 @@
     /// Derives the schedule from the settings.
     ///
     /// - `discovery_deadline`: how long discovery waits for a poll of a proxy before it considers the proxy notified.
+    ///   The wait of a long poll derives from it and has an upper bound, so that [`NOTIFICATION_DEADLINE`] is met even
+    ///   if this setting is longer.
     /// - `drain_grace`: how long a draining endpoint may still be sent sessions; 0 if unknown.
     /// - `polled_discovery`: whether all proxies poll one shared service. If not, lists are pushed to an agent on each
     ///   proxy's machine, and an agent that becomes available again has to be noticed within the drain grace.
--- a/crates/larklink-proxy/src/events.rs
+++ b/crates/larklink-proxy/src/events.rs
@@ -67,7 +67,8 @@
         /// Whether the session ends with it.
         session_over: bool,
     },
-    /// The session ended for a reason that says nothing about an endpoint, for example because its client disconnected.
+    /// The session ended for a reason that says nothing about an endpoint: its client disconnected, no descriptor was
+    /// free, or the process is shutting down, for example.
     ClientLeft {
         /// The session.
         session: SessionId,
--- a/crates/larklink-proxy/src/handover/messages.rs
+++ b/crates/larklink-proxy/src/handover/messages.rs
@@ -28,17 +28,17 @@
     /// The takeover is granted: from now on only the successor accepts connections.
     #[serde(rename = "yours")]
     Granted {
-        /// How many file descriptors the predecessor still has open.
+        /// How many file descriptors the predecessor has in use or reserved.
         #[serde(rename = "held")]
         descriptors_in_use: usize,
     },
     /// The takeover is denied: another process has already taken over.
     #[serde(rename = "taken")]
     AlreadyTaken,
-    /// The number of file descriptors that the predecessor has open has changed.
+    /// The number of file descriptors that the predecessor has in use or reserved has changed.
     #[serde(rename = "held")]
     DescriptorsInUse {
-        /// How many it has open now.
+        /// How many it has in use or reserved now.
         #[serde(rename = "held")]
         descriptors_in_use: usize,
     },
@@ -62,7 +62,7 @@
     pub to_server: Vec<u8>,
     /// Bytes read from the endpoint and not yet forwarded.
     pub to_client: Vec<u8>,
-    /// Messages sent to the endpoint that are not answered yet.
+    /// How many unanswered messages the predecessor has recorded. It records a limited number, so there may be more.
     #[serde(rename = "unanswered")]
     pub unanswered_messages: usize,
     /// The session's load as the endpoint last reported it.
--- a/crates/larklink-proxy/src/handover/successor.rs
+++ b/crates/larklink-proxy/src/handover/successor.rs
@@ -127,7 +127,7 @@
     }
 
     async fn serve(&self, stream: Async<UnixStream>) {
-        // The new process has its fixed descriptors open from its start.
+        // The new process has its reserved descriptors open from its start.
         let limiter = &self.context.limiter;
         limiter.set_other_process_use(limiter.reserved());
         let (reader, writer) = message_channel(stream);
@@ -165,7 +165,7 @@
     granted: bool,
     /// Whether the new process was notified that this one stops.
     shutdown_announced: bool,
-    /// The number of open descriptors last reported to the new process.
+    /// The number of descriptors last reported to the new process as in use or reserved.
     reported_descriptors: usize,
 }
 
@@ -174,7 +174,7 @@
         Self { server, reader, writer, granted: false, shutdown_announced: false, reported_descriptors: 0 }
     }
 
-    /// Serves the new process until it exits or its takeover is denied.
+    /// Serves the new process until it exits, its takeover is denied, or it sends an unexpected message.
     async fn run(mut self) -> Result<()> {
         self.send_offer().await?;
         loop {
--- a/crates/larklink-proxy/src/lib.rs
+++ b/crates/larklink-proxy/src/lib.rs
@@ -1,6 +1,6 @@
 //! A proxy for long-lived TCP connections, built on the larklink decision engine. One thread runs all tasks except the
 //! admin endpoint and the log writer. One task owns the engine ([`decision_task`]); all others send it events through a
-//! queue and receive commands back ([`events`]).
+//! queue, and session tasks receive commands back ([`events`]).
 //!
 //! - [`proxy`] starts the tasks and shuts them down; `accept` accepts connections.
 //! - `session` runs a client's session: first line, attempts, relay, migration.
--- a/crates/larklink-proxy/src/limiter/budget.rs
+++ b/crates/larklink-proxy/src/limiter/budget.rs
@@ -1,15 +1,14 @@
 //! The division of a process's file descriptors among their uses. Only counts; no descriptors are opened or closed.
 
-/// The reservations for the process and for health checks together are at most the limit divided by this, so that one
-/// third of the limit remains for client connections and one for their connections to endpoints. With a long endpoint
-/// list and a low limit, health checks have to share the reservation.
+/// Health checks get a reservation only as far as it and that of the process together stay within the limit divided by
+/// this, so that one third of the limit remains for client connections and one for their connections to endpoints. With
+/// a long endpoint list and a low limit, health checks have to share the reservation.
 const MAX_RESERVATIONS_DIVISOR: isize = 3;
 /// If the limit is less than twice the reservation for the process, that reservation is reduced, but not below the
 /// limit divided by this.
 const MIN_RESERVED_DIVISOR: usize = 4;
 
-/// Numbers of descriptors by use. They are signed, since a growing reservation may exceed the number of free
-/// descriptors.
+/// Numbers of descriptors by use. They are signed, since the number of [free](Self::free) ones may be negative.
 pub(super) struct DescriptorBudget {
     /// Reserved for the process itself.
     reserved: isize,
@@ -93,8 +92,8 @@
         self.health_check_use -= 1;
     }
 
-    /// Returns the number of descriptors that are free for clients. It is negative while evicted connections have not
-    /// closed yet, or if the reservation for health checks has grown beyond what sessions leave.
+    /// Returns the number of descriptors that are free for clients. It may be negative: while evicted connections have
+    /// not closed yet, after sessions were adopted, or if a reservation or the other process's use has grown.
     pub(super) fn free(&self) -> isize {
         let health_checks = self.reserved_for_health_checks.max(self.health_check_use);
         self.shared - self.other_process_use - health_checks - self.client_use
--- a/crates/larklink-proxy/src/limiter/mod.rs
+++ b/crates/larklink-proxy/src/limiter/mod.rs
@@ -1,5 +1,5 @@
-//! Limits the file descriptors of the process. Some are reserved for the process itself, some for health checks, in
-//! proportion to the endpoint list; the rest is for client connections and their connections to endpoints. A client
+//! Limits the file descriptors of the process. Some are reserved for the process itself, some for health checks, one
+//! per endpoint up to a maximum; the rest is for client connections and their connections to endpoints. A client
 //! connection uses one descriptor, and a second one from its first attempt on. When none is free, an idle connection,
 //! that is, one without a session, is evicted.
 mod budget;
@@ -73,7 +73,8 @@
         Some(permit)
     }
 
-    /// Whether no descriptor is free, so that the next connection needs an eviction or gets no permit.
+    /// Whether no descriptor is free now: the next connection needs an eviction, waits for one that is in progress, or
+    /// gets no permit.
     pub fn is_full(&self) -> bool {
         self.budget.borrow().free() <= 0
     }
@@ -98,8 +99,8 @@
         self.new_permit(SESSION_DESCRIPTORS)
     }
 
-    /// Waits until evicted connections have closed whose descriptors have been granted again. Opening a descriptor
-    /// before that would exceed the limit.
+    /// Waits until those evicted connections have closed whose descriptors were already granted to others. Opening a
+    /// descriptor before that would exceed the limit.
     pub async fn evictions_done(&self) {
         poll_fn(|cx| {
             if self.budget.borrow().awaits_evictions() {
--- a/crates/larklink-proxy/src/metrics/rejection_streak.rs
+++ b/crates/larklink-proxy/src/metrics/rejection_streak.rs
@@ -3,8 +3,8 @@
 
 use crate::log::EndReason;
 
-/// A process counts as rejecting all sessions once it has rejected every session for this long without an attempt.
-/// Rejections further apart than this belong to different streaks.
+/// Two limits: a process counts as rejecting all sessions once it has rejected every session for this long without an
+/// attempt, and until then, rejections further apart than this belong to different streaks.
 const MIN_STREAK_DURATION: Duration = Duration::from_secs(4);
 /// Fewer rejections may be a coincidence.
 const MIN_STREAK_SESSIONS: usize = 10;
--- a/crates/larklink-proxy/src/proxy.rs
+++ b/crates/larklink-proxy/src/proxy.rs
@@ -38,7 +38,7 @@
 const RESERVED_DESCRIPTORS: usize = 32;
 /// How long new connections are still accepted after shutdown is requested.
 const ACCEPT_GRACE: Duration = Duration::from_millis(600);
-/// Upper bound on the time for answering the last accepted connections. It is otherwise the longest dial timeout.
+/// The most time for answering the last accepted connections; the longest dial timeout applies if it is shorter.
 const MAX_ANSWER_GRACE: Duration = Duration::from_secs(3);
 /// How long a starting process waits for the first endpoint list before it becomes ready without one.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(2);
@@ -106,6 +106,7 @@
     let handover_server = handover.as_ref().map(|handover| Rc::clone(&handover.server));
 
     let acceptor = Acceptor::new(listener, &context, &executor);
+    // Only `stop` resolves; the others run until then.
     let accept = async { match acceptor.run(accepts_at_start, &accepting_changes).await {} };
     let resume = async { match resume_sessions(&context, &handed_over_sessions, &executor).await {} };
     let ready = async { match become_ready(handover, first_list, &metrics, &executor).await {} };
@@ -281,7 +282,7 @@
 
 /// Starts the shutdown, and waits while new connections may still arrive.
 async fn drain_listener(context: &SessionContext) {
-    // Starts the grace period.
+    // Called for its effect: the first call starts the grace period.
     context.shutdown.deadline();
     // A successor already accepts all new connections.
     if !context.successor.is_present() {
@@ -289,11 +290,11 @@
     }
 }
 
-/// Waits until all sessions have ended or the deadline has passed. In passthrough mode, sessions are relayed until
-/// then: the load balancer in front of the proxy needs that time to route their packets elsewhere.
+/// Waits until all connections have ended or the deadline has passed. In pass-through mode clients are not migrated:
+/// sessions are relayed until the deadline, while the load balancer in front moves their connections to other proxies.
 async fn drain_sessions(context: &Rc<SessionContext>) {
     let deadline = context.shutdown.deadline();
-    // Each session task holds a reference to the context.
+    // Each connection's task holds a reference to the context.
     while Rc::strong_count(context) > 1 && Instant::now() < deadline {
         Timer::after(SESSIONS_POLL_INTERVAL).await;
     }
--- a/crates/larklink-proxy/src/session/connect.rs
+++ b/crates/larklink-proxy/src/session/connect.rs
@@ -80,7 +80,7 @@
     client: &'a mut Client,
     request: &'a Request<'a>,
     commands: Receiver<SessionCommand>,
-    /// Whether an attempt may have run the session at its endpoint.
+    /// Whether an endpoint may have run the session, so that another attempt could run it twice.
     may_have_run: bool,
     /// Whether any attempt has begun to connect.
     has_connected: Cell<bool>,
@@ -106,7 +106,8 @@
                 }
                 Ok(SessionCommand::Reject { retry_after }) => return self.reject(retry_after).await,
                 Ok(SessionCommand::Fail) => return self.fail().await,
-                // Refers to an attempt that has ended in the meantime.
+                // A send deadline of an attempt that has ended in the meantime. `Migrate` is sent to established
+                // sessions only.
                 Ok(SessionCommand::LimitSendDeadline { .. } | SessionCommand::Migrate) => {}
                 Err(reason) => return self.abandon(reason).await,
             }
@@ -115,6 +116,8 @@
 
     /// Receives the next command; the error is the reason for which the session ends before that.
     async fn next_command(&mut self) -> Result<SessionCommand, EndReason> {
+        // A pending session's channel is closed only after the command that answers the session, or when the decision
+        // task ends with the process. Nobody is answered in the latter case, as after a disconnect.
         let command = async { self.commands.recv().await.map_err(|_| EndReason::ClientClosed) };
         let Connection { stream, buffer } = &mut self.client.connection;
         let client_left = watch_client(stream, buffer, self.request.open_line.established);
--- a/crates/larklink-proxy/src/session/relay/silence.rs
+++ b/crates/larklink-proxy/src/session/relay/silence.rs
@@ -18,12 +18,14 @@
 /// reported as unresponsive before that. Time in which the client blocked writes, so that the endpoint was not read,
 /// does not count.
 pub(super) async fn detected(state: &RelayState<'_>) -> SessionEnd {
+    // An unanswered message makes the endpoint suspect after a connect timeout.
     let report_after = state.context.connect_timeout;
     while let Some(sent_at) = state.messages.oldest() {
         if let Some(progress_at) = state.client.progress_at() {
             if progress_at.elapsed() >= SILENCE_TIMEOUT {
                 return SessionEnd::without_outcome(EndReason::ClientWriteTimeout);
             }
+            // Checks again soon, since the write may complete before then.
             Timer::at((progress_at + SILENCE_TIMEOUT).min(Instant::now() + report_after)).await;
             continue;
         }
--- a/crates/larklink-proxy/src/session/relay/state.rs
+++ b/crates/larklink-proxy/src/session/relay/state.rs
@@ -23,7 +23,7 @@
     pub(in crate::session) endpoint: EndpointId,
     /// The session's first line, with the CRLF.
     pub(in crate::session) open_line: &'a [u8],
-    /// How many messages the endpoint has not answered yet.
+    /// How many unanswered messages the session starts with; at most [`MAX_TIMED_MESSAGES`] of them are recorded.
     pub(in crate::session) unanswered_messages: usize,
     /// The load that the endpoint last reported for the session.
     pub(in crate::session) load: Option<f64>,
@@ -60,7 +60,7 @@
     }
 }
 
-/// The messages that were sent to the endpoint and are not answered yet.
+/// The send times of unanswered messages, at most [`MAX_TIMED_MESSAGES`]; further ones are not recorded.
 pub(super) struct UnansweredMessages {
     /// When each was sent, oldest first.
     sent_at: RefCell<VecDeque<Instant>>,
@@ -80,17 +80,17 @@
         sent_at.extend(std::iter::repeat_n(Instant::now(), count.min(free)));
     }
 
-    /// Removes the oldest message, which was answered. Returns when it was sent.
+    /// Removes the oldest recorded message, which was answered. Returns when it was sent.
     pub(super) fn take_oldest(&self) -> Option<Instant> {
         self.sent_at.borrow_mut().pop_front()
     }
 
-    /// When the oldest message was sent.
+    /// When the oldest recorded message was sent.
     pub(super) fn oldest(&self) -> Option<Instant> {
         self.sent_at.borrow().front().copied()
     }
 
-    /// The number of unanswered messages.
+    /// The number of recorded messages.
     pub(super) fn count(&self) -> usize {
         self.sent_at.borrow().len()
     }
@@ -105,7 +105,7 @@
     pub(super) client: ClientWriter<'a>,
     pub(super) to_server: &'a Async<TcpStream>,
     pub(super) messages: UnansweredMessages,
-    /// When the endpoint was last reported as unresponsive: the send time of the oldest unanswered message.
+    /// The send time of the message for which the endpoint was last reported as unresponsive; `None` if it never was.
     pub(super) reported_unresponsive: Cell<Option<Instant>>,
     /// The load that the endpoint last reported for the session.
     pub(super) load: Cell<Option<f64>>,
