--- a/crates/larklink-proxy/src/discovery/client.rs
+++ b/crates/larklink-proxy/src/discovery/client.rs
@@ -76,9 +76,9 @@
         match self.poll(&progress).await {
             PollOutcome::ReusedConnectionClosed => self.state.record_closed_connection(polled_at),
             PollOutcome::OutdatedList(list) => self.ignore_outdated(&list, polled_at).await,
-            PollOutcome::List(list) => self.accept(list, polled_at).await,
+            PollOutcome::List(list) => self.apply_list(list, polled_at).await,
             PollOutcome::UnknownChanges(list) => self.reject_changes(&list).await,
-            PollOutcome::Failed(error) => self.fail(&error, progress.connected.get()).await,
+            PollOutcome::Failed(error) => self.handle_failure(&error, progress.connected.get()).await,
         }
     }
 
@@ -114,8 +114,8 @@
         }
     }
 
-    async fn accept(&mut self, list: EndpointList, polled_at: Instant) {
-        self.log_response();
+    async fn apply_list(&mut self, list: EndpointList, polled_at: Instant) {
+        self.log_if_available_again();
         let is_new = self.state.record_list(&list);
         let scope = if list.snapshot { ListScope::Complete } else { ListScope::Changes };
         if list.snapshot || !list.endpoints.is_empty() {
@@ -128,7 +128,7 @@
     }
 
     async fn reject_changes(&mut self, list: &EndpointList) {
-        self.log_response();
+        self.log_if_available_again();
         tracing::warn!(
             address = %self.address,
             index = list.index,
@@ -138,7 +138,7 @@
         self.back_off(rule).await;
     }
 
-    async fn fail(&mut self, error: &PollError, connected: bool) {
+    async fn handle_failure(&mut self, error: &PollError, connected: bool) {
         // Logged once per outage, since polls may fail several times a second.
         if self.state.record_unavailable() {
             tracing::warn!(address = %self.address, %error, "discovery unavailable");
@@ -148,7 +148,7 @@
         self.back_off(rule).await;
     }
 
-    fn log_response(&mut self) {
+    fn log_if_available_again(&mut self) {
         if self.state.record_response() {
             tracing::info!(address = %self.address, "discovery available again");
         }
--- a/crates/larklink-proxy/src/discovery/schedule.rs
+++ b/crates/larklink-proxy/src/discovery/schedule.rs
@@ -47,7 +47,7 @@
 /// ten times a second.
 const BACKOFFS_PER_DRAIN_GRACE: u32 = 4;
 /// Lower bound of the maximum backoff; without it a failing agent would be polled in a tight loop.
-const MIN_MAX_BACKOFF: Duration = Duration::from_millis(10);
+const MAX_BACKOFF_FLOOR: Duration = Duration::from_millis(10);
 
 /// Minimum time between the starts of two polls while polls succeed without a new list.
 pub(crate) const MIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
@@ -84,7 +84,7 @@
         };
         let max_backoff = (drain_grace / BACKOFFS_PER_DRAIN_GRACE)
             .min(long_poll_wait / 2)
-            .clamp(MIN_MAX_BACKOFF, INITIAL_BACKOFF);
+            .clamp(MAX_BACKOFF_FLOOR, INITIAL_BACKOFF);
         let response_timeout = if polled_discovery {
             DEFAULT_RESPONSE_TIMEOUT
         } else {
@@ -133,18 +133,19 @@
         let idle_waits = if failures_before == 0 { MIN_POLL_INTERVAL * 2 } else { Duration::ZERO };
         let failures = failures_before + failures_after;
         let failed_polls: Duration = (failures_before..failures)
-            .map(|earlier| {
-                self.total_timeout(earlier, earlier) + self.longest_backoff(failures_before, earlier)
+            .map(|previous_failures| {
+                self.total_timeout(previous_failures, previous_failures)
+                    + self.longest_backoff(failures_before, previous_failures)
             })
             .sum();
         idle_waits + failed_polls + self.response_timeout_after(failures)
     }
 
-    /// Returns the longest backoff after a poll that fails after `earlier` other consecutive failures, of which
+    /// Returns the longest backoff after a poll that fails after `previous_failures` consecutive failures, of which
     /// `failures_before` were before the change. Without failures before the change, the first failure is a long poll
     /// that hangs, which is not a rejection; all others may be rejections.
-    fn longest_backoff(&self, failures_before: u32, earlier: u32) -> Duration {
-        let rejections = if failures_before == 0 { earlier } else { earlier + 1 };
+    fn longest_backoff(&self, failures_before: u32, previous_failures: u32) -> Duration {
+        let rejections = if failures_before == 0 { previous_failures } else { previous_failures + 1 };
         if rejections == 0 {
             return self.max_backoff;
         }
--- a/crates/larklink-proxy/src/handover/mod.rs
+++ b/crates/larklink-proxy/src/handover/mod.rs
@@ -46,8 +46,8 @@
     pub(crate) limiter: Rc<ConnectionLimiter>,
     /// The event queue of the decision task.
     pub(crate) queue: DecisionQueue,
-    /// Receives each change of whether this process accepts connections.
-    pub(crate) accepting: Sender<bool>,
+    /// Sends each change of whether this process accepts connections.
+    pub(crate) accepting_sender: Sender<bool>,
 }
 
 impl HandoverContext {
@@ -59,6 +59,6 @@
 
     async fn set_accepting(&self, accepting: bool) {
         // Sending fails only if the proxy is about to exit.
-        let _ = self.accepting.send(accepting).await;
+        let _ = self.accepting_sender.send(accepting).await;
     }
 }
--- a/crates/larklink-proxy/src/handover/successor.rs
+++ b/crates/larklink-proxy/src/handover/successor.rs
@@ -65,7 +65,7 @@
     /// Signals that the successor exited before this process was asked to stop.
     successor_lost: Sender<()>,
     /// The receiver of `successor_lost`.
-    successor_losses: Receiver<()>,
+    successor_lost_receiver: Receiver<()>,
 }
 
 impl HandoverServer {
@@ -76,9 +76,9 @@
         successor: Rc<Successor>,
         shutdown: Receiver<()>,
     ) -> Self {
-        let (successor_lost, successor_losses) = async_channel::bounded(1);
+        let (successor_lost, successor_lost_receiver) = async_channel::bounded(1);
         let listener = RefCell::new(listener);
-        Self { context, shutdown, listener, successor, successor_lost, successor_losses }
+        Self { context, shutdown, listener, successor, successor_lost, successor_lost_receiver }
     }
 
     /// Opens the handover socket, to which new processes connect.
@@ -112,7 +112,7 @@
         loop {
             let accepted = async { socket.accept().await.map(|(stream, _)| Some(stream)) };
             let successor_lost = async {
-                let _ = self.successor_losses.recv().await;
+                let _ = self.successor_lost_receiver.recv().await;
                 Ok(None)
             };
             let Some(stream) = accepted.or(successor_lost).await? else {
--- a/crates/larklink-proxy/src/proxy.rs
+++ b/crates/larklink-proxy/src/proxy.rs
@@ -88,16 +88,17 @@
     let endpoints = initial_endpoints(cached_endpoints, predecessor.as_ref());
     let first_list = spawn_decisions(&config, endpoints, &queue, events, &limiter, &metrics, &executor);
     spawn_discovery(&config, options.discovery_addresses, &queue, &executor);
-    let (accepting_open, accepting_closed) = async_channel::bounded(1);
+    // Dropping the guard closes the channel.
+    let (accept_guard, accepting_stopped) = async_channel::bounded(1);
     let session_shutdown = Shutdown::new(shutdown.clone(), shutdown_grace(&config));
     let context =
-        new_session_context(&config, &queue, &limiter, &metrics, session_shutdown, accepting_closed);
+        new_session_context(&config, &queue, &limiter, &metrics, session_shutdown, accepting_stopped);
     // With a predecessor, this process accepts connections only once the predecessor has stopped accepting them.
     let accepts_at_start = predecessor.is_none();
-    let (accepting, accepting_changes) = async_channel::bounded(1);
+    let (accepting_sender, accepting_changes) = async_channel::bounded(1);
     let (handed_over, handed_over_sessions) = async_channel::bounded(1);
     let handover = socket_path.map(|socket_path| {
-        let handover_context = Rc::new(HandoverContext { socket_path, limiter, queue, accepting });
+        let handover_context = Rc::new(HandoverContext { socket_path, limiter, queue, accepting_sender });
         let successor = Rc::clone(&context.successor);
         let server =
             HandoverServer::new(Rc::clone(&handover_context), shared_listener, successor, shutdown.clone());
@@ -123,7 +124,7 @@
     acceptor.accept_queued().await;
     tracing::info!("shutting down, no more connections accepted");
     drop(acceptor);
-    drop(accepting_open);
+    drop(accept_guard);
     if let Some(server) = handover_server {
         server.close_listener();
     }
@@ -205,7 +206,7 @@
     limiter: &Rc<ConnectionLimiter>,
     metrics: &Arc<Metrics>,
     shutdown: Shutdown,
-    accepting_closed: Receiver<Infallible>,
+    accepting_stopped: Receiver<Infallible>,
 ) -> Rc<SessionContext> {
     Rc::new(SessionContext {
         queue: queue.clone(),
@@ -215,7 +216,7 @@
         passthrough: config.settings.passthrough,
         rng: new_rng(config.seed, SESSION_RNG_STREAM).into(),
         shutdown,
-        accepting_closed,
+        accepting_stopped,
         limiter: Rc::clone(limiter),
         sessions: SessionRegistry::default(),
         successor: Rc::default(),
--- a/crates/larklink-proxy/src/session/connect.rs
+++ b/crates/larklink-proxy/src/session/connect.rs
@@ -50,7 +50,7 @@
         request,
         commands,
         may_have_run: false,
-        has_connected: Cell::new(false),
+        has_started_attempt: Cell::new(false),
     };
     pending.run().await
 }
@@ -83,7 +83,7 @@
     /// Whether an endpoint may have run the session, so that another attempt could run it twice.
     may_have_run: bool,
     /// Whether any attempt has begun to connect.
-    has_connected: Cell<bool>,
+    has_started_attempt: Cell<bool>,
 }
 
 impl PendingSession<'_> {
@@ -139,7 +139,7 @@
         let is_client_waiting = || is_waiting(stream.get_ref(), open_line.established);
         let may_connect = || {
             let connects = is_client_waiting();
-            self.has_connected.set(self.has_connected.get() || connects);
+            self.has_started_attempt.set(self.has_started_attempt.get() || connects);
             connects
         };
         let may_send = || is_client_waiting() && permit.try_use();
@@ -159,7 +159,7 @@
                 Err(outcome) => AttemptEnd::NotAccepted(outcome),
             }
         };
-        let expired = async { AttemptEnd::NotAccepted(permit.expired(&self.commands).await) };
+        let permit_expired = async { AttemptEnd::NotAccepted(permit.expired(&self.commands).await) };
         let client_left = async {
             let Err(reason) = watch_client::<Infallible>(stream, buffer, open_line.established).await;
             AttemptEnd::SessionOver(reason)
@@ -168,11 +168,11 @@
             let Err(reason) = context.shutdown.answer_deadline_passed::<Infallible>().await;
             AttemptEnd::SessionOver(reason)
         };
-        // The futures are polled in this order, and the first one that is ready wins. `expired` reads the commands
-        // that bring the send deadline forward, and `client_left` detects that the client has disconnected: both are
-        // polled before `send`, which may send the first byte. `send` precedes the shutdown's answer deadline, so that
-        // an acceptance that arrives by the deadline counts.
-        let end = expired.or(client_left).or(send).or(answer_deadline_passed).await;
+        // The futures are polled in this order, and the first one that is ready wins. `permit_expired` reads the
+        // commands that bring the send deadline forward, and `client_left` detects that the client has disconnected:
+        // both are polled before `send`, which may send the first byte. `send` precedes the shutdown's answer deadline,
+        // so that an acceptance that arrives by the deadline counts.
+        let end = permit_expired.or(client_left).or(send).or(answer_deadline_passed).await;
         let never_ran = matches!(&end, AttemptEnd::NotAccepted(outcome) if outcome.never_ran());
         self.may_have_run |= permit.is_used() && !never_ran;
         match end {
@@ -239,7 +239,7 @@
     fn record_rejection(&self, reason: EndReason) {
         let metrics = &self.context.metrics;
         metrics.record_answer(self.request.listener, FinalAnswer::Rejected);
-        if !self.has_connected.get() {
+        if !self.has_started_attempt.get() {
             metrics.record_rejection_without_attempt(reason, Instant::now());
         }
     }
--- a/crates/larklink-proxy/src/session/context.rs
+++ b/crates/larklink-proxy/src/session/context.rs
@@ -33,7 +33,7 @@
     /// Whether the proxy was asked to stop, and its deadlines.
     pub(crate) shutdown: Shutdown,
     /// Closed when the proxy accepts no more connections.
-    pub(crate) accepting_closed: Receiver<Infallible>,
+    pub(crate) accepting_stopped: Receiver<Infallible>,
     /// Counts the file descriptors in use.
     pub(crate) limiter: Rc<ConnectionLimiter>,
     /// The open sessions.
--- a/crates/larklink-proxy/src/session/handler.rs
+++ b/crates/larklink-proxy/src/session/handler.rs
@@ -139,12 +139,12 @@
 /// Receives the first line of a session.
 async fn receive_open_line(context: &SessionContext, client: &mut Client) -> Result<Vec<u8>, EndReason> {
     let evicted = until_evicted(&client.permit);
-    let accepting_closed = async {
-        let _ = context.accepting_closed.recv().await;
+    let accepting_stopped = async {
+        let _ = context.accepting_stopped.recv().await;
         Timer::after(ANSWER_MARGIN).await;
         Err(EndReason::Shutdown)
     };
-    let received = read_open_line(client).or(evicted).or(accepting_closed).await;
+    let received = read_open_line(client).or(evicted).or(accepting_stopped).await;
     if has_late_line(&received, &mut client.connection) && client.permit.cancel_eviction() {
         let evicted = until_evicted(&client.permit);
         let answer_deadline_passed = context.shutdown.answer_deadline_passed();
--- a/crates/larklink-proxy/src/session/relay/mod.rs
+++ b/crates/larklink-proxy/src/session/relay/mod.rs
@@ -45,7 +45,7 @@
             endpoint: established.endpoint,
             to_server: client.connection.buffer.bytes().to_vec(),
             to_client: server.buffer.bytes()[state.client.written()..].to_vec(),
-            unanswered_messages: state.messages.count(),
+            unanswered_messages: state.messages.timed_count(),
             load: state.load.get(),
         };
         let (client_stream, server_stream) = (state.client.stream.get_ref(), state.to_server.get_ref());
--- a/crates/larklink-proxy/src/session/relay/silence.rs
+++ b/crates/larklink-proxy/src/session/relay/silence.rs
@@ -20,7 +20,7 @@
 pub(super) async fn detected(state: &RelayState<'_>) -> SessionEnd {
     // An unanswered message makes the endpoint suspect after a connect timeout.
     let report_after = state.context.connect_timeout;
-    while let Some(sent_at) = state.messages.oldest() {
+    while let Some(sent_at) = state.messages.oldest_sent_at() {
         if let Some(progress_at) = state.client.progress_at() {
             if progress_at.elapsed() >= SILENCE_TIMEOUT {
                 return SessionEnd::without_outcome(EndReason::ClientWriteTimeout);
@@ -32,8 +32,8 @@
         let silent_since = state.client.blocked_until().map_or(sent_at, |until| until.max(sent_at));
         if silent_since.elapsed() < report_after {
             Timer::at(silent_since + report_after).await;
-        } else if state.reported_unresponsive.get() != Some(sent_at) {
-            state.reported_unresponsive.set(Some(sent_at));
+        } else if state.reported_message_sent_at.get() != Some(sent_at) {
+            state.reported_message_sent_at.set(Some(sent_at));
             report_unresponsive(state).await;
         } else if silent_since.elapsed() < SILENCE_TIMEOUT {
             Timer::at(silent_since + SILENCE_TIMEOUT).await;
--- a/crates/larklink-proxy/src/session/relay/state.rs
+++ b/crates/larklink-proxy/src/session/relay/state.rs
@@ -86,12 +86,12 @@
     }
 
     /// When the oldest recorded message was sent.
-    pub(super) fn oldest(&self) -> Option<Instant> {
+    pub(super) fn oldest_sent_at(&self) -> Option<Instant> {
         self.sent_at.borrow().front().copied()
     }
 
     /// The number of recorded messages.
-    pub(super) fn count(&self) -> usize {
+    pub(super) fn timed_count(&self) -> usize {
         self.sent_at.borrow().len()
     }
 }
@@ -106,7 +106,7 @@
     pub(super) to_server: &'a Async<TcpStream>,
     pub(super) messages: UnansweredMessages,
     /// The send time of the message for which the endpoint was last reported as unresponsive; `None` if it never was.
-    pub(super) reported_unresponsive: Cell<Option<Instant>>,
+    pub(super) reported_message_sent_at: Cell<Option<Instant>>,
     /// The load that the endpoint last reported for the session.
     pub(super) load: Cell<Option<f64>>,
     /// Whether the endpoint's final line was received: it was forwarded to the client or is about to be.
@@ -132,7 +132,7 @@
             client: ClientWriter::new(to_client),
             to_server,
             messages: UnansweredMessages::new(established.unanswered_messages),
-            reported_unresponsive: Cell::default(),
+            reported_message_sent_at: Cell::default(),
             load: Cell::new(established.load),
             has_final_line: Cell::default(),
             is_ending: Cell::default(),
