--- a/crates/larklink-proxy/src/discovery/schedule.rs
+++ b/crates/larklink-proxy/src/discovery/schedule.rs
@@ -12,7 +12,8 @@
 use crate::clock::to_duration;
 
 /// Discovery considers a proxy notified of a change this long after the change is available and discovery is reachable,
-/// regardless of earlier failures. [`PollSchedule::max_notification_delay`] stays below it.
+/// regardless of earlier failures and of the discovery deadline in the settings.
+/// [`PollSchedule::max_notification_delay`] stays below it.
 pub const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
 /// The part of [`NOTIFICATION_DEADLINE`] that the schedule leaves for scheduling delays on a busy machine.
 pub const SCHEDULING_MARGIN: Duration = Duration::from_millis(500);
@@ -35,16 +36,18 @@
 /// Further doublings would overflow or exceed [`MAX_RESPONSE_TIMEOUT`].
 const MAX_RESPONSE_TIMEOUT_DOUBLINGS: u32 = 8;
 
-/// Upper bound of the random backoff after the first failure. It doubles with each further failure.
+/// Upper bound of the random backoff after the first failure. It doubles with each further failure. This has an effect
+/// only for rejections where all proxies poll one service, since [`PollSchedule::max_backoff`] is at most this.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(400);
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 /// Further doublings would exceed every maximum.
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
-/// The maximum backoff is the drain grace divided by this, since a proxy counts as notified as soon as its local agent
-/// has a change. The cost is that a local agent that keeps rejecting polls is polled some ten times a second.
+/// The maximum backoff is at most the drain grace divided by this: where lists are pushed, a proxy counts as notified
+/// as soon as its local agent has a change. The cost is that a local agent that keeps rejecting polls is polled some
+/// ten times a second.
 const BACKOFFS_PER_DRAIN_GRACE: u32 = 4;
 /// Lower bound of the maximum backoff; without it a failing agent would be polled in a tight loop.
-const MIN_MAX_BACKOFF: Duration = Duration::from_millis(10);
+const MAX_BACKOFF_FLOOR: Duration = Duration::from_millis(10);
 
 /// Minimum time between the starts of two polls while polls succeed without a new list.
 pub(crate) const MIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
@@ -67,6 +70,8 @@
     /// Derives the schedule from the settings.
     ///
     /// - `discovery_deadline`: how long discovery waits for a poll of a proxy before it considers the proxy notified.
+    ///   The wait of a long poll derives from it and has an upper bound, so that [`NOTIFICATION_DEADLINE`] is met even
+    ///   if this setting is longer.
     /// - `drain_grace`: how long a draining endpoint may still be sent sessions; 0 if unknown.
     /// - `polled_discovery`: whether all proxies poll one shared service. If not, lists are pushed to an agent on each
     ///   proxy's machine, and an agent that becomes available again has to be noticed within the drain grace.
@@ -79,7 +84,7 @@
         };
         let max_backoff = (drain_grace / BACKOFFS_PER_DRAIN_GRACE)
             .min(long_poll_wait / 2)
-            .clamp(MIN_MAX_BACKOFF, INITIAL_BACKOFF);
+            .clamp(MAX_BACKOFF_FLOOR, INITIAL_BACKOFF);
         let response_timeout = if polled_discovery {
             DEFAULT_RESPONSE_TIMEOUT
         } else {
@@ -128,18 +133,19 @@
         let idle_waits = if failures_before == 0 { MIN_POLL_INTERVAL * 2 } else { Duration::ZERO };
         let failures = failures_before + failures_after;
         let failed_polls: Duration = (failures_before..failures)
-            .map(|earlier| {
-                self.total_timeout(earlier, earlier) + self.longest_backoff(failures_before, earlier)
+            .map(|previous_failures| {
+                self.total_timeout(previous_failures, previous_failures)
+                    + self.longest_backoff(failures_before, previous_failures)
             })
             .sum();
         idle_waits + failed_polls + self.response_timeout_after(failures)
     }
 
-    /// Returns the longest backoff after a poll that fails after `earlier` other consecutive failures, of which
+    /// Returns the longest backoff after a poll that fails after `previous_failures` consecutive failures, of which
     /// `failures_before` were before the change. Without failures before the change, the first failure is a long poll
     /// that hangs, which is not a rejection; all others may be rejections.
-    fn longest_backoff(&self, failures_before: u32, earlier: u32) -> Duration {
-        let rejections = if failures_before == 0 { earlier } else { earlier + 1 };
+    fn longest_backoff(&self, failures_before: u32, previous_failures: u32) -> Duration {
+        let rejections = if failures_before == 0 { previous_failures } else { previous_failures + 1 };
         if rejections == 0 {
             return self.max_backoff;
         }
--- a/crates/larklink-proxy/src/handover/successor.rs
+++ b/crates/larklink-proxy/src/handover/successor.rs
@@ -65,7 +65,7 @@
     /// Signals that the successor exited before this process was asked to stop.
     successor_lost: Sender<()>,
     /// The receiver of `successor_lost`.
-    successor_losses: Receiver<()>,
+    successor_lost_receiver: Receiver<()>,
 }
 
 impl HandoverServer {
@@ -76,9 +76,9 @@
         successor: Rc<Successor>,
         shutdown: Receiver<()>,
     ) -> Self {
-        let (successor_lost, successor_losses) = async_channel::bounded(1);
+        let (successor_lost, successor_lost_receiver) = async_channel::bounded(1);
         let listener = RefCell::new(listener);
-        Self { context, shutdown, listener, successor, successor_lost, successor_losses }
+        Self { context, shutdown, listener, successor, successor_lost, successor_lost_receiver }
     }
 
     /// Opens the handover socket, to which new processes connect.
@@ -112,7 +112,7 @@
         loop {
             let accepted = async { socket.accept().await.map(|(stream, _)| Some(stream)) };
             let successor_lost = async {
-                let _ = self.successor_losses.recv().await;
+                let _ = self.successor_lost_receiver.recv().await;
                 Ok(None)
             };
             let Some(stream) = accepted.or(successor_lost).await? else {
@@ -127,7 +127,7 @@
     }
 
     async fn serve(&self, stream: Async<UnixStream>) {
-        // The new process has its fixed descriptors open from its start.
+        // The new process has its reserved descriptors open from its start.
         let limiter = &self.context.limiter;
         limiter.set_other_process_use(limiter.reserved());
         let (reader, writer) = message_channel(stream);
@@ -165,7 +165,7 @@
     granted: bool,
     /// Whether the new process was notified that this one stops.
     shutdown_announced: bool,
-    /// The number of open descriptors last reported to the new process.
+    /// The number of descriptors last reported to the new process as in use or reserved.
     reported_descriptors: usize,
 }
 
@@ -174,7 +174,7 @@
         Self { server, reader, writer, granted: false, shutdown_announced: false, reported_descriptors: 0 }
     }
 
-    /// Serves the new process until it exits or its takeover is denied.
+    /// Serves the new process until it exits, its takeover is denied, or it sends an unexpected message.
     async fn run(mut self) -> Result<()> {
         self.send_offer().await?;
         loop {
--- a/crates/larklink-proxy/src/proxy.rs
+++ b/crates/larklink-proxy/src/proxy.rs
@@ -38,7 +38,7 @@
 const RESERVED_DESCRIPTORS: usize = 32;
 /// How long new connections are still accepted after shutdown is requested.
 const ACCEPT_GRACE: Duration = Duration::from_millis(600);
-/// Upper bound on the time for answering the last accepted connections. It is otherwise the longest dial timeout.
+/// The most time for answering the last accepted connections; the longest dial timeout applies if it is shorter.
 const MAX_ANSWER_GRACE: Duration = Duration::from_secs(3);
 /// How long a starting process waits for the first endpoint list before it becomes ready without one.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(2);
@@ -88,16 +88,17 @@
     let endpoints = initial_endpoints(cached_endpoints, predecessor.as_ref());
     let first_list = spawn_decisions(&config, endpoints, &queue, events, &limiter, &metrics, &executor);
     spawn_discovery(&config, options.discovery_addresses, &queue, &executor);
-    let (accepting_open, accepting_closed) = async_channel::bounded(1);
+    // Dropping the guard closes the channel.
+    let (accept_guard, accepting_stopped) = async_channel::bounded(1);
     let session_shutdown = Shutdown::new(shutdown.clone(), shutdown_grace(&config));
     let context =
-        new_session_context(&config, &queue, &limiter, &metrics, session_shutdown, accepting_closed);
+        new_session_context(&config, &queue, &limiter, &metrics, session_shutdown, accepting_stopped);
     // With a predecessor, this process accepts connections only once the predecessor has stopped accepting them.
     let accepts_at_start = predecessor.is_none();
-    let (accepting, accepting_changes) = async_channel::bounded(1);
+    let (accepting_sender, accepting_changes) = async_channel::bounded(1);
     let (handed_over, handed_over_sessions) = async_channel::bounded(1);
     let handover = socket_path.map(|socket_path| {
-        let handover_context = Rc::new(HandoverContext { socket_path, limiter, queue, accepting });
+        let handover_context = Rc::new(HandoverContext { socket_path, limiter, queue, accepting_sender });
         let successor = Rc::clone(&context.successor);
         let server =
             HandoverServer::new(Rc::clone(&handover_context), shared_listener, successor, shutdown.clone());
@@ -106,6 +107,7 @@
     let handover_server = handover.as_ref().map(|handover| Rc::clone(&handover.server));
 
     let acceptor = Acceptor::new(listener, &context, &executor);
+    // Only `stop` resolves; the others run until then.
     let accept = async { match acceptor.run(accepts_at_start, &accepting_changes).await {} };
     let resume = async { match resume_sessions(&context, &handed_over_sessions, &executor).await {} };
     let ready = async { match become_ready(handover, first_list, &metrics, &executor).await {} };
@@ -122,7 +124,7 @@
     acceptor.accept_queued().await;
     tracing::info!("shutting down, no more connections accepted");
     drop(acceptor);
-    drop(accepting_open);
+    drop(accept_guard);
     if let Some(server) = handover_server {
         server.close_listener();
     }
@@ -204,7 +206,7 @@
     limiter: &Rc<ConnectionLimiter>,
     metrics: &Arc<Metrics>,
     shutdown: Shutdown,
-    accepting_closed: Receiver<Infallible>,
+    accepting_stopped: Receiver<Infallible>,
 ) -> Rc<SessionContext> {
     Rc::new(SessionContext {
         queue: queue.clone(),
@@ -214,7 +216,7 @@
         passthrough: config.settings.passthrough,
         rng: new_rng(config.seed, SESSION_RNG_STREAM).into(),
         shutdown,
-        accepting_closed,
+        accepting_stopped,
         limiter: Rc::clone(limiter),
         sessions: SessionRegistry::default(),
         successor: Rc::default(),
@@ -281,7 +283,7 @@
 
 /// Starts the shutdown, and waits while new connections may still arrive.
 async fn drain_listener(context: &SessionContext) {
-    // Starts the grace period.
+    // Called for its effect: the first call starts the grace period.
     context.shutdown.deadline();
     // A successor already accepts all new connections.
     if !context.successor.is_present() {
@@ -289,11 +291,11 @@
     }
 }
 
-/// Waits until all sessions have ended or the deadline has passed. In passthrough mode, sessions are relayed until
-/// then: the load balancer in front of the proxy needs that time to route their packets elsewhere.
+/// Waits until all connections have ended or the deadline has passed. In pass-through mode clients are not migrated:
+/// sessions are relayed until the deadline, while the load balancer in front moves their connections to other proxies.
 async fn drain_sessions(context: &Rc<SessionContext>) {
     let deadline = context.shutdown.deadline();
-    // Each session task holds a reference to the context.
+    // Each connection's task holds a reference to the context.
     while Rc::strong_count(context) > 1 && Instant::now() < deadline {
         Timer::after(SESSIONS_POLL_INTERVAL).await;
     }
