--- a/crates/larklink-coordination/src/lease.rs
+++ b/crates/larklink-coordination/src/lease.rs
@@ -46,11 +46,12 @@
 use crate::settings::LeaseSettings;
 use crate::time::{TickDuration, Timestamp};
 
-/// Renewals attempted per TTL, so that two in a row may fail before the lease expires.
-const RENEWALS_PER_TTL: TickDuration = 3;
+/// A renewal is due the TTL divided by this after the last confirmed write of the lease was sent, which leaves time for at
+/// least two retries before the lease expires.
+const RENEWAL_DIVISOR: TickDuration = 3;
 /// The TTL divided by this is the longest delay before an unanswered request is retried. The delay is drawn at random
 /// from the upper half of the range, so that hundreds of candidates do not retry at the same time.
-const MIN_RETRIES_PER_TTL: TickDuration = 10;
+const MAX_RETRY_DELAY_DIVISOR: TickDuration = 10;
 
 /// The state of the record when it was last read or written.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -226,10 +227,11 @@
         if self.outstanding.is_some() || self.is_released() {
             return Timestamp::MAX;
         }
-        // Only a renewal is delayed. Any other request is due immediately; a candidate waits in a long poll.
+        // A renewal is due a third of the TTL after the last confirmed write was sent. Any other request is due
+        // immediately, since a candidate waits in a long poll. After a timeout, every request waits for the retry delay.
         let renewal =
             self.held.as_ref().filter(|_| self.holder_is_self() && !self.must_read && !self.resigning);
-        let due_at = renewal.map_or(0, |held| held.renewed_at + self.settings.ttl / RENEWALS_PER_TTL);
+        let due_at = renewal.map_or(0, |held| held.renewed_at + self.settings.ttl / RENEWAL_DIVISOR);
         due_at.max(self.retry_not_before)
     }
 
@@ -323,7 +325,7 @@
         if matches!(request, LeaseRequest::Write { .. }) {
             self.must_read = true;
         }
-        let max_delay = (self.settings.ttl / MIN_RETRIES_PER_TTL).max(1);
+        let max_delay = (self.settings.ttl / MAX_RETRY_DELAY_DIVISOR).max(1);
         let delay = self.rng.as_mut().map_or(0, |rng| rng.random_range(max_delay.div_ceil(2)..=max_delay));
         self.retry_not_before = now + delay;
     }
@@ -383,7 +385,7 @@
         } else {
             self.mark_lost(record.as_ref().and_then(|record| record.holder.clone()));
         }
-        // Writes that expected an earlier index can no longer take effect.
+        // Writes that expected an earlier index can no longer take effect, unless the lease store lost its data.
         self.unresolved_write = None;
         self.observed = Some(ObservedRecord { index, record, first_observed_at: now });
     }
--- a/crates/larklink-coordination/src/safety.rs
+++ b/crates/larklink-coordination/src/safety.rs
@@ -6,7 +6,7 @@
 use crate::settings::LeaseSettings;
 use crate::time::{TickDuration, Timestamp};
 
-/// Parts per million in one.
+/// One, in parts per million.
 const PPM: TickDuration = 1_000_000;
 
 /// Decides until when a holder may act and from when a candidate may take over the lease.
@@ -14,10 +14,10 @@
 /// The default methods are the safe ones; only tests override them.
 pub trait SafetyCondition {
     /// The time until which a holder may act after a write that was sent at `requested_at` and confirmed at
-    /// `_answered_at`.
+    /// `_confirmed_at`.
     fn may_act_until(
         requested_at: Timestamp,
-        _answered_at: Timestamp,
+        _confirmed_at: Timestamp,
         settings: &LeaseSettings,
     ) -> Timestamp {
         let drift = TickDuration::from(settings.max_drift_ppm);
