--- a/crates/larklink-simulation/src/audit.rs
+++ b/crates/larklink-simulation/src/audit.rs
@@ -16,8 +16,8 @@
 
 pub use findings::{Findings, SessionOutcomes, ShapeOutcomes, Violation, ViolationKind};
 
-/// Checks an event log. `end` is when the run was stopped; sessions still open then are not checked for a final
-/// response or an end.
+/// Checks an event log. `end` is when the run was stopped. A response or an end that was not yet due by then is not
+/// missed.
 pub fn audit(scenario: &Scenario, event_log: &EventLog, end: Timestamp) -> Findings {
     let history = RunHistory::from_events(scenario, &event_log.events);
     let mut checker = SessionChecker::new(scenario, &history, end);
--- a/crates/larklink-simulation/src/audit/findings.rs
+++ b/crates/larklink-simulation/src/audit/findings.rs
@@ -6,6 +6,9 @@
 
 use crate::time::{TickDuration, Timestamp};
 
+/// The session id of a violation that concerns no single session.
+pub(super) const NO_SESSION: u64 = 0;
+
 /// The kinds of violations. Their serialized names appear in reports and in `docs/testbed.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
@@ -65,7 +68,8 @@
 }
 
 impl ViolationKind {
-    /// The number of the violated rule, from 1 to 4, or 0 for the additional checks on socket connections.
+    /// The number of the violated rule, from 1 to 4, or 0 for the additional checks: on connections, on the timeouts
+    /// given to servers, and on sessions left behind by a server.
     pub fn rule(self) -> u8 {
         match self {
             Self::NoResponse
@@ -134,9 +138,9 @@
 }
 
 impl Violation {
-    /// Creates a violation. `session` is 0 if it concerns no single session.
+    /// Creates a violation. `session` is [`NO_SESSION`] if it concerns no single session.
     pub(super) fn new(kind: ViolationKind, session: u64, at: Timestamp, observed: String) -> Self {
-        let session = if session == 0 { String::new() } else { format!("{session:x}") };
+        let session = if session == NO_SESSION { String::new() } else { format!("{session:x}") };
         Self { kind, rule: kind.rule(), session, at, observed }
     }
 }
--- a/crates/larklink-simulation/src/audit/run_history.rs
+++ b/crates/larklink-simulation/src/audit/run_history.rs
@@ -1,7 +1,7 @@
 //! The history of a run, built from its event log: sessions by id, and when proxies and servers were unavailable.
 use std::collections::BTreeMap;
 
-use crate::audit::findings::{Violation, ViolationKind};
+use crate::audit::findings::{NO_SESSION, Violation, ViolationKind};
 use crate::audit::intervals::Intervals;
 use crate::audit::session_history::{AttemptHistory, SessionHistory, Timed};
 use crate::audit::tolerance::TOLERANCE;
@@ -17,18 +17,18 @@
     server: usize,
 }
 
-/// The history of a run, and the violations that single events prove.
+/// The history of a run, and the violations found while the event log is read.
 pub(super) struct RunHistory<'a> {
     scenario: &'a Scenario,
     pub(super) sessions: BTreeMap<u64, SessionHistory>,
-    /// For each proxy, when it was down. A planned stop counts only in pass-through deployments.
+    /// When each proxy was down without a planned stop; in pass-through deployments, planned stops too.
     pub(super) proxies_unavailable: Vec<Intervals>,
     /// For each server, when it was dead or silent.
     pub(super) servers_unavailable: Vec<Intervals>,
     /// When each proxy was first notified that a server drains or is removed; `None` once it was
     /// notified that the server is ready.
     unready_notices: BTreeMap<ProxyAndServer, Option<Timestamp>>,
-    /// Violations that follow from a single event.
+    /// Violations found while the event log is read; the session checker finds the others.
     pub(super) violations: Vec<Violation>,
 }
 
@@ -50,7 +50,7 @@
         history
     }
 
-    fn violation(&mut self, kind: ViolationKind, session: u64, at: Timestamp, observed: String) {
+    fn record_violation(&mut self, kind: ViolationKind, session: u64, at: Timestamp, observed: String) {
         self.violations.push(Violation::new(kind, session, at, observed));
     }
 
@@ -109,15 +109,15 @@
                     "{direction:?}: {} ms between being sent and being received",
                     took / TICKS_PER_MS
                 );
-                self.violation(ViolationKind::MessageDelayed, *id, at, observed);
+                self.record_violation(ViolationKind::MessageDelayed, *id, at, observed);
             }
             EventKind::MessageAltered { id } => {
                 let observed = "a line was received that differs from the line sent".into();
-                self.violation(ViolationKind::MessageAltered, *id, at, observed);
+                self.record_violation(ViolationKind::MessageAltered, *id, at, observed);
             }
             EventKind::ConnectionSilent { id, duration } => {
                 let observed = format!("no line received for {} ms", duration / TICKS_PER_MS);
-                self.violation(ViolationKind::SilentTooLong, *id, at, observed);
+                self.record_violation(ViolationKind::SilentTooLong, *id, at, observed);
             }
             _ => {}
         }
@@ -132,11 +132,11 @@
                 let allowed = group.map_or(0.0, |group| group.overload_multiple);
                 let observed =
                     format!("server {server}: load {ratio:.1} times its capacity, {allowed} allowed");
-                self.violation(ViolationKind::SlowStartOverloaded, 0, at, observed);
+                self.record_violation(ViolationKind::SlowStartOverloaded, NO_SESSION, at, observed);
             }
             EventKind::SessionsLeftBehind { server, sessions } => {
                 let observed = format!("server {server} stopped with {sessions} established sessions");
-                self.violation(ViolationKind::SessionsLeftBehind, 0, at, observed);
+                self.record_violation(ViolationKind::SessionsLeftBehind, NO_SESSION, at, observed);
             }
             EventKind::ServerDied { server } | EventKind::ServerSilent { server, .. } => {
                 self.servers_unavailable[server].begin(at);
@@ -173,7 +173,7 @@
             let observed = format!(
                 "attempt at server {server} {elapsed} ms after proxy {proxy} was notified that it drains or is removed"
             );
-            self.violation(ViolationKind::AttemptAfterDrainGrace, id, at, observed);
+            self.record_violation(ViolationKind::AttemptAfterDrainGrace, id, at, observed);
         }
     }
 }
--- a/crates/larklink-simulation/src/audit/session_checker.rs
+++ b/crates/larklink-simulation/src/audit/session_checker.rs
@@ -9,14 +9,15 @@
 use crate::scenario::{ListenerSpec, Scenario, SessionKind};
 use crate::time::{TickDuration, Timestamp};
 
-/// When a server ends a session, the client's connection must be ended or migrated within this time.
+/// When a server ends a session, the client's connection must be ended or migrated within this time. It is also
+/// how long after a server's outage an ended connection is excused.
 const END_NOTIFICATION_LIMIT: TickDuration = SECOND;
 
 /// Checks sessions one by one and collects their violations.
 pub(super) struct SessionChecker<'a> {
     scenario: &'a Scenario,
     history: &'a RunHistory<'a>,
-    /// When the run was stopped; sessions still open then are not checked for a final response or an end.
+    /// When the run was stopped. A response or an end that was not yet due by then is not missed.
     end: Timestamp,
     pub(super) violations: Vec<Violation>,
 }
@@ -40,7 +41,13 @@
         self.check_attempts(id, session);
     }
 
-    fn violation(&mut self, kind: ViolationKind, session: u64, at: Timestamp, observed: impl Into<String>) {
+    fn record_violation(
+        &mut self,
+        kind: ViolationKind,
+        session: u64,
+        at: Timestamp,
+        observed: impl Into<String>,
+    ) {
         self.violations.push(Violation::new(kind, session, at, observed.into()));
     }
 
@@ -50,7 +57,7 @@
 
     fn check_responses(&mut self, id: u64, session: &SessionHistory, outcomes: &mut SessionOutcomes) {
         if let Some(at) = session.malformed_at {
-            self.violation(
+            self.record_violation(
                 ViolationKind::MalformedResponse,
                 id,
                 at,
@@ -58,11 +65,16 @@
             );
         }
         if let Some(at) = session.extra_message_at {
-            self.violation(ViolationKind::ExtraResponse, id, at, "received data after the final response");
+            self.record_violation(
+                ViolationKind::ExtraResponse,
+                id,
+                at,
+                "received data after the final response",
+            );
         }
         if let [_, Timed { at, value: second }, ..] = session.responses[..] {
             let observed = format!("{second} after the final response");
-            self.violation(ViolationKind::ExtraResponse, id, at, observed);
+            self.record_violation(ViolationKind::ExtraResponse, id, at, observed);
         }
         let Some(&response) = session.responses.first() else {
             return self.check_without_response(id, session, outcomes);
@@ -72,13 +84,14 @@
             let elapsed = (response.at - session.opened_at) / TICKS_PER_MS;
             let allowed = dial_timeout / TICKS_PER_MS;
             let observed = format!("{} after {elapsed} ms, {allowed} ms allowed", response.value);
-            self.violation(ViolationKind::LateResponse, id, response.at, observed);
+            self.record_violation(ViolationKind::LateResponse, id, response.at, observed);
         }
         match response.value {
             ClientResponse::Accepted => {
                 outcomes.accepted += 1;
                 outcomes.response_times.push(response.at - session.opened_at);
-                // A client that never reads cannot be notified of anything.
+                // A client that never reads cannot be notified of anything. Its session is not checked for an attempt
+                // either, and is not counted as migrated.
                 if self.listener(session).unread_kb == 0 {
                     self.check_established(id, session, response.at, outcomes);
                 }
@@ -104,7 +117,7 @@
                 Some(end) => format!("connection ended ({}) without a response", end.value),
                 None => format!("no response within {} ms", session.request.dial_timeout / TICKS_PER_MS),
             };
-            self.violation(ViolationKind::NoResponse, id, until, observed);
+            self.record_violation(ViolationKind::NoResponse, id, until, observed);
         }
     }
 
@@ -113,7 +126,7 @@
         let unsafe_to_repeat = |attempt: &&AttemptHistory| !is_safe_to_repeat(listener, attempt, rejected_at);
         if let Some(attempt) = session.attempts.iter().find(unsafe_to_repeat) {
             let observed = format!("rejected although the attempt at server {} may have run", attempt.server);
-            self.violation(ViolationKind::RejectedThoughMayHaveRun, id, rejected_at, observed);
+            self.record_violation(ViolationKind::RejectedThoughMayHaveRun, id, rejected_at, observed);
         }
     }
 
@@ -128,7 +141,7 @@
         let Some(attempt) = session.attempts.iter().rev().find(|attempt| attempt.started_at <= accepted_at)
         else {
             let observed = "no attempt was made at any server";
-            return self.violation(ViolationKind::AcceptedWithoutAttempt, id, accepted_at, observed);
+            return self.record_violation(ViolationKind::AcceptedWithoutAttempt, id, accepted_at, observed);
         };
         let server_ended_at = attempt
             .end
@@ -145,7 +158,7 @@
                 if !excused {
                     let observed =
                         format!("connection ended ({end}) while server {} was available", attempt.server);
-                    self.violation(ViolationKind::BrokenWithoutMigration, id, at, observed);
+                    self.record_violation(ViolationKind::BrokenWithoutMigration, id, at, observed);
                 }
             }
             Some(Timed { value: ConnectionEnd::Left, .. }) | None => {}
@@ -157,7 +170,7 @@
                 let elapsed = (client_ended_at - ended_at) / TICKS_PER_MS;
                 let observed =
                     format!("client connection still open {elapsed} ms after the server ended the session");
-                self.violation(ViolationKind::EndNotifiedLate, id, client_ended_at, observed);
+                self.record_violation(ViolationKind::EndNotifiedLate, id, client_ended_at, observed);
             }
         }
     }
@@ -168,7 +181,7 @@
         if attempts.len() > allowed as usize {
             let observed = format!("{} attempts, {allowed} allowed", attempts.len());
             let last_at = attempts.last().map_or(0, |attempt| attempt.started_at);
-            self.violation(ViolationKind::TooManyAttempts, id, last_at, observed);
+            self.record_violation(ViolationKind::TooManyAttempts, id, last_at, observed);
         }
         let response_deadline = session.opened_at + session.request.dial_timeout + TOLERANCE;
         for (index, attempt) in attempts.iter().enumerate() {
@@ -180,7 +193,7 @@
                     attempt.timeout_ms,
                     remaining / TICKS_PER_MS
                 );
-                self.violation(ViolationKind::TimeoutTooLong, id, attempt.started_at, observed);
+                self.record_violation(ViolationKind::TimeoutTooLong, id, attempt.started_at, observed);
             }
             for earlier in &attempts[..index] {
                 self.check_repeat(id, self.listener(session), earlier, attempt);
@@ -200,16 +213,21 @@
         let servers =
             format!("attempt at server {} while the one at server {}", attempt.server, earlier.server);
         if earlier.end.is_none_or(|end| end.at > at + TOLERANCE) {
-            self.violation(ViolationKind::ConcurrentAttempts, id, at, format!("{servers} was in flight"));
+            self.record_violation(
+                ViolationKind::ConcurrentAttempts,
+                id,
+                at,
+                format!("{servers} was in flight"),
+            );
         }
         if !is_safe_to_repeat(listener, earlier, at) {
-            self.violation(ViolationKind::MayRunTwice, id, at, format!("{servers} may have run"));
+            self.record_violation(ViolationKind::MayRunTwice, id, at, format!("{servers} may have run"));
         }
     }
 }
 
-/// Whether it is safe to run a session again after an attempt. With an idempotency key it is safe while servers
-/// remember the key.
+/// Whether it is safe to run a session again after an attempt, by another attempt or by the client: a rejection invites
+/// the client to retry. With an idempotency key it is safe while servers remember the key.
 fn is_safe_to_repeat(listener: &ListenerSpec, attempt: &AttemptHistory, repeated_at: Timestamp) -> bool {
     match listener.kind {
         SessionKind::Idempotent => true,
--- a/crates/larklink-simulation/src/goodput.rs
+++ b/crates/larklink-simulation/src/goodput.rs
@@ -1,5 +1,6 @@
-//! Goodput is the rate of sessions accepted in time. This module compares it with the rate of the session store, or
-//! with the offered load if that is less, and measures how long after the last restart of a proxy it recovers for good.
+//! Goodput is the rate of sessions accepted in time. This module compares it with the capacity of the session store, in
+//! calls per second, or with the offered load if that is less, and measures how long after the last restart of a proxy it
+//! recovers for good.
 use std::collections::BTreeMap;
 use std::fmt;
 
@@ -14,7 +15,7 @@
 const WINDOW: TickDuration = 2 * SECOND;
 /// Distance between the starts of two successive windows.
 const WINDOW_STEP: TickDuration = SECOND / 10;
-/// Goodput counts as recovered at this fraction of the session store's rate, or of the offered load if that is less.
+/// Goodput counts as recovered at this fraction of the session store's capacity, or of the offered load if that is less.
 pub const RECOVERY_THRESHOLD: f64 = 0.9;
 
 /// The rates of one window, in sessions per second.
@@ -47,7 +48,7 @@
     /// The window in which goodput was lowest relative to its target.
     #[serde(rename = "least")]
     pub lowest: GoodputRate,
-    /// The session store's rate, in calls per second.
+    /// The capacity of the session store, in calls per second.
     #[serde(rename = "bears")]
     pub store_rate: f64,
 }
--- a/crates/larklink-simulation/src/lease_model.rs
+++ b/crates/larklink-simulation/src/lease_model.rs
@@ -24,7 +24,7 @@
     Deliver(usize),
     /// An abandoned message is lost.
     Lose(usize),
-    /// A candidate stops waiting for its response; the request stays in flight.
+    /// A candidate stops waiting for its response; a write that has not taken effect stays in flight.
     TimeOut(usize),
     /// A candidate is paused and receives nothing; it keeps its state.
     Pause(usize),
@@ -55,7 +55,7 @@
 pub struct ActingCandidate {
     /// The candidate's index.
     pub candidate: usize,
-    /// The fencing token that goes with its acts.
+    /// The fencing token that it sends with its operations.
     pub token: FencingToken,
 }
 
@@ -162,7 +162,7 @@
         terms
     }
 
-    /// A candidate releases the lease and stops being a candidate.
+    /// Makes a candidate release the lease and stop competing for it.
     pub fn resign(&mut self, candidate: usize) {
         self.candidates[candidate].lease.resign();
         self.run_candidates();
--- a/crates/larklink-simulation/src/scenario/validation.rs
+++ b/crates/larklink-simulation/src/scenario/validation.rs
@@ -179,7 +179,7 @@
     }
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     if name.is_empty() || !name.chars().all(is_allowed) {
-        problems.add("name", format!("{name:?} may contain only ASCII letters, digits, '-', '_' and '.'"));
+        problems.add("name", format!("{name:?} must be one or more ASCII letters, digits, '-', '_' and '.'"));
     }
     if listener.dial_timeout < listener.handshake_objective || listener.dial_timeout.0 == 0 {
         let objective = listener.handshake_objective;
@@ -221,7 +221,7 @@
 }
 
 impl FaultTargets<'_> {
-    /// The number of possible targets of a fault; `None` if it has only a single, implicit target.
+    /// The number of possible targets of a fault; `None` if `which` cannot select targets.
     fn count(&self, kind: FaultKind) -> Option<usize> {
         match kind {
             FaultKind::ProxyKilled
--- a/crates/larklink-simulation/tests/audit.rs
+++ b/crates/larklink-simulation/tests/audit.rs
@@ -1,4 +1,5 @@
-//! The audit on hand-written event logs: each kind of violation, and the closest case that is not a violation.
+//! The audit on hand-written event logs: each kind of violation and, for many of them, the closest case that is not a
+//! violation.
 #![expect(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use larklink_simulation::audit::{Findings, ViolationKind, audit};
@@ -217,7 +218,7 @@
 }
 
 #[test]
-fn an_established_session_may_end_only_by_its_server_or_by_migration() {
+fn wrong_ends_messages_silence_and_timeouts_of_established_sessions_are_violations() {
     let established = |rest: Vec<(u64, EventKind)>| {
         let mut all = vec![(0, opened(0)), (1, attempt(0)), (2, attempt_ended(0, AttemptEnd::Accepted))];
         all.push((3, answered(ClientResponse::Accepted)));
@@ -257,13 +258,13 @@
     );
     // The server is given a longer timeout than the client's remaining time.
     let long = EventKind::AttemptStarted { id: ID, server: 0, connection: 0, timeout_ms: 3060 };
-    let notified = vec![
+    let events = vec![
         (0, opened(0)),
         (1, long),
         (2, attempt_ended(0, AttemptEnd::Accepted)),
         (3, answered(ClientResponse::Accepted)),
     ];
-    assert_eq!(violations_of(notified), [ViolationKind::TimeoutTooLong]);
+    assert_eq!(violations_of(events), [ViolationKind::TimeoutTooLong]);
 }
 
 #[test]
--- a/crates/larklink-simulation/tests/lease.rs
+++ b/crates/larklink-simulation/tests/lease.rs
@@ -1,5 +1,6 @@
 //! No two members may act as holder of one lease at the same time. Checked by an exhaustive search of all interleavings
-//! up to a depth and by long random runs. Both must also detect three deliberately wrong safety conditions.
+//! up to a depth and by long random runs. The random runs must also detect three deliberately wrong safety conditions; the
+//! search detects two of them by default, and the third only in the deeper, ignored test.
 use larklink_coordination::safety::{BoundedDrift, SafetyCondition};
 use larklink_coordination::settings::LeaseSettings;
 use larklink_simulation::lease_model::{LeaseModel, ModelStep};
--- a/crates/larklink-simulation/tests/model.rs
+++ b/crates/larklink-simulation/tests/model.rs
@@ -1,5 +1,5 @@
 //! The simulation: property tests of its parts, and runs in simulated time with each kind of fault.
-use std::ops::Range;
+use std::ops::{Range, RangeInclusive};
 
 use larklink_simulation::audit::ViolationKind;
 use larklink_simulation::duration::{ConfigDuration, SECOND};
@@ -12,6 +12,11 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
+/// The simulated time that a message takes from one end of a connection to the other, in ticks.
+const ONE_WAY_DELAY: u64 = 2;
+/// The range of the duration of a planned stop: 0.6 s at least, and up to 3 s of dial timeout more.
+const SHUTDOWN_DURATION: RangeInclusive<u64> = 6000..=36_000;
+
 fn profile() -> ServerProfile {
     ServerProfile {
         cores: 2,
@@ -41,7 +46,8 @@
 proptest! {
     #![proptest_config(Config { cases: 64, rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..Config::default() })]
 
-    /// A server never does more work than its cores can do in the elapsed time, and answers each message at most once.
+    /// Over a whole run, a server does no more work than its cores can do in the elapsed time. It never sends more
+    /// responses than it received messages, and never has more established sessions than `max_sessions`.
     #[test]
     fn no_server_works_above_its_capacity(
         steps in prop::collection::vec((0u64..400, 0u8..6, 100f64..20_000.0), 1..300),
@@ -70,7 +76,7 @@
             }
             server.advance(now, &mut outputs);
             answered += outputs.iter().filter(|o| matches!(o, ServerOutput::Send(_, ServerMessage::Message(_)))).count();
-            prop_assert!(answered <= messages, "a message was answered more than once");
+            prop_assert!(answered <= messages, "{answered} responses to {messages} messages");
             prop_assert!(server.established_sessions() <= 50);
             outputs.clear();
         }
@@ -85,6 +91,7 @@
         prop_assert!(server.work_done <= capacity + 1.0, "{} done, capacity {capacity}", server.work_done);
     }
 
+    /// A session store completes its calls in order, and no faster than its rate divided by its slowdown.
     #[test]
     fn a_store_serves_no_faster_than_its_rate(waits in prop::collection::vec(0u64..50, 1..500), slow in 1f64..10.0) {
         let mut store = SessionStore::new(1000.0, SECOND);
@@ -101,7 +108,7 @@
     }
 
     /// Under any fault, each session has exactly one outcome, and no violation of the four rules occurs (rule 0 marks
-    /// the additional checks on connections).
+    /// the additional checks).
     #[test]
     fn every_session_ends_once(seed in 0u64..1000, fault in 0usize..6) {
         let fault = [
@@ -117,6 +124,7 @@
         for l in &run.findings.listeners {
             let outcomes =
                 l.accepted + l.rejected + l.failed + l.lost_with_proxy + l.proxy_unreachable + l.unfinished;
+            // Counted so that a missing response fails the check of the violations below and not this sum.
             let without_response = run.findings.counts().get(&ViolationKind::NoResponse).copied().unwrap_or(0);
             prop_assert_eq!(l.opened, outcomes + without_response as u64);
         }
@@ -134,8 +142,8 @@
 }
 
 /// The external load balancer sends a client only to proxies of its own zone. If the zone's only proxy is dead, it
-/// still gets connections until the failure is detected, and then there is no proxy until it is back; the other zone is
-/// not affected.
+/// still gets connections until the failure is detected, and then the zone has no proxy. The other zone is not affected:
+/// its connections go to the proxy that was not removed.
 #[test]
 fn load_balancer_stays_within_a_zone() {
     let mut load_balancer = ExternalLoadBalancer::new(3, 2, SECOND);
@@ -196,7 +204,7 @@
     assert!(exited_at > 2 * SECOND, "{exited_at}");
     let opened = times(|kind| matches!(kind, EventKind::Opened { proxy: 0, .. }));
     assert!(
-        opened.into_iter().any(|at| at + 2 == exited_at),
+        opened.into_iter().any(|at| at + ONE_WAY_DELAY == exited_at),
         "no connection was opened right before {exited_at}"
     );
     assert_eq!(
@@ -233,7 +241,7 @@
     // A shutdown takes as long as that of the real proxy process and has to migrate all sessions by its end. The proxy
     // restarts 2 s after it has exited.
     let [(0, exited_at)] = exits[..] else { panic!("{exits:?}") };
-    assert!((2 * SECOND + 6000..=2 * SECOND + 36_000).contains(&exited_at), "{exited_at}");
+    assert!(exited_at >= 2 * SECOND && SHUTDOWN_DURATION.contains(&(exited_at - 2 * SECOND)), "{exited_at}");
     assert_eq!(starts, [(0, exited_at + 2 * SECOND)]);
     assert_no_violations(&run);
 }
@@ -332,10 +340,10 @@
     run_large_fleet(60, 0.6, &faults);
 }
 
-/// 22 of the 38 listed servers are replaced by 22 new ones. The new ones get sessions during slow start without being
+/// 22 of the 38 listed servers are replaced by 22 new ones, from 3 s to about 10.65 s of the run. The new ones get sessions during slow start without being
 /// overloaded, and the draining ones have no sessions left when they stop.
 #[test]
-fn sixty_percent_of_servers_replaced_within_seven_seconds() {
+fn twenty_two_of_thirty_eight_servers_are_replaced() {
     let drained = (0..22).collect::<Vec<_>>();
     let faults = format!(
         "[[faults]]\nwhat = 'servers-join'\nat = '3s'\napart = '150ms'\n\
