--- a/crates/larklink-testbed/src/faulty_relay.rs
+++ b/crates/larklink-testbed/src/faulty_relay.rs
@@ -1,5 +1,5 @@
-//! Relays between the clients and a real proxy that break one rule on purpose, to test that the audit finds it. The proxy
-//! itself has no fault injection.
+//! Relays that inject one fault between clients and a real proxy, to test that the audit or the report finds it. The
+//! proxy itself has no fault injection.
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,7 +22,8 @@
 const CUT_AFTER: Duration = Duration::from_secs(1);
 /// A server below this share of its full capacity is in early slow start.
 const EARLY_SLOW_START: f64 = 0.5;
-/// Most faults apply to one connection in this many.
+/// Sampled faults without a rate of their own apply to one connection in this many. Attempts to draining servers, retries
+/// of failed sessions and overloads in slow start are not sampled.
 const DEFAULT_ONE_IN: u64 = 20;
 /// One connection in this many is dropped.
 const DROPS_ONE_IN: u64 = 50;
@@ -132,7 +133,7 @@
             self.second_attempt(&text).await?;
         }
         let Some(response) = first_response(&mut proxy, &mut client).await? else { return Ok(()) };
-        if self.must_retry(&first_line, &response) {
+        if self.makes_forbidden_retry(&first_line, &response) {
             proxy = LineStream::connect(self.proxy).await?;
             proxy.write(&text).await?;
             return relay_lines(client, proxy, None).await;
@@ -161,7 +162,7 @@
     }
 
     /// Returns whether to follow this response with a retry that is not allowed.
-    fn must_retry(&self, first_line: &[u8], response: &[u8]) -> bool {
+    fn makes_forbidden_retry(&self, first_line: &[u8], response: &[u8]) -> bool {
         let is_once_only = || {
             let Some(open) = parse_open_line(first_line) else { return false };
             let mut listeners = self.context.scenario.listeners.iter().map(toml::Spanned::get_ref);
@@ -226,8 +227,8 @@
     Ok(Some(stream))
 }
 
-/// Waits for the proxy's response. Returns `None` if either side closes: if the client does, the relay closes the
-/// connection to the proxy too, which abandons the attempt.
+/// Waits for the proxy's response. Returns `None` if either side closes or if the client sends another line first.
+/// The relay then closes the connection to the proxy too, which abandons the attempt.
 async fn first_response(proxy: &mut LineStream, client: &mut LineStream) -> std::io::Result<Option<Vec<u8>>> {
     let response = async { proxy.next_line().await };
     let left = async {
--- a/crates/larklink-testbed/src/metrics_poller.rs
+++ b/crates/larklink-testbed/src/metrics_poller.rs
@@ -13,9 +13,9 @@
 
 /// How often each process is polled. What a process counts between its last poll and its exit is lost.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// The allowed difference per process is the greater of this number of sessions and one in [`TOLERANCE_ONE_IN`].
+/// For each process, the total may differ by this many sessions, or by one in [`TOLERANCE_ONE_IN`] if that is more.
 const MIN_TOLERANCE_SESSIONS: u64 = 3;
-/// One in this many sessions may be missing or extra per process.
+/// For each process, the total may differ by one in this many of all the listener's sessions with the same outcome.
 const TOLERANCE_ONE_IN: u64 = 100;
 /// A planted miscount counts one session in this many twice.
 const MISCOUNT_ONE_IN: u64 = 10;
--- a/crates/larklink-testbed/src/proxy_slot.rs
+++ b/crates/larklink-testbed/src/proxy_slot.rs
@@ -17,7 +17,7 @@
 
 /// Lines of a proxy's log to include in an error.
 const LOG_TAIL_LINES: usize = 12;
-/// Seeds reserved for the proxies of one scenario seed, which is also the most proxies that the testbed starts.
+/// Seeds reserved per scenario seed; must be at least `descriptors::MAX_PROXIES`.
 const SEEDS_PER_SCENARIO: u64 = 64;
 
 /// All proxies of a run, by number.
@@ -60,9 +60,9 @@
     spec: ProxySpec,
     reloads: usize,
     process: Option<ProxyProcess>,
-    /// The resources used by all earlier processes.
+    /// The CPU time of all earlier processes, and the highest peak memory of any of them.
     previous_usage: ProxyUsage,
-    /// The resources used by all processes, as last measured.
+    /// The same including the running process, as last measured, and the number of starts.
     usage: ProxyUsage,
 }
 
@@ -137,10 +137,12 @@
         let entries = context.model.borrow().endpoint_list.entries_after(None);
         let known: Vec<_> = entries.iter().map(|entry| entry_json(context, entry)).collect();
         let seed = scenario.seed.wrapping_mul(SEEDS_PER_SCENARIO).wrapping_add(self.number as u64);
+        // The number of the start in the upper half gives each start its own seed.
+        let seed = seed.wrapping_add(u64::from(self.usage.starts) << 32);
         let config = serde_json::json!({
             "name": format!("n{}", self.number), "listen": self.spec.listen.to_string(),
             "discovery": self.spec.discovery[self.reloads % self.spec.discovery.len()].to_string(),
-            "seed": format!("{:x}", seed.wrapping_add(u64::from(self.usage.starts) << 32)),
+            "seed": format!("{seed:x}"),
             "limits": {"cores": 1.0, "memory_mb": scenario.proxies.memory_mb, "sockets": scenario.proxies.descriptors},
             "known": {"index": 1, "snapshot": true, "endpoints": known},
             "settings": simulate::settings_object(scenario, self.number),
@@ -187,7 +189,7 @@
         self.process.take()
     }
 
-    /// Measures the running process for the last time, so that usage counts it as an earlier one.
+    /// Adds the running process's final usage to that of the earlier ones.
     pub(crate) fn finalize_usage(&mut self) {
         self.update_usage();
         self.previous_usage = self.usage;
@@ -199,7 +201,7 @@
         self.process = None;
     }
 
-    /// Measures and returns the resources used by all processes so far.
+    /// Measures the running process and returns the usage of all processes so far.
     pub(crate) fn usage(&mut self) -> ProxyUsage {
         self.update_usage();
         self.usage
--- a/crates/larklink-testbed/src/report.rs
+++ b/crates/larklink-testbed/src/report.rs
@@ -60,7 +60,7 @@
     /// Messages that came back later than their latency objective.
     #[serde(rename = "late_lines")]
     pub late_messages: u64,
-    /// The well-served share of the seconds for which clients wanted a session.
+    /// Well-served time as a fraction of the time for which clients wanted a session.
     pub service: f64,
     /// Clients that stopped retrying without getting a session.
     #[serde(rename = "gone_without")]
@@ -76,7 +76,8 @@
     pub about: String,
     /// The seed of the run.
     pub seed: u64,
-    /// The well-served share of the seconds for which clients wanted a session, by priority weight.
+    /// Well-served time as a fraction of the time for which clients wanted a session, weighted by the priority weights
+    /// of the listeners.
     pub service: f64,
     /// The results of each listener.
     #[serde(rename = "rows")]
@@ -102,7 +103,7 @@
     /// How late the testbed's own timers fired.
     #[serde(rename = "kit_late_us")]
     pub timer_delay: TimerDelay,
-    /// Whether the testbed itself was too late, so that the run does not count.
+    /// Whether the testbed itself fell behind, so that the run does not count.
     #[serde(rename = "strained")]
     pub testbed_late: bool,
     /// Samples of the state, four per second.
--- a/crates/larklink-testbed/src/supervisor.rs
+++ b/crates/larklink-testbed/src/supervisor.rs
@@ -100,7 +100,7 @@
         Ok(())
     }
 
-    /// Returns an error if a proxy that is not ready yet has exited or its time is up.
+    /// Returns an error if a proxy that is not ready yet has exited or has exceeded the start timeout.
     fn check_startup(&self, proxy: usize, until: Instant) -> Result<(), TestbedError> {
         let slot = &mut self.slots.borrow_mut()[proxy];
         slot.check_started()?;
@@ -159,7 +159,7 @@
     proxy: usize,
     restart_after: Option<TickDuration>,
 ) {
-    // Measured only here, not while the process runs: it blocks the testbed for milliseconds.
+    // Measured just before the stop and not periodically, since reading /proc blocks the testbed for milliseconds.
     slots.borrow_mut()[proxy].update_usage();
     let Some(mut process) = slots.borrow_mut()[proxy].take_process() else { return };
     process.signal(Signal::TERM);
@@ -168,6 +168,8 @@
         Timer::after(POLL_INTERVAL).await;
     }
     process.kill();
+    // The slot's process was taken above, so this only finalizes the usage, unless another fault has
+    // started a process since.
     slots.borrow_mut()[proxy].kill_process();
     context.model.borrow_mut().proxy_exited(context.now(), proxy, true);
     if let Some(ticks) = restart_after {
