--- a/crates/larklink-adapter/src/action.rs
+++ b/crates/larklink-adapter/src/action.rs
@@ -30,39 +30,41 @@
 }
 
 /// Appends an action of a proxy to the reply.
-pub(crate) fn encode(instance: u32, action: ProxyAction, reply: &mut Reply) {
+pub(crate) fn encode(proxy_number: u32, action: ProxyAction, reply: &mut Reply) {
     match action {
         ProxyAction::Connect { session, endpoint, timeout, .. } => {
             let fields: [&[u8]; 3] =
                 [&session.to_le_bytes(), &endpoint.to_le_bytes(), &nanos_bytes(timeout.as_ticks())];
-            reply.push_action(CONNECT, instance, &fields);
+            reply.push_action(CONNECT, proxy_number, &fields);
         }
         ProxyAction::Reject { session, retry_after } => {
             reply.push_action(
                 REJECT,
-                instance,
+                proxy_number,
                 &[&session.to_le_bytes(), &nanos_bytes(retry_after.as_ticks())],
             );
         }
-        ProxyAction::Fail { session } => reply.push_action(FAIL, instance, &[&session.to_le_bytes()]),
-        ProxyAction::Migrate { session } => reply.push_action(MIGRATE, instance, &[&session.to_le_bytes()]),
+        ProxyAction::Fail { session } => reply.push_action(FAIL, proxy_number, &[&session.to_le_bytes()]),
+        ProxyAction::Migrate { session } => {
+            reply.push_action(MIGRATE, proxy_number, &[&session.to_le_bytes()])
+        }
         ProxyAction::CheckHealth { endpoint } => {
-            reply.push_action(CHECK_HEALTH, instance, &[&endpoint.to_le_bytes()]);
+            reply.push_action(CHECK_HEALTH, proxy_number, &[&endpoint.to_le_bytes()]);
         }
         // The simulator sends each attempt as soon as it receives the action, so there is no deadline to limit.
         ProxyAction::LimitSendDeadline { .. } => {}
-        ProxyAction::PollEndpointList => reply.push_action(POLL_ENDPOINT_LIST, instance, &[&[1]]),
-        ProxyAction::Log(event) => reply.push_text_action(LOG, instance, &event.to_string()),
+        ProxyAction::PollEndpointList => reply.push_action(POLL_ENDPOINT_LIST, proxy_number, &[&[1]]),
+        ProxyAction::Log(event) => reply.push_text_action(LOG, proxy_number, &event.to_string()),
     }
 }
 
 /// Appends an action that sets a timer. The wake-up time in ticks is also the timer's id.
-pub(crate) fn encode_timer(instance: u32, wakes_at: Timestamp, reply: &mut Reply) {
+pub(crate) fn encode_timer(proxy_number: u32, wakes_at: Timestamp, reply: &mut Reply) {
     let ticks = wakes_at.as_ticks();
-    reply.push_action(SET_TIMER, instance, &[&nanos_bytes(ticks), &ticks.to_le_bytes()]);
+    reply.push_action(SET_TIMER, proxy_number, &[&nanos_bytes(ticks), &ticks.to_le_bytes()]);
 }
 
 /// Appends a report that the engine panicked.
-pub(crate) fn encode_panic(instance: u32, message: &str, reply: &mut Reply) {
-    reply.push_text_action(PANICKED, instance, message);
+pub(crate) fn encode_panic(proxy_number: u32, message: &str, reply: &mut Reply) {
+    reply.push_text_action(PANICKED, proxy_number, message);
 }
--- a/crates/larklink-adapter/src/event.rs
+++ b/crates/larklink-adapter/src/event.rs
@@ -7,7 +7,7 @@
 use larklink_engine::units::ticks_from_nanos;
 
 use crate::error::MalformedFrame;
-use crate::wire::{Batch, Fields};
+use crate::wire::{Batch, Record};
 
 /// A proxy was started, with its settings.
 pub(crate) const PROXY_STARTED: u16 = 1000;
@@ -34,12 +34,12 @@
 const CODE_STEP: u16 = 10;
 
 /// The code of an event, at the start of its record.
-pub(crate) fn code(event: Fields) -> u16 {
+pub(crate) fn code(event: Record) -> u16 {
     event.u16(0)
 }
 
 /// The number of the proxy that an event is addressed to.
-pub(crate) fn instance(event: Fields) -> u32 {
+pub(crate) fn proxy_number(event: Record) -> u32 {
     event.u32(2)
 }
 
@@ -100,7 +100,8 @@
 const LIST_CACHED: u8 = 2;
 const LIST_FAILED: u8 = 3;
 
-/// Session flags: the client is retrying, the session is established elsewhere, or the client is reconnecting.
+/// Session flags: the client is retrying, the session resumes a connection established through
+/// another proxy, or the client is reconnecting.
 const FLAG_CLIENT_RETRY: u16 = 2;
 const FLAG_ESTABLISHED: u16 = 8;
 const FLAG_RECONNECTING: u16 = 16;
@@ -176,8 +177,8 @@
 }
 
 impl<'a> ProxyStart<'a> {
-    pub(crate) fn decode(batch: &'a Batch, event: Fields) -> Result<Self, MalformedFrame> {
-        Ok(Self { seed: event.u64(offset::SEED), settings: batch.text(event, offset::SETTINGS)? })
+    pub(crate) fn decode(batch: &'a Batch, event: Record) -> Result<Self, MalformedFrame> {
+        Ok(Self { seed: event.u64(offset::SEED), settings: batch.bytes(event, offset::SETTINGS)? })
     }
 }
 
@@ -185,9 +186,10 @@
     /// Decodes an event. `has_listener` tells whether the proxy's settings contain a listener.
     pub(crate) fn decode(
         batch: &Batch,
-        event: Fields,
+        event: Record,
         has_listener: impl Fn(usize) -> bool,
     ) -> Result<Self, MalformedFrame> {
+        // The session and the attempt are meaningful only for events that have these fields.
         let session = event.u32(offset::SESSION);
         let attempt = event.u8(offset::ATTEMPT);
         let listener = |field: usize| {
@@ -229,7 +231,7 @@
     }
 }
 
-fn endpoint_list(batch: &Batch, event: Fields) -> Result<Event, MalformedFrame> {
+fn endpoint_list(batch: &Batch, event: Record) -> Result<Event, MalformedFrame> {
     let scope = match event.u8(offset::LIST_SCOPE) {
         LIST_FAILED => return Ok(Event::DiscoveryFailed),
         LIST_CACHED => ListScope::Cached,
@@ -240,9 +242,10 @@
     Ok(Event::EndpointList { scope, entries })
 }
 
-fn endpoint_entry(entry: Fields) -> EndpointEntry {
+fn endpoint_entry(entry: Record) -> EndpointEntry {
     let started_at = entry.nanos(offset::ENTRY_STARTED_AT);
     EndpointEntry {
+        // Assigned by the engine.
         index: EndpointIndex(0),
         id: entry.u32(offset::ENTRY_ID),
         zone: entry.u16(offset::ENTRY_ZONE),
@@ -262,7 +265,7 @@
     }
 }
 
-fn opened_request(event: Fields, listener: usize) -> SessionRequest {
+fn opened_request(event: Record, listener: usize) -> SessionRequest {
     let flags = event.u16(offset::OPENED_FLAGS);
     SessionRequest {
         listener,
@@ -275,7 +278,7 @@
     }
 }
 
-fn adopted_request(event: Fields, listener: usize) -> SessionRequest {
+fn adopted_request(event: Record, listener: usize) -> SessionRequest {
     SessionRequest {
         listener,
         group_key: event.u64(offset::ADOPTED_GROUP),
@@ -285,13 +288,13 @@
     }
 }
 
-fn load_report(event: Fields) -> Vec<f64> {
+fn load_report(event: Record) -> Vec<f64> {
     let count = event.u8(offset::CHECK_VALUE_COUNT).min(MAX_LOAD_VALUES);
     let value_offset = |index: u8| offset::CHECK_VALUES + LOAD_VALUE_BYTES * usize::from(index);
     (0..count).map(|index| event.f32(value_offset(index)).into()).collect()
 }
 
-fn observation(event: Fields) -> Option<Observation> {
+fn observation(event: Record) -> Option<Observation> {
     let amount = f64::from(event.f32(offset::OBSERVED_AMOUNT));
     match event.u8(offset::OBSERVED_KIND) {
         OBSERVED_LOAD => Some(Observation::Load(amount)),
--- a/crates/larklink-adapter/src/proxies.rs
+++ b/crates/larklink-adapter/src/proxies.rs
@@ -1,4 +1,4 @@
-//! The simulated proxies of one process: passes decoded events to the engines and encodes their actions.
+//! Hosts the engines of all simulated proxies in this process: passes decoded events to them and encodes their actions.
 use std::any::Any;
 use std::collections::{BTreeSet, HashMap};
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -11,7 +11,7 @@
 use crate::action;
 use crate::error::{MalformedFrame, SettingsReadError};
 use crate::event::{self, Event, ProxyStart};
-use crate::wire::{Batch, Fields, Reply};
+use crate::wire::{Batch, Record, Reply};
 
 struct Proxy {
     engine: Engine,
@@ -36,41 +36,43 @@
         let now = Timestamp::from_ticks(batch.clock / NANOS_PER_TICK);
         for event in batch.events() {
             let code = event::code(event);
-            let instance = event::instance(event);
+            let proxy_number = event::proxy_number(event);
             match code {
                 event::PROXY_STARTED => {
-                    self.running.insert(instance, Proxy::start(now, batch, event)?);
+                    self.running.insert(proxy_number, Proxy::start(now, batch, event)?);
                 }
                 event::PROXY_ENDED => {
-                    self.running.remove(&instance);
-                    to_poll.remove(&instance);
+                    self.running.remove(&proxy_number);
+                    to_poll.remove(&proxy_number);
                     continue;
                 }
                 _ if event::is_for_running_proxy(code) => {
-                    let Some(proxy) = self.running.get_mut(&instance) else { continue };
-                    let handled = catch_panic(instance, &mut reply, || proxy.handle_event(now, batch, event));
+                    let Some(proxy) = self.running.get_mut(&proxy_number) else { continue };
+                    let handled =
+                        catch_panic(proxy_number, &mut reply, || proxy.handle_event(now, batch, event));
                     if let Some(action) = handled.unwrap_or(Ok(None))? {
-                        action::encode(instance, action, &mut reply);
+                        action::encode(proxy_number, action, &mut reply);
                     }
                 }
                 _ => return Err(MalformedFrame::UnknownEvent(code)),
             }
-            to_poll.insert(instance);
+            to_poll.insert(proxy_number);
         }
-        for instance in to_poll {
-            let Some(proxy) = self.running.get_mut(&instance) else { continue };
-            let actions = catch_panic(instance, &mut reply, || proxy.engine.poll(now)).unwrap_or_default();
-            actions.into_iter().for_each(|action| action::encode(instance, action, &mut reply));
-            proxy.set_timer(now, instance, &mut reply);
+        for proxy_number in to_poll {
+            let Some(proxy) = self.running.get_mut(&proxy_number) else { continue };
+            let actions =
+                catch_panic(proxy_number, &mut reply, || proxy.engine.poll(now)).unwrap_or_default();
+            actions.into_iter().for_each(|action| action::encode(proxy_number, action, &mut reply));
+            proxy.set_timer(now, proxy_number, &mut reply);
         }
         Ok(reply.into_frame(batch.number))
     }
 }
 
-/// Calls the engine. If it panics, reports that to the simulator and returns `None`.
-fn catch_panic<T>(instance: u32, reply: &mut Reply, call: impl FnOnce() -> T) -> Option<T> {
+/// Calls the engine. If it panics, reports that to the simulator and returns `None`. The engine is kept and polled again.
+fn catch_panic<T>(proxy_number: u32, reply: &mut Reply, call: impl FnOnce() -> T) -> Option<T> {
     let result = catch_unwind(AssertUnwindSafe(call));
-    result.map_err(|payload| action::encode_panic(instance, panic_message(payload.as_ref()), reply)).ok()
+    result.map_err(|payload| action::encode_panic(proxy_number, panic_message(payload.as_ref()), reply)).ok()
 }
 
 fn panic_message(payload: &(dyn Any + Send)) -> &str {
@@ -79,7 +81,7 @@
 }
 
 impl Proxy {
-    fn start(now: Timestamp, batch: &Batch, event: Fields) -> Result<Self, MalformedFrame> {
+    fn start(now: Timestamp, batch: &Batch, event: Record) -> Result<Self, MalformedFrame> {
         let start = ProxyStart::decode(batch, event)?;
         let settings =
             ProxySettings::from_json(start.settings).map_err(|error| SettingsReadError(error.to_string()))?;
@@ -90,7 +92,7 @@
         &mut self,
         now: Timestamp,
         batch: &Batch,
-        event: Fields,
+        event: Record,
     ) -> Result<Option<ProxyAction>, MalformedFrame> {
         let engine = &mut self.engine;
         match Event::decode(batch, event, |listener| engine.has_listener(listener))? {
@@ -119,12 +121,12 @@
     }
 
     /// Sets a timer for the engine's next wake-up, unless a pending timer fires early enough.
-    fn set_timer(&mut self, now: Timestamp, instance: u32, reply: &mut Reply) {
+    fn set_timer(&mut self, now: Timestamp, proxy_number: u32, reply: &mut Reply) {
         let wakes_at = self.engine.next_wakeup().max(now + TickDuration::from_ticks(1));
         let needs_timer = self.timer_at.is_none_or(|timer_at| timer_at <= now || wakes_at < timer_at);
         if wakes_at != Timestamp::MAX && needs_timer {
             self.timer_at = Some(wakes_at);
-            action::encode_timer(instance, wakes_at, reply);
+            action::encode_timer(proxy_number, wakes_at, reply);
         }
     }
 }
--- a/crates/larklink-adapter/src/wire.rs
+++ b/crates/larklink-adapter/src/wire.rs
@@ -17,11 +17,11 @@
 /// The size of an endpoint list entry in bytes.
 const ENDPOINT_BYTES: usize = 23;
 
-/// Access to the little-endian fields of a record.
+/// A record, with access to its little-endian fields.
 #[derive(Clone, Copy)]
-pub struct Fields<'a>(&'a [u8]);
+pub struct Record<'a>(&'a [u8]);
 
-impl Fields<'_> {
+impl Record<'_> {
     fn bytes<const N: usize>(&self, offset: usize) -> [u8; N] {
         let mut bytes = [0; N];
         bytes.copy_from_slice(&self.0[offset..offset + N]);
@@ -84,42 +84,43 @@
             let present = header.len();
             return Err(MalformedFrame::HeaderTooShort { present, needed: HEADER_BYTES }.into());
         }
-        let header = Fields(&header);
+        // The record count, the length of the rest of the frame, the clock and the number of the batch.
+        let header = Record(&header);
         let count = header.u32(0) as usize;
         let length = header.u32(4) as usize;
         let clock = header.u64(8);
         let number = header.u32(16);
-        let mut records = Vec::new();
-        input.take(length as u64).read_to_end(&mut records)?;
-        if records.len() < length {
-            let present = records.len();
+        let mut body = Vec::new();
+        input.take(length as u64).read_to_end(&mut body)?;
+        if body.len() < length {
+            let present = body.len();
             return Err(MalformedFrame::FrameTooShort { present, needed: length }.into());
         }
         if count.saturating_mul(EVENT_BYTES) > length {
             return Err(MalformedFrame::TooManyRecords { records: count, length }.into());
         }
-        let tail = records.split_off(count * EVENT_BYTES);
-        Ok(Some(Self { clock, number, records, tail }))
+        let tail = body.split_off(count * EVENT_BYTES);
+        Ok(Some(Self { clock, number, records: body, tail }))
     }
 
     /// The event records of the batch.
-    pub fn events(&self) -> impl Iterator<Item = Fields<'_>> {
-        self.records.chunks_exact(EVENT_BYTES).map(Fields)
+    pub fn events(&self) -> impl Iterator<Item = Record<'_>> {
+        self.records.chunks_exact(EVENT_BYTES).map(Record)
     }
 
     /// The part of the tail that the field at `field` refers to: an offset, then a number of items of `size` bytes.
-    fn items(&self, event: Fields, field: usize, size: usize) -> Result<&[u8], MalformedFrame> {
+    fn items(&self, event: Record, field: usize, size: usize) -> Result<&[u8], MalformedFrame> {
         let offset = event.u32(field) as usize;
         let items = event.u32(field + 4) as usize;
         let end = items.checked_mul(size).and_then(|bytes| bytes.checked_add(offset));
         end.and_then(|end| self.tail.get(offset..end)).ok_or(MalformedFrame::OutsideTail { items, offset })
     }
 
-    /// The text that the field at the offset `field` of an event refers to.
+    /// The bytes that the field at the offset `field` of an event refers to.
     ///
     /// # Errors
-    /// Returns an error if the text is outside the tail.
-    pub fn text(&self, event: Fields, field: usize) -> Result<&[u8], MalformedFrame> {
+    /// Returns an error if the bytes are outside the tail.
+    pub fn bytes(&self, event: Record, field: usize) -> Result<&[u8], MalformedFrame> {
         self.items(event, field, 1)
     }
 
@@ -129,10 +130,10 @@
     /// Returns an error if the entries are outside the tail.
     pub fn entries(
         &self,
-        event: Fields,
+        event: Record,
         field: usize,
-    ) -> Result<impl Iterator<Item = Fields<'_>>, MalformedFrame> {
-        Ok(self.items(event, field, ENDPOINT_BYTES)?.chunks_exact(ENDPOINT_BYTES).map(Fields))
+    ) -> Result<impl Iterator<Item = Record<'_>>, MalformedFrame> {
+        Ok(self.items(event, field, ENDPOINT_BYTES)?.chunks_exact(ENDPOINT_BYTES).map(Record))
     }
 }
 
@@ -145,20 +146,20 @@
 
 impl Reply {
     /// Appends an action with its code, the number of the proxy and its other fields.
-    pub fn push_action(&mut self, code: u16, instance: u32, fields: &[&[u8]]) {
+    pub fn push_action(&mut self, code: u16, proxy_number: u32, fields: &[&[u8]]) {
         let start = self.records.len();
         self.records.extend_from_slice(&code.to_le_bytes());
-        self.records.extend_from_slice(&instance.to_le_bytes());
+        self.records.extend_from_slice(&proxy_number.to_le_bytes());
         fields.iter().for_each(|field| self.records.extend_from_slice(field));
         self.records.resize(start + ACTION_BYTES, 0);
     }
 
     /// Appends an action whose only field is a text.
-    pub fn push_text_action(&mut self, code: u16, instance: u32, text: &str) {
+    pub fn push_text_action(&mut self, code: u16, proxy_number: u32, text: &str) {
         let offset = self.tail.len() as u32;
         let length = text.len() as u32;
         self.tail.extend_from_slice(text.as_bytes());
-        self.push_action(code, instance, &[&offset.to_le_bytes(), &length.to_le_bytes()]);
+        self.push_action(code, proxy_number, &[&offset.to_le_bytes(), &length.to_le_bytes()]);
     }
 
     /// Encodes the reply to the batch with this number.
@@ -166,6 +167,7 @@
         let count = (self.records.len() / ACTION_BYTES) as u32;
         let length = (self.records.len() + self.tail.len()) as u32;
         let mut bytes = Vec::with_capacity(REPLY_HEADER_BYTES + length as usize);
+        // Unlike in the header of a batch, the length comes before the count.
         for value in [length, count, number] {
             bytes.extend_from_slice(&value.to_le_bytes());
         }
