--- a/crates/larklinkctl/src/lib.rs
+++ b/crates/larklinkctl/src/lib.rs
@@ -1,6 +1,6 @@
 //! The command line tool for operators. Each subcommand is a thin layer over another package.
 //!
-//! Exit codes: 0 for success, 1 for findings, 2 for incorrect usage or a run that failed or does not count.
+//! Exit codes: 0 for success, 1 for findings, 2 for incorrect usage or a run that could not be completed or is invalid.
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
--- a/crates/larklinkctl/src/run.rs
+++ b/crates/larklinkctl/src/run.rs
@@ -14,8 +14,8 @@
 
 use crate::{built_in, tables};
 
-/// The exit code for incorrect usage and for a run that failed or does not count.
-const EXIT_NOT_RUN: u8 = 2;
+/// The exit code for incorrect usage and for a run that could not be completed or is invalid.
+const EXIT_NO_RESULT: u8 = 2;
 /// The capacity of the channel of samples for the progress bar. Samples that do not fit are dropped.
 const PROGRESS_CHANNEL_CAPACITY: usize = 16;
 /// Ticks (0.1 ms) of scenario time per step of the progress bar.
@@ -74,13 +74,13 @@
     match run_scenario(arguments) {
         Ok(report) if report.testbed_late => {
             eprintln!("larklinkctl: the testbed itself fell behind, so this run does not count");
-            ExitCode::from(EXIT_NOT_RUN)
+            ExitCode::from(EXIT_NO_RESULT)
         }
         Ok(report) if report.passed() => ExitCode::SUCCESS,
         Ok(_) => ExitCode::FAILURE,
         Err(error) => {
             eprintln!("larklinkctl: {error}");
-            ExitCode::from(EXIT_NOT_RUN)
+            ExitCode::from(EXIT_NO_RESULT)
         }
     }
 }
--- a/crates/larklinkctl/src/tables.rs
+++ b/crates/larklinkctl/src/tables.rs
@@ -6,7 +6,7 @@
 
 /// The most violations that are printed. The JSON report contains all of them.
 const MAX_VIOLATIONS_PRINTED: usize = 20;
-/// Kilobytes per megabyte.
+/// KiB per MiB.
 const KB_PER_MB: f64 = 1024.0;
 /// Microseconds per millisecond.
 const US_PER_MS: f64 = 1e3;
@@ -15,7 +15,7 @@
 pub(crate) fn print(report: &Report) {
     println!("{}", outcomes_table(&report.listeners));
     println!("{}", latency_table(&report.listeners));
-    print_processes(report);
+    print_run_statistics(report);
     print_findings(report);
     let verdict = if report.passed() { "no findings" } else { "findings, see above" };
     println!("{}, seed {}: service {:.3}, {verdict}", report.scenario, report.seed, report.service);
@@ -87,7 +87,7 @@
 
 /// The resource usage of the proxies, the results by proxy shape, goodput, calls to the session store, and the timer
 /// delay of the testbed.
-fn print_processes(report: &Report) {
+fn print_run_statistics(report: &Report) {
     for (i, usage) in report.proxies.iter().enumerate() {
         println!(
             "proxy {i}: {:.2} s CPU time, {:.1} MB peak memory, starts: {}",
@@ -111,7 +111,8 @@
     );
 }
 
-/// The violations that the audit found, then the requirements of the scenario that were not met.
+/// The violations that the audit found, then the requirements of the scenario that were not met, failed requests for
+/// metrics, and metrics that do not match the event log.
 fn print_findings(report: &Report) {
     for violation in report.violations.iter().take(MAX_VIOLATIONS_PRINTED) {
         let at_s = violation.at as f64 / SECOND as f64;
