--- a/crates/larklink-simulation/tests/format_fixtures.rs
+++ b/crates/larklink-simulation/tests/format_fixtures.rs
@@ -160,7 +160,7 @@
 
 #[test]
 fn event_log_serializes_as_in_the_fixture() {
-    assert_eq!(event_log().to_json_lines(), include_str!("fixtures/book.jsonl"));
+    assert_eq!(event_log().to_json_lines(), include_str!("fixtures/event_log.jsonl"));
 }
 
 #[test]
