--- a/crates/larklink-coordination/src/lease.rs
+++ b/crates/larklink-coordination/src/lease.rs
@@ -172,7 +172,7 @@
         self.valid_lease(now).map(|held| held.token)
     }
 
-    /// Until when and in which term this process may act, or `None` if it may not act now.
+    /// The lease term in which this process may act and the time until which it may, or `None` if it may not act now.
     pub fn validity(&self, now: Timestamp) -> Option<LeaseValidity> {
         self.valid_lease(now).map(|held| LeaseValidity { until: held.may_act_until, term: held.term })
     }
--- a/crates/larklink-coordination/src/safety.rs
+++ b/crates/larklink-coordination/src/safety.rs
@@ -1,7 +1,7 @@
 //! The timing conditions that keep two members from acting on the same lease at once.
 //!
-//! They are separate from the state machine so that a test can replace one of them with a wrong condition and check that
-//! the state search detects the violation.
+//! The conditions are separate from the state machine so that a test can replace one of them with a wrong condition
+//! and check that the state search detects the violation.
 
 use crate::settings::LeaseSettings;
 use crate::time::{TickDuration, Timestamp};
--- a/crates/larklink-proxy/src/discovery/watch_state.rs
+++ b/crates/larklink-proxy/src/discovery/watch_state.rs
@@ -44,9 +44,9 @@
 
 /// How the last poll failed, which determines the backoff.
 pub(crate) enum BackoffRule {
-    /// It was rejected or got an invalid response. Contains the number of such polls since the last list.
+    /// The poll was rejected or got an invalid response. Contains the number of such polls since the last list.
     Rejected(u32),
-    /// It failed otherwise. Contains the number of all failed polls since the last list.
+    /// The poll failed otherwise. Contains the number of all failed polls since the last list.
     Failed(u32),
 }
 
--- a/crates/larklink-proxy/src/endpoint_list.rs
+++ b/crates/larklink-proxy/src/endpoint_list.rs
@@ -21,19 +21,19 @@
 /// An entry of the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Endpoint {
-    /// Its name, from which its id is derived.
+    /// The endpoint's name, from which its id is derived.
     pub name: String,
-    /// Its socket address.
+    /// The endpoint's socket address.
     pub address: String,
-    /// Its state: `up`, `draining` or `removed`. Any other value is treated as `draining`.
+    /// The endpoint's state: `up`, `draining` or `removed`. Any other value is treated as `draining`.
     pub status: String,
     /// The name of its zone; empty if unknown.
     #[serde(default)]
     pub zone: String,
-    /// Its cell: the group of endpoints with which it shares idempotency keys.
+    /// The endpoint's cell: the group of endpoints with which it shares idempotency keys.
     #[serde(default, rename = "group")]
     pub cell: u16,
-    /// Its capacity relative to other endpoints; 0 if unknown.
+    /// The endpoint's capacity relative to other endpoints; 0 if unknown.
     #[serde(default)]
     pub weight: f64,
     /// When it started, in milliseconds since the Unix epoch; 0 if unknown.
--- a/crates/larklink-proxy/src/events.rs
+++ b/crates/larklink-proxy/src/events.rs
@@ -35,7 +35,7 @@
     FindEndpoint {
         /// The session.
         session: SessionId,
-        /// Its endpoint.
+        /// The endpoint at which the session is established.
         endpoint: EndpointId,
         /// The channel for its commands.
         commands: Sender<SessionCommand>,
@@ -46,7 +46,7 @@
         session: SessionId,
         /// The request from its first line.
         request: SessionRequest,
-        /// Its endpoint.
+        /// The endpoint at which the session is established.
         endpoint: EndpointId,
     },
     /// An endpoint accepted an attempt.
@@ -62,7 +62,7 @@
         session: SessionId,
         /// The attempt that ended.
         attempt: AttemptNumber,
-        /// How it ended.
+        /// The outcome of the attempt or of its connection.
         outcome: AttemptOutcome,
         /// Whether the session ends with it.
         session_over: bool,
@@ -77,7 +77,7 @@
     Observed {
         /// The session.
         session: SessionId,
-        /// Its accepted attempt.
+        /// The accepted attempt of the session.
         attempt: AttemptNumber,
         /// What was observed.
         observation: Observation,
@@ -86,9 +86,9 @@
     MessageAnswered {
         /// The session.
         session: SessionId,
-        /// Its accepted attempt.
+        /// The accepted attempt of the session.
         attempt: AttemptNumber,
-        /// Its endpoint.
+        /// The endpoint that answered.
         endpoint: EndpointId,
         /// The time from forwarding the message to receiving its answer.
         took: TickDuration,
@@ -97,7 +97,7 @@
     HealthChecked {
         /// The endpoint that was checked.
         endpoint: EndpointId,
-        /// How it ended.
+        /// The outcome of the health check.
         outcome: AttemptOutcome,
         /// How long it took.
         took: TickDuration,
@@ -124,7 +124,7 @@
         attempt: AttemptNumber,
         /// The endpoint to connect to.
         endpoint: EndpointId,
-        /// Its address; `None` if it is not known.
+        /// The endpoint's address; `None` if it is not known.
         address: Option<SocketAddr>,
         /// When the attempt times out.
         deadline: Instant,
--- a/crates/larklink-proxy/src/handover/messages.rs
+++ b/crates/larklink-proxy/src/handover/messages.rs
@@ -18,7 +18,7 @@
     Offer {
         /// The predecessor's protocol version.
         version: u32,
-        /// Its endpoint list.
+        /// The predecessor's endpoint list.
         #[serde(rename = "list")]
         endpoints: Vec<Endpoint>,
     },
@@ -52,7 +52,7 @@
 /// What a process needs to continue an established session.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EstablishedSession {
-    /// Its first line, with the CRLF.
+    /// The session's first line, with the CRLF.
     #[serde(rename = "head")]
     pub open_line: String,
     /// The id of its endpoint.
--- a/crates/larklink-proxy/src/protocol/open_line.rs
+++ b/crates/larklink-proxy/src/protocol/open_line.rs
@@ -36,13 +36,13 @@
 /// Why a line does not open a session.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum OpenLineError {
-    /// It is not UTF-8.
+    /// The line is not UTF-8.
     #[error("line is not valid UTF-8")]
     NotText,
-    /// Its first word is not `OPEN`.
+    /// The first word is not `OPEN`.
     #[error("line does not start with OPEN")]
     NotOpen,
-    /// It contains a control character.
+    /// The line contains a control character.
     #[error("line contains a control character")]
     ControlCharacters,
     /// The session id is missing or not hexadecimal.
--- a/crates/larklink-proxy/src/session/client_watch.rs
+++ b/crates/larklink-proxy/src/session/client_watch.rs
@@ -14,7 +14,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Resolves when the client has disconnected, or has sent more than its first line although `may_send_more` is false.
-/// It is true only for a session that was established before.
+/// `may_send_more` is true only for a session that was already established.
 ///
 /// # Errors
 /// Always, with the reason for the end: [`EndReason::ClientClosed`] or [`EndReason::ProtocolError`].
--- a/crates/larklink-proxy/src/session/request.rs
+++ b/crates/larklink-proxy/src/session/request.rs
@@ -8,7 +8,7 @@
 pub(super) struct Request<'a> {
     /// The session's number in this process.
     pub(super) session: SessionId,
-    /// Its first line, with the CRLF.
+    /// The session's first line, with the CRLF.
     pub(super) line: &'a [u8],
     /// The fields parsed from `line`.
     pub(super) open_line: OpenLine<'a>,
--- a/crates/larklink-testbed/src/proxy_slot.rs
+++ b/crates/larklink-testbed/src/proxy_slot.rs
@@ -37,7 +37,7 @@
 pub(crate) struct AdminEndpoint {
     /// The process.
     pub(crate) process: ProcessKey,
-    /// Its address.
+    /// The address of the admin endpoint.
     pub(crate) address: SocketAddr,
 }
 
